--- a/src/main/java/rowanmoor/cli/Commands.java
+++ b/src/main/java/rowanmoor/cli/Commands.java
@@ -36,7 +36,7 @@
 import rowanmoor.lab.Report;
 import rowanmoor.lab.Soak;
 import rowanmoor.net.Loop;
-import rowanmoor.platform.Serve;
+import rowanmoor.platform.PlatformServer;
 import rowanmoor.proxy.Proxy;
 import rowanmoor.proxy.ProxyConfig;
 import rowanmoor.proxy.Tap;
@@ -105,13 +105,13 @@
 
     @Command(name = "serve", description = "Runs one controller of the platform, as GW_CONFIG says.")
     int serve() {
-        return Serve.run(System.getenv(), System.err);
+        return PlatformServer.run(System.getenv(), System.err);
     }
 
     @Command(name = "rehearse",
             description = "Serves invented peers for a moment; the build records what a start needs.")
     int rehearse() {
-        return Serve.rehearse(System.err);
+        return PlatformServer.rehearse(System.err);
     }
 
     @Command(name = "check", description = "Reads settings and days, and tells everything that is wrong.")
--- a/src/main/java/rowanmoor/cli/Main.java
+++ b/src/main/java/rowanmoor/cli/Main.java
@@ -7,7 +7,7 @@
 import java.io.OutputStream;
 import java.io.PrintStream;
 import rowanmoor.benchlink.Link;
-import rowanmoor.platform.Serve;
+import rowanmoor.platform.PlatformServer;
 
 /**
  * Where the program starts. The bench's adapter and the platform's controller are started here, without
@@ -21,8 +21,8 @@
         String only = args.length == 1 ? args[0] : "";
         System.exit(switch (only) {
             case "benchlink" -> benchlink(System.in, System.out, System.err);
-            case "serve" -> Serve.run(System.getenv(), System.err);
-            case "rehearse" -> Serve.rehearse(System.err);
+            case "serve" -> PlatformServer.run(System.getenv(), System.err);
+            case "rehearse" -> PlatformServer.rehearse(System.err);
             default -> Commands.run(args);
         });
     }
--- a/src/main/java/rowanmoor/controller/Controller.java
+++ b/src/main/java/rowanmoor/controller/Controller.java
@@ -83,12 +83,12 @@
                 }, text -> LOG.warn("roster {}", kv("what", text)));
         LoadColumns columns = new LoadColumns(config.site().columns());
         this.prober = new Prober(loop, config.probePath(), config.probeWithin(), config.probesAtOnce(),
-                Addresses::socket, answer -> columns.read(answer.fields().get(Orca.FIELD)), probed -> {
+                Addresses::toSocketAddress, answer -> columns.parse(answer.fields().get(Orca.FIELD)), probed -> {
                     driver.hearProbe(probed);
                     ticks.soon();
                 });
         this.listener = loop.listen(config.listen(), options(), this::accept);
-        driver.hearList(roster.view().atStart());
+        driver.hearList(roster.view().initialMembers());
         ticks.soon();
         stats();
         LOG.info("listening {} {}", kv("at", address().getAddress().getHostAddress() + ":"
@@ -233,7 +233,7 @@
 
     @Override
     public void watch(boolean on) {
-        roster.watch(on);
+        roster.setWatching(on);
     }
 
     @Override
--- a/src/main/java/rowanmoor/discovery/Addresses.java
+++ b/src/main/java/rowanmoor/discovery/Addresses.java
@@ -10,11 +10,11 @@
 
     private Addresses() { }
 
-    public static Backend backend(InetSocketAddress at) {
+    public static Backend toBackend(InetSocketAddress at) {
         return RosterAnswer.backend(at);
     }
 
-    public static InetSocketAddress socket(Backend backend) {
+    public static InetSocketAddress toSocketAddress(Backend backend) {
         long id = backend.id() >>> 16;
         byte[] parts = {(byte) (id >> 24), (byte) (id >> 16), (byte) (id >> 8), (byte) id};
         try {
--- a/src/main/java/rowanmoor/discovery/LoadColumns.java
+++ b/src/main/java/rowanmoor/discovery/LoadColumns.java
@@ -22,7 +22,7 @@
     }
 
     /** The figures of an answer's field; empty if there is none, or if one of them is missing. */
-    public List<Double> read(String field) {
+    public List<Double> parse(String field) {
         Map<String, Double> figures = Orca.parse(field);
         List<Double> values = new ArrayList<>(names.size());
         for (String name : names) {
--- a/src/main/java/rowanmoor/discovery/Prober.java
+++ b/src/main/java/rowanmoor/discovery/Prober.java
@@ -20,12 +20,12 @@
 /** Probes backends: an HTTP GET each, at most so many at once; those ordered beyond that wait their turn. */
 public final class Prober {
 
-    public static final int OK = 10;
+    public static final int STATUS_OK = 10;
     private static final int ERROR = 20;
     private static final int FULL = 30;
     private static final int TIMEOUT = 40;
-    public static final int DOWN = 50;
-    public static final int BROKEN = 60;
+    public static final int STATUS_UNREACHABLE = 50;
+    public static final int STATUS_CONNECTION_LOST = 60;
     private static final int BODY_MOST = 4096;
 
     private final Loop loop;
@@ -72,7 +72,7 @@
         long from = loop.now();
         InetSocketAddress at = where.apply(backend);
         if (at == null) {
-            loop.after(0, () -> done(at, new Probed(backend, false, DOWN, 0, List.of())));
+            loop.after(0, () -> done(at, new Probed(backend, false, STATUS_UNREACHABLE, 0, List.of())));
             return;
         }
         ClientConnection connection = ClientConnection.open(loop, null, at,
@@ -88,15 +88,15 @@
                     public void answered(Message.Response response) {
                         patience.cancel();
                         connection.cancel(); // asked to close it, a backend may still leave it open
-                        int status = response.status() == 200 ? OK : response.status() == 503 ? FULL : ERROR;
-                        done(at, new Probed(backend, status == OK, status, loop.now() - from,
+                        int status = response.status() == 200 ? STATUS_OK : response.status() == 503 ? FULL : ERROR;
+                        done(at, new Probed(backend, status == STATUS_OK, status, loop.now() - from,
                                 load.apply(response)));
                     }
 
                     @Override
                     public void failed(boolean neverRan, Close why, String detail) {
                         patience.cancel();
-                        int status = why == Close.CONNECT_TIMEOUT ? TIMEOUT : neverRan ? DOWN : BROKEN;
+                        int status = why == Close.CONNECT_TIMEOUT ? TIMEOUT : neverRan ? STATUS_UNREACHABLE : STATUS_CONNECTION_LOST;
                         done(at, new Probed(backend, false, status, loop.now() - from, List.of()));
                     }
                 });
--- a/src/main/java/rowanmoor/discovery/RosterClient.java
+++ b/src/main/java/rowanmoor/discovery/RosterClient.java
@@ -64,7 +64,7 @@
     }
 
     /** Starts or stops to follow the list; starting is answered by exactly one event. */
-    public void watch(boolean on) {
+    public void setWatching(boolean on) {
         watching = on;
         index = 0;
         view.restart();
--- a/src/main/java/rowanmoor/discovery/RosterView.java
+++ b/src/main/java/rowanmoor/discovery/RosterView.java
@@ -50,7 +50,7 @@
     }
 
     /** What the module starts with: nothing is known. */
-    public Members atStart() {
+    public Members initialMembers() {
         return new Members(ListKind.CACHED, ++version, List.of());
     }
 
--- a/src/main/java/rowanmoor/emulator/Emulator.java
+++ b/src/main/java/rowanmoor/emulator/Emulator.java
@@ -957,8 +957,8 @@
             int most = model.machines().get(b).connections();
             boolean full = idle != null && most > 0 && connections[b] >= most; // a probe needs one of its own
             boolean up = !down && !full;
-            drivers[rank].hearProbe(new Probed(backends[b], up, up ? Prober.OK : down ? Prober.DOWN
-                    : Prober.BROKEN, 2 * model.sameZone(), up ? load(b) : List.of()));
+            drivers[rank].hearProbe(new Probed(backends[b], up, up ? Prober.STATUS_OK : down ? Prober.STATUS_UNREACHABLE
+                    : Prober.STATUS_CONNECTION_LOST, 2 * model.sameZone(), up ? load(b) : List.of()));
             tickBy(rank, now);
         }
     }
--- a/src/main/java/rowanmoor/lab/Ground.java
+++ b/src/main/java/rowanmoor/lab/Ground.java
@@ -140,7 +140,7 @@
             configs.add(new ProxyConfig(day.site(), p, "proxy-" + p, zone,
                     day.rate() * proxyWeightsMilli[p] / sum, anyPort(), zoneAddress(zone, p),
                     its.stream().map(Link::address).toList(), p / zones % its.size(), 300 * MILLI, 3 * SECOND,
-                    first.stream().map(Addresses::socket).toList(), 15 * SECOND, 250 * MILLI, 4096,
+                    first.stream().map(Addresses::toSocketAddress).toList(), 15 * SECOND, 250 * MILLI, 4096,
                             Conduct.usual()));
         }
         return proxyHost.start(configs, standing, random.nextLong());
--- a/src/main/java/rowanmoor/lab/ProxyLoad.java
+++ b/src/main/java/rowanmoor/lab/ProxyLoad.java
@@ -131,7 +131,7 @@
     private List<Frame.Line> table() {
         List<Frame.Line> all = new ArrayList<>();
         for (int i = 0; i < lines; i++) {
-            all.add(i < BACKENDS ? new Frame.Line(Addresses.backend(backends.get(i)), 1)
+            all.add(i < BACKENDS ? new Frame.Line(Addresses.toBackend(backends.get(i)), 1)
                     : new Frame.Line(new Backend((0x7f020000L + i << 16) + 9), 1e-12));
         }
         return all;
--- a/src/main/java/rowanmoor/platform/Serve.java
+++ b/src/main/java/rowanmoor/platform/PlatformServer.java
@@ -7,9 +7,9 @@
 import rowanmoor.net.Loop;
 
 /** Runs one controller of the platform in the foreground until the process is told to end. */
-public final class Serve {
+public final class PlatformServer {
 
-    private Serve() { }
+    private PlatformServer() { }
 
     /** Answers the exit code: 1 if it cannot start, told in one line. */
     public static int run(Map<String, String> env, PrintStream err) {
@@ -57,7 +57,7 @@
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object calls = Proxy.newProxyInstance(Serve.class.getClassLoader(), new Class<?>[] {handler},
+            Object calls = Proxy.newProxyInstance(PlatformServer.class.getClassLoader(), new Class<?>[] {handler},
                     (proxy, method, arguments) -> {
                         what.run();
                         return null;
--- a/src/main/java/rowanmoor/proxy/Forward.java
+++ b/src/main/java/rowanmoor/proxy/Forward.java
@@ -256,7 +256,7 @@
         boolean unrun = (head.status() == 503 || head.status() == 408)
                 && head.fields().get(Proxy.NEVER_RAN) != null;
         good = head.status() < 500 && !unrun;
-        load = proxy.columns().read(head.fields().get(Orca.FIELD));
+        load = proxy.columns().parse(head.fields().get(Orca.FIELD));
         if (!good && mayFollow(unrun)) {
             ClientStream left = stream;
             Backend of = backend;
--- a/src/main/java/rowanmoor/proxy/Proxy.java
+++ b/src/main/java/rowanmoor/proxy/Proxy.java
@@ -101,7 +101,7 @@
     public static Proxy start(ProxyConfig config, Loop loop, RandomGenerator random, Tap tap)
             throws IOException {
         Router router = new Router(config.site(), config.conduct(),
-                config.standing().stream().map(Addresses::backend).toList(),
+                config.standing().stream().map(Addresses::toBackend).toList(),
                 random, loop.now());
         return new Proxy(config, loop, router, random, tap);
     }
@@ -255,7 +255,7 @@
             return kept;
         }
         pool.opened(backend);
-        return ClientStream.open(loop, config.from(), Addresses.socket(backend),
+        return ClientStream.open(loop, config.from(), Addresses.toSocketAddress(backend),
                 ServerStream.options().connectWithin(config.connectWithin()), limits,
                 gone -> pool.gone(backend, gone));
     }
--- a/src/main/java/rowanmoor/standin/BackendServer.java
+++ b/src/main/java/rowanmoor/standin/BackendServer.java
@@ -66,7 +66,7 @@
         this.ledger = ledger;
         this.at = at;
         listen();
-        this.backend = Addresses.backend(this.at);
+        this.backend = Addresses.toBackend(this.at);
         loop.after(BUSY_SPAN, this::measure);
     }
 
--- a/src/test/java/rowanmoor/platform/PlatformConfigTest.java
+++ b/src/test/java/rowanmoor/platform/PlatformConfigTest.java
@@ -74,7 +74,7 @@
                 Map.of("GW_CONFIG", folder.resolve("none").toString(), "GW_LISTEN", "127.0.0.1:0"),
                 Map.of("GW_CONFIG", file.toString(), "GW_LISTEN", "here"))) {
             ByteArrayOutputStream err = new ByteArrayOutputStream();
-            assertEquals(1, Serve.run(env, new PrintStream(err)));
+            assertEquals(1, PlatformServer.run(env, new PrintStream(err)));
             String told = err.toString(StandardCharsets.UTF_8);
             assertEquals(1, told.lines().count(), told);
             assertTrue(told.contains("GW_"), told);
