--- a/src/main/java/rowanmoor/ControlApi.java
+++ b/src/main/java/rowanmoor/ControlApi.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** What a {@link Logic} hears, what it may order, and the settings it starts with. Free of any wire. */
+/** What a {@link RoutingPolicy} hears, what it may order, and the settings it starts with. Free of any wire. */
 public interface ControlApi {
 
     /** Never a table's number: on the channel it stands for all tables at once. */
--- a/src/main/java/rowanmoor/Fleet.java
+++ b/src/main/java/rowanmoor/FleetState.java
@@ -14,12 +14,12 @@
 import rowanmoor.ControlApi.Usage;
 
 /** What one instance keeps of its proxies, pools and channel: plain state and sums, no decision. */
-final class Fleet {
+final class FleetState {
 
-    private Fleet() { }
+    private FleetState() { }
 
     /** How the joined proxies of one region fare at one backend. */
-    static final class Path {
+    static final class PathStats {
         double tries;
         double failed;
         double latencySum;
@@ -33,9 +33,9 @@
         long trialFrom;
         double health = 1;
 
-        static Path[] fresh(int regions) {
-            Path[] fresh = new Path[regions];
-            Arrays.setAll(fresh, r -> new Path());
+        static PathStats[] fresh(int regions) {
+            PathStats[] fresh = new PathStats[regions];
+            Arrays.setAll(fresh, r -> new PathStats());
             return fresh;
         }
 
--- a/src/main/java/rowanmoor/Logic.java
+++ b/src/main/java/rowanmoor/RoutingPolicy.java
@@ -4,10 +4,10 @@
 import java.util.function.Predicate;
 import java.util.stream.IntStream;
 import rowanmoor.ControlApi.*;
-import rowanmoor.Fleet.*;
+import rowanmoor.FleetState.*;
 
 /** One controller's decisions; events, actions and settings: {@link ControlApi}; reasons: docs/design.md. */
-public final class Logic {
+public final class RoutingPolicy {
 
     private static final double SECOND = 1e9;
     private static final long ROUND = 1_000_000_000L; // shortest round (the design's pace), ns
@@ -73,8 +73,8 @@
     /** What is known of one backend; {@code all} sums its paths, one for each region. */
     private final class BackendState {
         Member member;
-        Path[] paths = Path.fresh(regions);
-        Path all = new Path();
+        PathStats[] paths = PathStats.fresh(regions);
+        PathStats all = new PathStats();
         double correction = 1, busy, lastBusy, quiet;
         boolean withdrawn, held;
         long listedAt; // when the list last changed it
@@ -85,8 +85,8 @@
 
         /** A process that restarted is a new one: what its predecessor met says nothing of it. */
         void forget() {
-            paths = Path.fresh(regions);
-            all = new Path();
+            paths = PathStats.fresh(regions);
+            all = new PathStats();
             busy = 0;
         }
 
@@ -128,7 +128,7 @@
     private final Sent sent = new Sent(); // what the channel was given, and what has left it
     private final Timers timers = new Timers();
 
-    public Logic(Settings settings, long seed) {
+    public RoutingPolicy(Settings settings, long seed) {
         this.settings = settings;
         this.random = new Random(seed);
         boolean ownZones = settings.classes().stream().anyMatch(ClassSpec::ownZone);
@@ -146,7 +146,7 @@
         groupClasses();
     }
 
-    public void on(long now, Event event) {
+    public void handle(long now, Event event) {
         if (event instanceof Members members) {
             hearList(now, members);
         } else if (event instanceof ProxyJoined joined) {
@@ -227,9 +227,9 @@
 
     // ---- 2. Health and speed ----------------------------------------------------------------------------
 
-    private double failing(Path path) { return path.tries < ENOUGH ? 0 : path.failed / path.tries; }
+    private double failing(PathStats path) { return path.tries < ENOUGH ? 0 : path.failed / path.tries; }
 
-    private double latency(Path path) {
+    private double latency(PathStats path) {
         return path.tries < ENOUGH ? 0 : (path.latencySum + path.failed * FAILED_AS) / path.tries;
     }
 
@@ -305,10 +305,10 @@
     // one that is far slower. Full backends fail too: partial failures rest few, and none under overload.
     private void judgePaths(long now, int region) {
         List<BackendState> ready = backends.values().stream().filter(BackendState::ready).toList();
-        List<Path> judged = ready.stream().map(s -> s.paths[region]).filter(p -> p.tries >= ENOUGH).toList();
-        double usualFailing = Fleet.median(judged.stream().map(this::failing).toList());
-        double usualLatency = Fleet.median(judged.stream().map(this::latency).filter(l -> l > 0).toList());
-        double usualOfAll = Fleet.median(ready.stream().filter(s -> s.all.tries >= ENOUGH)
+        List<PathStats> judged = ready.stream().map(s -> s.paths[region]).filter(p -> p.tries >= ENOUGH).toList();
+        double usualFailing = FleetState.median(judged.stream().map(this::failing).toList());
+        double usualLatency = FleetState.median(judged.stream().map(this::latency).filter(l -> l > 0).toList());
+        double usualOfAll = FleetState.median(ready.stream().filter(s -> s.all.tries >= ENOUGH)
                 .map(s -> failing(s.all)).toList());
         double mayRest = 0;
         List<String> rested = new ArrayList<>();
@@ -318,8 +318,8 @@
         }
         for (BackendState state : backends.values().stream().sorted(Comparator.comparing(s ->
                 -failing(evidence(s, region)))).toList()) {
-            Path path = state.paths[region];
-            Path told = evidence(state, region);
+            PathStats path = state.paths[region];
+            PathStats told = evidence(state, region);
             double usual = told == path ? usualFailing : usualOfAll;
             boolean failing = failing(told) > Math.max(FAILING, 3 * usual);
             boolean room = told == path && failing(path) > DEAD
@@ -346,8 +346,8 @@
     }
 
     /** What tells of a path's failures: its own tries; where they are few and fail, those of all regions. */
-    private Path evidence(BackendState state, int region) {
-        Path path = state.paths[region];
+    private PathStats evidence(BackendState state, int region) {
+        PathStats path = state.paths[region];
         return path.tries >= ENOUGH || path.failed <= FAILING * path.tries ? path : state.all;
     }
 
@@ -418,7 +418,7 @@
     private Map<Pool, TreeMap<Backend, Double>> layTables(long now) {
         TreeMap<Backend, Double> room = new TreeMap<>();
         backends.forEach((backend, state) -> room.put(backend, state.capacity(now)));
-        double capacity = Fleet.sum(room.values());
+        double capacity = FleetState.sum(room.values());
         List<double[]> demands = IntStream.range(0, groups.size()).mapToObj(this::demand).toList();
         double asked = demands.stream().mapToDouble(d -> Arrays.stream(d).sum()).sum();
         TreeMap<Backend, Double> left = new TreeMap<>(room);
@@ -434,7 +434,7 @@
                     part.put(backend, Math.max(1e-9, rest));
                 }
             }
-            double scale = Arrays.stream(demands.get(g)).sum() / Fleet.sum(part.values());
+            double scale = Arrays.stream(demands.get(g)).sum() / FleetState.sum(part.values());
             part.replaceAll((backend, share) -> share * scale);
             part.forEach((backend, share) -> left.merge(backend, -share, Double::sum));
             for (int r = 0; r < regions; r++) {
@@ -459,9 +459,9 @@
         TreeMap<Backend, Double> lines = new TreeMap<>();
         part.forEach((backend, share) ->
                 lines.put(backend, share * backends.get(backend).paths[region].health));
-        if (Fleet.sum(lines.values()) <= 0) { lines.putAll(part); }
+        if (FleetState.sum(lines.values()) <= 0) { lines.putAll(part); }
         double all = Arrays.stream(demand).sum();
-        double scale = all / Fleet.sum(lines.values());
+        double scale = all / FleetState.sum(lines.values());
         double[] room = new double[regions];
         lines.forEach((backend, share) -> room[region(backends.get(backend).member.zone())] += share * scale);
         double own = Math.min(demand[region], room[region]);
@@ -477,7 +477,7 @@
             double weight = share * flow[region(state.member.zone())];
             return state.warmth(now) < 1 ? Math.min(weight, COLD_MOST * share / all) : weight;
         });
-        double sum = Fleet.sum(lines.values());
+        double sum = FleetState.sum(lines.values());
         lines.replaceAll((backend, weight) -> 100 * weight / sum);
         return lines;
     }
@@ -532,7 +532,7 @@
         TreeMap<Backend, Double> lines = new TreeMap<>(flows);
         lines.keySet().retainAll(pool.members);
         lines.replaceAll((backend, flow) -> flow / pool.holding(backend));
-        double part = 100 / Math.max(1e-9, Fleet.sum(lines.values()));
+        double part = 100 / Math.max(1e-9, FleetState.sum(lines.values()));
         double all = set.stream().mapToDouble(p -> p.demand).sum();
         lines.replaceAll((backend, flow) -> {
             double reach = set.stream().filter(p -> p.members.contains(backend))
--- a/src/main/java/rowanmoor/benchlink/Link.java
+++ b/src/main/java/rowanmoor/benchlink/Link.java
@@ -9,16 +9,16 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import rowanmoor.ControlApi.Action;
-import rowanmoor.Logic;
+import rowanmoor.RoutingPolicy;
 import rowanmoor.settings.SettingsReader;
 
-/** The loop: one batch in, one reply out, a {@link Logic} for each instance. Translates only. */
+/** The loop: one batch in, one reply out, a {@link RoutingPolicy} for each instance. Translates only. */
 public final class Link {
 
     private static final int HEADER_BYTES = 12;
     private static final int BATCH_MOST = 1 << 30;
 
-    private final Map<Long, Logic> instances = new TreeMap<>();
+    private final Map<Long, RoutingPolicy> instances = new TreeMap<>();
     private final Reader reader = new Reader();
 
     /** Serves batches until the input ends. */
@@ -68,22 +68,22 @@
             // Settings are read outside the try: bad ones are the input's fault, not the decision code's.
             var settings = SettingsReader.ofLines(launch.setup());
             guard(launch.who(), writer, () ->
-                    instances.put(launch.who(), new Logic(settings, launch.seed())));
+                    instances.put(launch.who(), new RoutingPolicy(settings, launch.seed())));
             concerned.add(launch.who());
         } else if (item instanceof Reader.Halt halt) {
             instances.remove(halt.who());
             concerned.remove(halt.who());
         } else if (item instanceof Reader.Heard heard) {
-            Logic logic = instances.get(heard.who());
+            RoutingPolicy logic = instances.get(heard.who());
             if (logic != null) {
-                guard(heard.who(), writer, () -> logic.on(now, heard.event()));
+                guard(heard.who(), writer, () -> logic.handle(now, heard.event()));
                 concerned.add(heard.who());
             }
         }
     }
 
     private void decide(long who, long now, Writer writer) {
-        Logic logic = instances.get(who);
+        RoutingPolicy logic = instances.get(who);
         if (logic != null) {
             guard(who, writer, () -> {
                 for (Action action : logic.decide(now)) {
--- a/src/main/java/rowanmoor/controller/Driver.java
+++ b/src/main/java/rowanmoor/controller/Driver.java
@@ -24,7 +24,7 @@
 import rowanmoor.host.Turns;
 
 /**
- * One {@link Logic} and all that stands between it and the sockets, without any I/O: feeds it what was
+ * One {@link RoutingPolicy} and all that stands between it and the sockets, without any I/O: feeds it what was
  * heard, in one order; turns what it orders into one message for each proxy concerned; paces the channel.
  * Its caller passes the time and carries out what {@link Outside} asks.
  *
--- a/src/main/java/rowanmoor/controller/Trace.java
+++ b/src/main/java/rowanmoor/controller/Trace.java
@@ -16,7 +16,7 @@
 import rowanmoor.ControlApi.Action;
 import rowanmoor.ControlApi.Event;
 import rowanmoor.ControlApi.Settings;
-import rowanmoor.Logic;
+import rowanmoor.RoutingPolicy;
 
 /**
  * What a module was told and what it ordered, tick by tick, as JSON lines: enough to feed another instance
@@ -99,7 +99,7 @@
         int actions = 0;
         try (BufferedReader in = Files.newBufferedReader(file)) {
             JsonNode head = JSON.readTree(in.readLine());
-            Logic logic = new Logic(JSON.treeToValue(head.get("settings"), Settings.class),
+            RoutingPolicy logic = new RoutingPolicy(JSON.treeToValue(head.get("settings"), Settings.class),
                     head.get("seed").asLong());
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 JsonNode tick;
@@ -111,7 +111,7 @@
                 long now = tick.get("at").asLong();
                 List<Event> heard = JSON.readerFor(new TypeReference<List<Event>>() { })
                         .readValue(tick.get("events"));
-                heard.forEach(event -> logic.on(now, event));
+                heard.forEach(event -> logic.handle(now, event));
                 JsonNode ordered = tree(logic.decide(now), new TypeReference<List<Action>>() { });
                 ticks++;
                 events += heard.size();
--- a/src/main/java/rowanmoor/host/Turns.java
+++ b/src/main/java/rowanmoor/host/Turns.java
@@ -15,10 +15,10 @@
 import rowanmoor.ControlApi.ProxyLeft;
 import rowanmoor.ControlApi.Settings;
 import rowanmoor.ControlApi.TimerAt;
-import rowanmoor.Logic;
+import rowanmoor.RoutingPolicy;
 
 /**
- * One {@link Logic} and the order in which it hears: the list, then streams (joins, leaves, marks) as they
+ * One {@link RoutingPolicy} and the order in which it hears: the list, then streams (joins, leaves, marks) as they
  * came, report lines, probes, timers by time and then in the order in which they were set. Then it decides,
  * once. No I/O: its host passes the time and carries out the orders.
  */
@@ -35,7 +35,7 @@
         }
     }
 
-    private final Logic logic;
+    private final RoutingPolicy logic;
     private final LongSupplier stopwatch;
     private final ArrayDeque<Event> lists = new ArrayDeque<>();
     private final ArrayDeque<Event> streams = new ArrayDeque<>();
@@ -48,7 +48,7 @@
 
     /** @param stopwatch a clock for measuring how long the module takes, and for nothing else */
     public Turns(Settings settings, long seed, LongSupplier stopwatch) {
-        this.logic = new Logic(settings, seed);
+        this.logic = new RoutingPolicy(settings, seed);
         this.stopwatch = stopwatch;
     }
 
@@ -94,7 +94,7 @@
         }
         started = true;
         long before = stopwatch.getAsLong();
-        events.forEach(event -> logic.on(now, event));
+        events.forEach(event -> logic.handle(now, event));
         List<Action> actions = logic.decide(now);
         long took = stopwatch.getAsLong() - before;
         for (Action action : actions) {
--- a/src/main/java/rowanmoor/lab/ResultStore.java
+++ b/src/main/java/rowanmoor/lab/ResultStore.java
@@ -12,7 +12,7 @@
 import org.h2.mvstore.MVMap;
 import org.h2.mvstore.MVStore;
 import org.h2.mvstore.MVStoreException;
-import rowanmoor.Logic;
+import rowanmoor.RoutingPolicy;
 import rowanmoor.controller.Driver;
 import rowanmoor.emulator.Emulator;
 import rowanmoor.proxy.Router;
@@ -25,9 +25,9 @@
 
     private static final ObjectMapper JSON = new ObjectMapper();
     // The classes whose code a result follows from; others of their packages change with them.
-    private static final List<Class<?>> CODE = List.of(Logic.class, Driver.class, Router.class,
+    private static final List<Class<?>> CODE = List.of(RoutingPolicy.class, Driver.class, Router.class,
             Emulator.class);
-    private static final List<String> MORE = List.of("/rowanmoor/Fleet.class", "/rowanmoor/Fleet$Path.class",
+    private static final List<String> MORE = List.of("/rowanmoor/FleetState.class", "/rowanmoor/FleetState$Path.class",
             "/rowanmoor/controller/Intake.class", "/rowanmoor/controller/Outbox.class",
             "/rowanmoor/host/TableStore.class", "/rowanmoor/host/Turns.class",
             "/rowanmoor/host/Fanout.class", "/rowanmoor/emulator/Station.class",
--- a/src/test/java/rowanmoor/ArithmeticTest.java
+++ b/src/test/java/rowanmoor/ArithmeticTest.java
@@ -115,7 +115,7 @@
                 stand.usage(proxy, 1, 5);
             }
             for (int b = 0; b < 4; b++) {
-                stand.logic.on(stand.now, new ControlApi.Tally(Stand.backend(b), 0, 1, 1, 0, SECOND, List.of()));
+                stand.logic.handle(stand.now, new ControlApi.Tally(Stand.backend(b), 0, 1, 1, 0, SECOND, List.of()));
             }
             stand.second();
         }
@@ -201,7 +201,7 @@
 
     @Test
     void aProxyThatLeavesTwiceCountsForOneLease() {
-        Fleet.ProxyState proxy = new Fleet.ProxyState(2, 0);
+        FleetState.ProxyState proxy = new FleetState.ProxyState(2, 0);
         proxy.join(0, 0);
         proxy.leave(1, 5 * SECOND);
         proxy.leave(1, 12 * SECOND);
@@ -210,7 +210,7 @@
 
     @Test
     void aReportThatComesAfterItsProxyLeftIsNotCountedWhenItReturns() {
-        Fleet.ProxyState proxy = new Fleet.ProxyState(2, 0);
+        FleetState.ProxyState proxy = new FleetState.ProxyState(2, 0);
         proxy.join(0, 0);
         proxy.hear(new ControlApi.Usage(1, 0, 10, 0, SECOND));
         proxy.leave(1, SECOND);
@@ -245,7 +245,7 @@
                     its.usage(proxy, 0, 20);
                 }
                 if (i == 12) { // ten rounds follow: the last is 10 s after the leave, or 0.1 s more
-                    its.logic.on(its.now - late * 100 * MS, new ProxyLeft(3));
+                    its.logic.handle(its.now - late * 100 * MS, new ProxyLeft(3));
                 }
                 its.report(4, 2, b -> calm ? 0 : 3, b -> calm ? 100 * MS : 700 * MS);
             }
--- a/src/test/java/rowanmoor/GrowthTest.java
+++ b/src/test/java/rowanmoor/GrowthTest.java
@@ -55,9 +55,9 @@
 
     @Test
     void aMarkAnsweredTwiceFreesItsPartOnce() {
-        Fleet.Sent sent = new Fleet.Sent();
-        Fleet.ProxyState one = new Fleet.ProxyState(1, 0);
-        Fleet.ProxyState two = new Fleet.ProxyState(1, 0);
+        FleetState.Sent sent = new FleetState.Sent();
+        FleetState.ProxyState one = new FleetState.ProxyState(1, 0);
+        FleetState.ProxyState two = new FleetState.ProxyState(1, 0);
         sent.book(one, 10, 5);
         sent.book(two, 10, 5);
         int mark = sent.closeReply();
@@ -70,8 +70,8 @@
     /** A churn day on the bench's sockets: the channel ran at 0.14 of its pace, slower than is assumed. */
     @Test
     void whatMarksTellOfASlowChannelIsNotOutrunByWhatIsAssumed() {
-        Fleet.Sent sent = new Fleet.Sent();
-        Fleet.ProxyState one = new Fleet.ProxyState(1, 0);
+        FleetState.Sent sent = new FleetState.Sent();
+        FleetState.ProxyState one = new FleetState.ProxyState(1, 0);
         java.util.ArrayDeque<Integer> marks = new java.util.ArrayDeque<>();
         for (int i = 0; i < 200; i++) {
             sent.book(one, 5, 5);
@@ -92,8 +92,8 @@
 
     @Test
     void marksThatNobodyAnswersDoNotPileUp() {
-        Fleet.Sent sent = new Fleet.Sent();
-        Fleet.ProxyState one = new Fleet.ProxyState(1, 0);
+        FleetState.Sent sent = new FleetState.Sent();
+        FleetState.ProxyState one = new FleetState.ProxyState(1, 0);
         for (int i = 0; i < 200_000; i++) {
             sent.book(one, 1, 1);
             sent.closeReply();
@@ -103,9 +103,9 @@
 
     @Test
     void markNumbersStayInRangeWhenTheCountOfRepliesWraps() {
-        Fleet.Sent sent = new Fleet.Sent();
+        FleetState.Sent sent = new FleetState.Sent();
         sent.replies = Integer.MAX_VALUE - 2;
-        Fleet.ProxyState one = new Fleet.ProxyState(1, 0);
+        FleetState.ProxyState one = new FleetState.ProxyState(1, 0);
         for (int i = 0; i < 6; i++) {
             sent.book(one, 1, 1);
             int mark = sent.closeReply();
--- a/src/test/java/rowanmoor/LargeFleetTest.java
+++ b/src/test/java/rowanmoor/LargeFleetTest.java
@@ -159,7 +159,7 @@
             assertTrue(waiting <= stand.settings.channel().backlog(), "waiting " + waiting);
             for (Action action : stand.last) {
                 if (action instanceof Mark mark) {
-                    stand.logic.on(stand.now, new Applied(0, mark.number(), SECOND / 5));
+                    stand.logic.handle(stand.now, new Applied(0, mark.number(), SECOND / 5));
                 }
             }
             stand.now += 50 * MS;
@@ -174,13 +174,13 @@
     void listChangesDoNotStarveProxiesThatWaitToBeBound() {
         stand.startAtOnce(BACKENDS, 0);
         for (int p = 0; p < PROXIES; p++) {
-            stand.logic.on(stand.now, new ProxyJoined(p, p % 2, 8, false));
+            stand.logic.handle(stand.now, new ProxyJoined(p, p % 2, 8, false));
         }
         stand.decide();
         for (int i = 0; i < 100 && stand.bound.size() < PROXIES; i++) {
             for (Action action : stand.last) {
                 if (action instanceof Mark mark) {
-                    stand.logic.on(stand.now, new Applied(0, mark.number(), SECOND / 5));
+                    stand.logic.handle(stand.now, new Applied(0, mark.number(), SECOND / 5));
                 }
             }
             stand.now += 50 * MS;
@@ -212,7 +212,7 @@
         stand.startAtOnce(BACKENDS, PROXIES).settle();
         for (int i = 0; i < 30; i++) {
             for (int p = i % 3; p < PROXIES; p += 3) {
-                stand.logic.on(stand.now, new Usage(p, 0, p == 0 ? 300 : 24, 0, 3 * SECOND));
+                stand.logic.handle(stand.now, new Usage(p, 0, p == 0 ? 300 : 24, 0, 3 * SECOND));
             }
             stand.report(BACKENDS, 2, b -> 0, b -> 100 * MS);
         }
@@ -239,10 +239,10 @@
 
     private void steady(int seconds) {
         for (int p = 0; p < PROXIES; p++) {
-            stand.logic.on(stand.now, new Usage(p, 0, 6L * seconds, 0, seconds * SECOND));
+            stand.logic.handle(stand.now, new Usage(p, 0, 6L * seconds, 0, seconds * SECOND));
         }
         for (int b = 0; b < BACKENDS; b++) {
-            stand.logic.on(stand.now, new Tally(Stand.backend(b), b % 2, 9L * seconds, 0, 100 * MS,
+            stand.logic.handle(stand.now, new Tally(Stand.backend(b), b % 2, 9L * seconds, 0, 100 * MS,
                     seconds * SECOND, List.of()));
         }
         stand.second();
@@ -290,7 +290,7 @@
                     if (piled == 0) {
                         its.usage(p, 0, 20);
                     } else if (its.bound.get(p).get(0) % 3 == i % 3) { // a pool's proxies together
-                        its.logic.on(its.now, new Usage(p, 0, 60, 0, 3 * SECOND));
+                        its.logic.handle(its.now, new Usage(p, 0, 60, 0, 3 * SECOND));
                     }
                 }
                 its.report(60, 2, b -> 0, b -> 100 * MS);
@@ -311,7 +311,7 @@
                     its.last.stream().filter(ControlApi.Mark.class::isInstance).map(ControlApi.Mark.class::cast)
                             .forEach(m -> {
                                 for (int p = 0; p < 364; p++) {
-                                    its.logic.on(its.now, new ControlApi.Applied(p, m.number(), 1));
+                                    its.logic.handle(its.now, new ControlApi.Applied(p, m.number(), 1));
                                 }
                             });
                 }
@@ -344,7 +344,7 @@
         for (int i = 0; i < 400 && its.bound.size() < 872; i++) { // the channel keeps its pace, marks come back
             its.last.stream().filter(Mark.class::isInstance).map(Mark.class::cast).forEach(m -> {
                 for (int p = 0; p < 872; p++) {
-                    its.logic.on(its.now, new Applied(p, m.number(), 1));
+                    its.logic.handle(its.now, new Applied(p, m.number(), 1));
                 }
             });
             its.now += SECOND;
@@ -371,13 +371,13 @@
                     its.usage(p, 0, random.nextInt(10) == 0 ? 400 : 5);
                 }
                 for (int b = 0; b < 60; b++) {
-                    its.logic.on(its.now, new Tally(Stand.backend(b), b % 2, 10, 0, 100 * MS + random.nextInt(400) * MS,
+                    its.logic.handle(its.now, new Tally(Stand.backend(b), b % 2, 10, 0, 100 * MS + random.nextInt(400) * MS,
                             SECOND, List.of()));
                 }
             }
             if (i % 3 == 0) {
                 int b = random.nextInt(60);
-                its.logic.on(its.now, new Members(ListKind.DELTA, i, List.of(Stand.member(b, b % 2,
+                its.logic.handle(its.now, new Members(ListKind.DELTA, i, List.of(Stand.member(b, b % 2,
                         random.nextBoolean() ? Listed.READY : Listed.GONE, 0))));
             }
             its.decide();
@@ -396,9 +396,9 @@
         int waited = -1;
         for (int i = 0; i < 400 && waited < 0; i++) {
             its.now += 50 * MS;
-            its.logic.on(its.now, new ControlApi.Timer(3));
+            its.logic.handle(its.now, new ControlApi.Timer(3));
             if (i == 20) {
-                its.logic.on(its.now, new Members(ListKind.DELTA, 2, List.of(Stand.member(7, 1, Listed.GONE, 0))));
+                its.logic.handle(its.now, new Members(ListKind.DELTA, 2, List.of(Stand.member(7, 1, Listed.GONE, 0))));
             }
             its.decide();
             waited = i >= 20 && its.withdrawn.getOrDefault(Stand.backend(7), false) ? i - 20 : -1;
--- a/src/test/java/rowanmoor/LimitsTest.java
+++ b/src/test/java/rowanmoor/LimitsTest.java
@@ -17,7 +17,7 @@
 
     @Test
     void decisionModuleHasCode() throws IOException {
-        long lines = Files.readAllLines(Path.of("src/main/java/rowanmoor/Logic.java")).stream()
+        long lines = Files.readAllLines(Path.of("src/main/java/rowanmoor/RoutingPolicy.java")).stream()
                 .filter(line -> !line.isBlank()).count();
         assertTrue(lines > 0, "Logic.java has " + lines + " non-blank lines");
     }
@@ -37,7 +37,7 @@
     @Test
     void thePolicyFileNamedForDeploymentIsTheDecisionModule() throws IOException {
         assertEquals(1, Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
-                .filter(line -> line.startsWith("policy = [\"src/main/java/rowanmoor/Logic.java\"]"))
+                .filter(line -> line.startsWith("policy = [\"src/main/java/rowanmoor/RoutingPolicy.java\"]"))
                         .count());
     }
 }
--- a/src/test/java/rowanmoor/LogicTest.java
+++ b/src/test/java/rowanmoor/LogicTest.java
@@ -219,7 +219,7 @@
             Retry.ONCE_UNRUN};
         for (int step = 0; step < expected.length; step++) {
             for (int i = 0; i < 10; i++) { // one backend in ten brings all of it: no overload
-                stand.logic.on(stand.now, new Tally(Stand.backend(i), 0, 100, i == 0 ? 10 * failedOf100[step] : 0,
+                stand.logic.handle(stand.now, new Tally(Stand.backend(i), 0, 100, i == 0 ? 10 * failedOf100[step] : 0,
                         latency[step] * MS, SECOND, List.of()));
             }
             stand.second();
@@ -333,8 +333,8 @@
 
     @Test
     void anEvenLevelFillsThePartAmongUnequalProxies() {
-        assertEquals(30, Logic.evenLevel(new double[] {10, 10, 80}, 50), 1e-9);
-        assertEquals(20, Logic.evenLevel(new double[] {30, 30, 30}, 60), 1e-9);
+        assertEquals(30, RoutingPolicy.evenLevel(new double[] {10, 10, 80}, 50), 1e-9);
+        assertEquals(20, RoutingPolicy.evenLevel(new double[] {30, 30, 30}, 60), 1e-9);
     }
 
     @Test
@@ -368,7 +368,7 @@
                 }
                 long latency = i < 5 ? 100 * MS : 700 * MS;
                 for (int b = 0; b < 4; b++) {
-                    used.logic.on(used.now, new ControlApi.Tally(Stand.backend(b), b % 2, 10, i < 5 ? 0 : 1,
+                    used.logic.handle(used.now, new ControlApi.Tally(Stand.backend(b), b % 2, 10, i < 5 ? 0 : 1,
                             latency, SECOND, List.of(busy)));
                 }
                 used.second();
@@ -387,7 +387,7 @@
             }
             double busy = i < 5 ? 0.6 : 1;
             for (int b = 0; b < 4; b++) {
-                used.logic.on(used.now, new ControlApi.Tally(Stand.backend(b), b % 2, 10, 0, 100 * MS, SECOND,
+                used.logic.handle(used.now, new ControlApi.Tally(Stand.backend(b), b % 2, 10, 0, 100 * MS, SECOND,
                         List.of(busy)));
             }
             used.second();
@@ -410,7 +410,7 @@
                 for (int proxy = 0; proxy < 4; proxy++) {
                     stand.usage(proxy, b % 2, 2);
                 }
-                stand.logic.on(stand.now, new ControlApi.Tally(Stand.backend(b), 0, 4, i < 5 ? 0 : 1,
+                stand.logic.handle(stand.now, new ControlApi.Tally(Stand.backend(b), 0, 4, i < 5 ? 0 : 1,
                         100 * MS, SECOND, List.of()));
             }
             stand.second();
@@ -569,7 +569,7 @@
         stand.start(4, 4);
         calm(8);
         for (int i = 0; i < 10; i++) { // then hardly anybody asks
-            stand.logic.on(stand.now, new ControlApi.Tally(Stand.backend(0), 0, 1, 0, 100 * MS, SECOND, List.of()));
+            stand.logic.handle(stand.now, new ControlApi.Tally(Stand.backend(0), 0, 1, 0, 100 * MS, SECOND, List.of()));
             stand.second();
         }
         round(2, 8, 700 * MS);
@@ -594,7 +594,7 @@
             for (int zone = 0; zone < 2; zone++) {
                 for (int b = 0; b < 8; b++) {
                     int failed = failedOfTwo.applyAsInt(b, zone);
-                    thin.logic.on(thin.now, new Tally(Stand.backend(b), zone, 2, failed,
+                    thin.logic.handle(thin.now, new Tally(Stand.backend(b), zone, 2, failed,
                             failed == 2 ? 0 : 100 * MS, SECOND, List.of()));
                 }
             }
@@ -627,7 +627,7 @@
             }
             for (int zone = 0; zone < 2; zone++) {
                 for (int b = 0; b < 8; b++) {
-                    stand.logic.on(stand.now, new Tally(Stand.backend(b), zone, per[0], per[1],
+                    stand.logic.handle(stand.now, new Tally(Stand.backend(b), zone, per[0], per[1],
                             100 * MS, SECOND, List.of()));
                 }
             }
--- a/src/test/java/rowanmoor/Stand.java
+++ b/src/test/java/rowanmoor/Stand.java
@@ -26,7 +26,7 @@
 final class Stand {
 
     final Settings settings;
-    final Logic logic;
+    final RoutingPolicy logic;
     long now = 1000 * TestSettings.SECOND;
     final List<Action> all = new ArrayList<>();
     final Map<Integer, Map<Backend, Double>> tables = new HashMap<>();
@@ -38,7 +38,7 @@
 
     Stand(Settings settings) {
         this.settings = settings;
-        this.logic = new Logic(settings, 7);
+        this.logic = new RoutingPolicy(settings, 7);
     }
 
     static Backend backend(int i) {
@@ -66,7 +66,7 @@
     Stand startAtOnce(int backendCount, int proxyCount) {
         start(backendCount, 0);
         for (int p = 0; p < proxyCount; p++) {
-            logic.on(now, new ProxyJoined(p, p % 2, 20, true));
+            logic.handle(now, new ProxyJoined(p, p % 2, 20, true));
         }
         decide();
         return this;
@@ -74,7 +74,7 @@
 
     List<Action> hear(Event... events) {
         for (Event event : events) {
-            logic.on(now, event);
+            logic.handle(now, event);
         }
         return decide();
     }
@@ -172,7 +172,7 @@
     /** A second passes: marks are answered. */
     void second() {
         last.stream().filter(Mark.class::isInstance).map(Mark.class::cast)
-                .forEach(m -> logic.on(now, new Applied(0, m.number(), TestSettings.SECOND / 5)));
+                .forEach(m -> logic.handle(now, new Applied(0, m.number(), TestSettings.SECOND / 5)));
         now += TestSettings.SECOND;
         decide();
     }
@@ -182,7 +182,7 @@
             java.util.function.IntToLongFunction latency) {
         for (int zone = 0; zone < zones; zone++) {
             for (int i = 0; i < backends; i++) {
-                logic.on(now, new Tally(backend(i), zone, 10, failedOf10.applyAsLong(i),
+                logic.handle(now, new Tally(backend(i), zone, 10, failedOf10.applyAsLong(i),
                         latency.applyAsLong(i),
                         TestSettings.SECOND, List.of()));
             }
@@ -191,6 +191,6 @@
     }
 
     void usage(int proxy, int cls, int requests) {
-        logic.on(now, new Usage(proxy, cls, requests, 0, TestSettings.SECOND));
+        logic.handle(now, new Usage(proxy, cls, requests, 0, TestSettings.SECOND));
     }
 }
