--- a/src/main/java/rowanmoor/emulator/Emulator.java
+++ b/src/main/java/rowanmoor/emulator/Emulator.java
@@ -431,9 +431,9 @@
         }
         if (out[request]) {
             cancelTry(request);
-            routers[proxy[request]].done(backends[backend[request]], true, now); // counts for nothing
+            routers[proxy[request]].onTryEnded(backends[backend[request]], true, now); // counts for nothing
         }
-        tallies[proxy[request]].unanswered(cls[request]);
+        tallies[proxy[request]].onUnanswered(cls[request]);
         tryFailed(request, false);
     }
 
@@ -456,8 +456,8 @@
         if (tryStamp[request] == its && out[request] && tryEnds[request] == now) {
             cancelTry(request);
             Backend tried = backends[backend[request]];
-            routers[proxy[request]].done(tried, false, now);
-            tallies[proxy[request]].tried(tried, false, now - sentAt[request], List.of());
+            routers[proxy[request]].onTryEnded(tried, false, now);
+            tallies[proxy[request]].onTryEnded(tried, false, now - sentAt[request], List.of());
             followOn(request, false, false);
         }
     }
@@ -491,8 +491,8 @@
         int p = proxy[request];
         int c = cls[request];
         if (proxyTries[request] == 0) {
-            tallies[p].came(c);
-            if (!routers[p].admits(c, now)) {
+            tallies[p].onRequest(c);
+            if (!routers[p].tryAdmit(c, now)) {
                 outcome.classes().get(c).byLevel++;
                 tryFailed(request, true);
                 return;
@@ -501,7 +501,7 @@
         Backend picked = routers[p].pick(c, tried(request), now);
         if (picked == null) {
             outcome.classes().get(c).noLine++;
-            tallies[p].unanswered(c);
+            tallies[p].onUnanswered(c);
             tryFailed(request, true);
             return;
         }
@@ -510,9 +510,9 @@
         proxyTries[request]++;
         sentAt[request] = now;
         out[request] = true;
-        routers[p].sent(picked);
+        routers[p].onTrySent(picked);
         int mine = ++tryStamp[request];
-        long within = routers[p].tryWithin(c);
+        long within = routers[p].tryTimeoutNs(c);
         if (within > 0) {
             tryEnds[request] = now + within;
             agenda.add(now + within, TRY_OUT, request, mine);
@@ -588,8 +588,8 @@
         int p = proxy[request];
         int b = backend[request];
         out[request] = false;
-        routers[p].done(backends[b], well, now);
-        tallies[p].tried(backends[b], well, now - sentAt[request], List.of());
+        routers[p].onTryEnded(backends[b], well, now);
+        tallies[p].onTryEnded(backends[b], well, now - sentAt[request], List.of());
         if (connected[request]) {
             disconnect(p, b, kept);
         }
@@ -629,13 +629,13 @@
 
     private void followOn(int request, boolean neverRan, boolean toldSo) {
         long left = arrivedAt[request] + model.site().classes().get(cls[request]).deadline() - now;
-        if (routers[proxy[request]].mayFollow(cls[request], proxyTries[request], neverRan, left)) {
+        if (routers[proxy[request]].mayRetry(cls[request], proxyTries[request], neverRan, left)) {
             triedLast[request] = backend[request];
             triedFirst[request] = triedFirst[request] < 0 ? backend[request] : triedFirst[request];
             jobOf[request] = -1;
             atProxy(request, stamp[request]);
         } else {
-            tallies[proxy[request]].unanswered(cls[request]);
+            tallies[proxy[request]].onUnanswered(cls[request]);
             tryFailed(request, toldSo);
         }
     }
@@ -643,7 +643,7 @@
     private void report(int p) {
         int c = joinedTo[p];
         if (c >= 0 && !cut[p]) {
-            Frame.Report report = tallies[p].report(now);
+            Frame.Report report = tallies[p].takeReport(now);
             if (!report.tallies().isEmpty() || !report.uses().isEmpty()) {
                 agenda.add(now + model.sameZone(), HEARD, p, parcel(withLoad(report)));
             }
@@ -908,8 +908,8 @@
         joinedTo[p] = rank;
         stream[p]++;
         lastMessage[p] = now;
-        boolean fresh = routers[p].fresh();
-        routers[p].streamBegins();
+        boolean fresh = routers[p].hasOnlyStandingTable();
+        routers[p].onStreamOpened();
         double rate = model.rate() * model.proxyWeights()[p] / proxySums[proxySums.length - 1];
         drivers[rank].joined(now, new Frame.Hello(Frame.PROTOCOL, p, p, model.proxyZones()[p], rate, fresh,
                 routers[p].epoch(), routers[p].version(), "p"));
@@ -922,9 +922,9 @@
             return; // lost with its stream
         }
         if (sent.frame() instanceof Frame.Snapshot snapshot) {
-            routers[p].heed(snapshot);
+            routers[p].apply(snapshot);
         } else if (sent.frame() instanceof Frame.Update update
-                && routers[p].heed(update) == Router.Heed.DONE) {
+                && routers[p].apply(update) == Router.UpdateResult.APPLIED) {
             if (idle != null) {
                 dropIdle(p); // connections to backends that no table names any more are closed at once
             }
--- a/src/main/java/rowanmoor/http/ServerStream.java
+++ b/src/main/java/rowanmoor/http/ServerStream.java
@@ -15,7 +15,7 @@
  * ends its bytes while its request is in work has given up.
  *
  * <p>A connection without a request in work is never just closed, since a request may be on its way: it ends
- * with a 408 that names {@link #NEVER_RAN}, and what comes after that is read and dropped (RFC 9110, 15.5.9).
+ * with a 408 that names {@link #NEVER_RAN_FIELD}, and what comes after that is read and dropped (RFC 9110, 15.5.9).
  */
 public class ServerStream implements Handler {
 
--- a/src/main/java/rowanmoor/lab/Ground.java
+++ b/src/main/java/rowanmoor/lab/Ground.java
@@ -22,7 +22,7 @@
 import rowanmoor.discovery.Addresses;
 import rowanmoor.emulator.Outcome;
 import rowanmoor.net.Loop;
-import rowanmoor.proxy.Conduct;
+import rowanmoor.proxy.ForwardingPolicy;
 import rowanmoor.proxy.ProxyConfig;
 import rowanmoor.standin.BackendModel;
 import rowanmoor.standin.BackendServer;
@@ -141,7 +141,7 @@
                     day.rate() * proxyWeightsMilli[p] / sum, anyPort(), zoneAddress(zone, p),
                     its.stream().map(Link::address).toList(), p / zones % its.size(), 300 * MILLI, 3 * SECOND,
                     first.stream().map(Addresses::toSocketAddress).toList(), 15 * SECOND, 250 * MILLI, 4096,
-                            Conduct.usual()));
+                            ForwardingPolicy.defaults()));
         }
         return proxyHost.start(configs, standing, random.nextLong());
     }
--- a/src/main/java/rowanmoor/lab/ProxyLoad.java
+++ b/src/main/java/rowanmoor/lab/ProxyLoad.java
@@ -26,7 +26,7 @@
 import rowanmoor.net.Close;
 import rowanmoor.net.Connection;
 import rowanmoor.net.Loop;
-import rowanmoor.proxy.Conduct;
+import rowanmoor.proxy.ForwardingPolicy;
 import rowanmoor.proxy.Proxy;
 import rowanmoor.proxy.ProxyConfig;
 import rowanmoor.proxy.Router;
@@ -115,10 +115,10 @@
                 """));
         ProxyConfig config = new ProxyConfig(site, 0, "measured", 0, 10, ANY, null, List.of(backends.get(0)),
                 0,
-                60 * SECOND, 60 * SECOND, backends, 15 * SECOND, SECOND, 1 << 16, Conduct.usual());
+                60 * SECOND, 60 * SECOND, backends, 15 * SECOND, SECOND, 1 << 16, ForwardingPolicy.defaults());
         SplittableRandom random = new SplittableRandom(1);
         Router router = new Router(site, List.of(), random, middle.now());
-        router.heed(new Frame.Snapshot(1, 0, 0, 0, List.of(new Frame.Table(0, table(), List.of())),
+        router.apply(new Frame.Snapshot(1, 0, 0, 0, List.of(new Frame.Table(0, table(), List.of())),
                 List.of(new Frame.Binding(0, 0)), List.of(), List.of()));
         proxy = new Proxy(config, middle, router, random, Tap.NONE);
         for (Loop loop : List.of(far, middle, near)) {
--- a/src/main/java/rowanmoor/lab/ProxyProcesses.java
+++ b/src/main/java/rowanmoor/lab/ProxyProcesses.java
@@ -86,8 +86,8 @@
                     first-controller %d
                     standing %s
                 }
-                """.formatted(c.number(), c.name(), c.site().zones().get(c.zone()), c.rate(), text(c.from()),
-                texts(c.controllers()), c.firstController(), texts(c.standing()));
+                """.formatted(c.number(), c.name(), c.site().zones().get(c.zone()), c.requestsPerSecond(), text(c.localAddress()),
+                texts(c.controllers()), c.firstController(), texts(c.standingBackends()));
     }
 
     private static String text(InetSocketAddress at) {
--- a/src/main/java/rowanmoor/proxy/ChannelClient.java
+++ b/src/main/java/rowanmoor/proxy/ChannelClient.java
@@ -58,7 +58,7 @@
         this.reports = reports;
         this.reportsChanged = reportsChanged;
         this.incarnation = random.nextLong();
-        this.redial = new Redial(config.controllers().size(), config.firstController(), config.redial(),
+        this.redial = new Redial(config.controllers().size(), config.firstController(), config.redialWaitNs(),
                 random);
     }
 
@@ -69,8 +69,8 @@
         calling = redial.controller();
         protocol = oldControllers.contains(calling) ? Frame.OLDEST_PROTOCOL : Frame.PROTOCOL;
         InetSocketAddress to = config.controllers().get(calling);
-        connection = loop.connect(config.from(), to, Connection.Options.usual()
-                .connectWithin(config.silentAfter()).idleAfter(config.silentAfter()), this);
+        connection = loop.connect(config.localAddress(), to, Connection.Options.usual()
+                .connectWithin(config.controllerTimeoutNs()).idleAfter(config.controllerTimeoutNs()), this);
     }
 
     void stop() {
@@ -114,19 +114,19 @@
     public void opened(Connection its) {
         tap.opened(config.number(), ++streams, loop.now());
         reader = new FrameReader(ChannelLimits.usual());
-        boolean fresh = router.fresh();
-        router.streamBegins();
+        boolean fresh = router.hasOnlyStandingTable();
+        router.onStreamOpened();
         unasked = false;
         reports.streamBegins();
-        send(new Frame.Hello(protocol, config.number(), incarnation, config.zone(), config.rate(), fresh,
+        send(new Frame.Hello(protocol, config.number(), incarnation, config.zone(), config.requestsPerSecond(), fresh,
                 router.epoch(), router.version(), config.name()));
-        firstSnapshot = loop.after(config.silentAfter(), () ->
+        firstSnapshot = loop.after(config.controllerTimeoutNs(), () ->
                 connection.close(Close.IDLE, "no snapshot after the hello"));
     }
 
     @Override
     public void received(Connection its, ByteBuffer bytes) {
-        router.heard(loop.now());
+        router.onControllerMessage(loop.now());
         tap.read(config.number(), streams, loop.now(), bytes.duplicate());
         try {
             while (bytes.hasRemaining() && connection.isOpen()) {
@@ -144,7 +144,7 @@
 
     private void take(Frame frame) throws ChannelError {
         if (frame instanceof Frame.Snapshot snapshot) {
-            router.heed(snapshot);
+            router.apply(snapshot);
             if (!up) {
                 up = true;
                 hasBeenUp = true;
@@ -183,9 +183,9 @@
     }
 
     private void lookHomeLater() {
-        if (config.conduct().homeAfter() > 0 && !redial.atHome() && !stopped) {
+        if (config.policy().rehomeIntervalNs() > 0 && !redial.atHome() && !stopped) {
             int its = streams;
-            loop.after(redial.lookAfter(config.conduct().homeAfter()), () -> {
+            loop.after(redial.lookAfter(config.policy().rehomeIntervalNs()), () -> {
                 if (up && its == streams) {
                     lookHome();
                 }
@@ -198,7 +198,7 @@
         InetSocketAddress home = config.controllers().get(config.firstController()
                 % config.controllers().size());
         int its = streams;
-        loop.connect(config.from(), home, Connection.Options.usual().connectWithin(config.silentAfter()),
+        loop.connect(config.localAddress(), home, Connection.Options.usual().connectWithin(config.controllerTimeoutNs()),
                 new Handler() {
                     @Override
                     public void opened(Connection made) {
@@ -229,14 +229,14 @@
     }
 
     private void take(Frame.Update update) {
-        Router.Heed heed = router.heed(update);
-        if (heed == Router.Heed.GAP) {
+        Router.UpdateResult heed = router.apply(update);
+        if (heed == Router.UpdateResult.GAP) {
             LOG.warn("proxy {}: version {}/{} does not follow on {}/{}", config.number(), update.epoch(),
                     update.version(), router.epoch(), router.version());
             askAnew();
-        } else if (heed == Router.Heed.SKIPPED && unasked) {
+        } else if (heed == Router.UpdateResult.SKIPPED && unasked) {
             askAnew();
-        } else if (heed == Router.Heed.DONE) {
+        } else if (heed == Router.UpdateResult.APPLIED) {
             for (Frame.Order order : update.orders()) {
                 if (order instanceof Frame.Mark mark) {
                     send(new Frame.Applied(update.epoch(), update.version(), mark.number()));
--- a/src/main/java/rowanmoor/proxy/Forward.java
+++ b/src/main/java/rowanmoor/proxy/Forward.java
@@ -78,11 +78,11 @@
             return;
         }
         tried.add(backend);
-        proxy.router().sent(backend);
+        proxy.router().onTrySent(backend);
         sentAt = proxy.now();
         stream = proxy.connection(backend);
         if (stream == null) { // this proxy's own bound: not held against the backend
-            proxy.router().gaveUp(backend);
+            proxy.router().onTryAbandoned(backend);
             backend = null;
             if (mayFollow(true)) {
                 tryOne();
@@ -91,7 +91,7 @@
             }
             return;
         }
-        long within = proxy.router().tryWithin(cls);
+        long within = proxy.router().tryTimeoutNs(cls);
         if (within > 0) {
             tryPatience = proxy.loop().after(within, () -> {
                 endTry(false, true);
@@ -114,8 +114,8 @@
 
     /** Asked in this order, for what lets a try follow may spend a credit: none without another backend. */
     private boolean mayFollow(boolean neverRan) {
-        return canRepeat() && proxy.router().hasOther(cls, tried)
-                && proxy.router().mayFollow(cls, tried.size(), neverRan, deadline - proxy.now());
+        return canRepeat() && proxy.router().hasUntriedBackend(cls, tried)
+                && proxy.router().mayRetry(cls, tried.size(), neverRan, deadline - proxy.now());
     }
 
     private void follow(boolean neverRan, String why) {
@@ -140,8 +140,8 @@
         }
         Backend its = backend;
         backend = null;
-        proxy.router().done(its, itsGood, proxy.now());
-        proxy.tallies().tried(its, itsGood, proxy.now() - sentAt, load);
+        proxy.router().onTryEnded(its, itsGood, proxy.now());
+        proxy.tallies().onTryEnded(its, itsGood, proxy.now() - sentAt, load);
         load = List.of();
         if (cancel && stream != null) {
             ClientStream left = stream;
@@ -154,7 +154,7 @@
     private void finish(int status, String why) {
         if (!over) {
             over();
-            proxy.tallies().unanswered(cls);
+            proxy.tallies().onUnanswered(cls);
             if (exchange.begun()) {
                 exchange.breakOff();
             } else {
@@ -177,7 +177,7 @@
         }
         over();
         leaveTry();
-        proxy.tallies().unanswered(cls);
+        proxy.tallies().onUnanswered(cls);
     }
 
     /** The proxy stops: the client gets an answer, unless one has begun, which breaks off. */
@@ -200,15 +200,15 @@
             left.cancel();
         }
         if (backend != null) {
-            proxy.router().gaveUp(backend);
+            proxy.router().onTryAbandoned(backend);
             backend = null;
         }
     }
 
     /** Looks whether it stands still or has taken too long; called now and then. */
     void watch(long now) {
-        boolean still = now - movedAt > proxy.conduct().idleWithin();
-        if (begun && (still || now - begunAt > proxy.conduct().wholeWithin())) {
+        boolean still = now - movedAt > proxy.conduct().stallTimeoutNs();
+        if (begun && (still || now - begunAt > proxy.conduct().responseTimeoutNs())) {
             endTry(false, true);
             finish(504, "stands still");
         }
@@ -223,7 +223,7 @@
             return;
         }
         if (held != null) {
-            if (heldBytes + bytes.remaining() <= proxy.conduct().holdMost()) {
+            if (heldBytes + bytes.remaining() <= proxy.conduct().maxReplayBytes()) {
                 heldBytes += bytes.remaining();
                 held.add(ByteBuffer.allocate(bytes.remaining()).put(bytes.duplicate()).flip());
             } else {
@@ -254,7 +254,7 @@
     public void head(Part.ResponseHead head) {
         movedAt = proxy.now();
         boolean unrun = (head.status() == 503 || head.status() == 408)
-                && head.fields().get(Proxy.NEVER_RAN) != null;
+                && head.fields().get(Proxy.NEVER_RAN_FIELD) != null;
         good = head.status() < 500 && !unrun;
         load = proxy.columns().parse(head.fields().get(Orca.FIELD));
         if (!good && mayFollow(unrun)) {
@@ -319,7 +319,7 @@
         if (!over) {
             over();
             if (!good) {
-                proxy.tallies().unanswered(cls);
+                proxy.tallies().onUnanswered(cls);
             }
             exchange.end(trailers);
         }
--- a/src/main/java/rowanmoor/proxy/Conduct.java
+++ b/src/main/java/rowanmoor/proxy/ForwardingPolicy.java
@@ -25,34 +25,34 @@
  * @param homeAfter joined to another controller than its first, it looks for that one about so often, and
  *     moves back; 0 to stay
  */
-public record Conduct(long headWithin, long idleWithin, long wholeWithin, int holdMost, int perBackendMost,
-        int idleMost, int inflightMost, int perClientMost, double retryBudget, int refusal, int retryAfter,
-        long lease, double safeLevel, String deadlineField, long stopWithin, long homeAfter) {
+public record ForwardingPolicy(long headTimeoutNs, long stallTimeoutNs, long responseTimeoutNs, int maxReplayBytes, int maxConnectionsPerBackend,
+        int maxIdlePerBackend, int maxRequestsInFlight, int maxConnectionsPerClient, double retryBudget, int refusalStatus, int retryAfterSeconds,
+        long leaseNs, double safeLevel, String deadlineField, long stopTimeoutNs, long rehomeIntervalNs) {
 
     private static final long SECOND = 1_000_000_000L;
 
-    public static Conduct usual() {
-        return new Conduct(10 * SECOND, 30 * SECOND, 300 * SECOND, 1 << 16, 1024, 256, 4096, 1 << 20, 1, 503,
+    public static ForwardingPolicy defaults() {
+        return new ForwardingPolicy(10 * SECOND, 30 * SECOND, 300 * SECOND, 1 << 16, 1024, 256, 4096, 1 << 20, 1, 503,
                 1, 30 * SECOND, -1, "x-deadline-ms", 10 * SECOND, 0);
     }
 
     /** Reads the block's own keys; what is left out is as usual. */
-    static Conduct of(Section p) {
-        Conduct u = usual();
-        int refusal = p.whole("refusal", 429, 503, u.refusal);
+    static ForwardingPolicy of(Section p) {
+        ForwardingPolicy u = defaults();
+        int refusal = p.whole("refusal", 429, 503, u.refusalStatus);
         if (refusal != 429 && refusal != 503) {
             p.problem("refusal", "is 429 or 503");
         }
-        return new Conduct(p.duration("head-within", "10ms", "1h", "10s"),
+        return new ForwardingPolicy(p.duration("head-within", "10ms", "1h", "10s"),
                 p.duration("move-within", "10ms", "1h", "30s"),
                 p.duration("whole-within", "10ms", "24h", "300s"),
-                p.whole("hold-most", 0, 1 << 30, u.holdMost),
-                p.whole("per-backend-most", 1, 1 << 20, u.perBackendMost),
-                p.whole("idle-most", 0, 1 << 20, u.idleMost),
-                p.whole("inflight-most", 1, 1 << 24, u.inflightMost),
-                p.whole("per-client-most", 1, 1 << 20, u.perClientMost),
+                p.whole("hold-most", 0, 1 << 30, u.maxReplayBytes),
+                p.whole("per-backend-most", 1, 1 << 20, u.maxConnectionsPerBackend),
+                p.whole("idle-most", 0, 1 << 20, u.maxIdlePerBackend),
+                p.whole("inflight-most", 1, 1 << 24, u.maxRequestsInFlight),
+                p.whole("per-client-most", 1, 1 << 20, u.maxConnectionsPerClient),
                 p.number("retry-budget", 0, 100, u.retryBudget), refusal,
-                p.whole("retry-after", 0, 3600, u.retryAfter),
+                p.whole("retry-after", 0, 3600, u.retryAfterSeconds),
                 p.duration("lease", "100ms", "24h", "30s"),
                 p.has("safe-level") ? p.number("safe-level", 0, 1e9) : u.safeLevel,
                 p.text("deadline-field", u.deadlineField),
--- a/src/main/java/rowanmoor/proxy/Proxy.java
+++ b/src/main/java/rowanmoor/proxy/Proxy.java
@@ -33,13 +33,13 @@
 public final class Proxy implements ServerStream.Service {
 
     /** Set by a backend on a refusal: proof that it did nothing for this request. */
-    public static final String NEVER_RAN = ServerStream.NEVER_RAN;
+    public static final String NEVER_RAN_FIELD = ServerStream.NEVER_RAN;
     /** Says, on what a proxy answers itself, why. */
-    public static final String REASON = "x-rowanmoor";
+    public static final String REASON_FIELD = "x-rowanmoor";
     /** Names the proxy in what it sends to backends. */
-    public static final String VIA = "x-rowanmoor-proxy";
+    public static final String PROXY_NUMBER_FIELD = "x-rowanmoor-proxy";
     /** Names a request through all its tries; made here if the client names none. */
-    public static final String ID = "x-request-id";
+    public static final String REQUEST_ID_FIELD = "x-request-id";
 
     private static final List<String> HOP_BY_HOP = List.of("connection", "keep-alive", "proxy-connection",
             "te", "transfer-encoding", "upgrade", "content-length");
@@ -85,14 +85,14 @@
         this.tallies = new Tallies(loop.now());
         this.reports = new ReportQueue(tallies);
         this.columns = new LoadColumns(config.site().columns());
-        this.pool = new Pool<>(new Ways(), conduct().perBackendMost(), conduct().idleMost());
+        this.pool = new Pool<>(new Ways(), conduct().maxConnectionsPerBackend(), conduct().maxIdlePerBackend());
         this.idStem = config.number() + "-" + Long.toHexString(random.nextLong()) + "-";
         this.listener = loop.listen(config.listen(), ServerStream.options(), this::accept);
         this.channel = new ChannelClient(loop, config, router, reports, random, tap,
                 () -> pool.closeIdle(router::uses), this::leaveIfReported);
         // Proxies started together must not report together for good.
         loop.after((long) (config.site().period() * random.nextDouble()), this::report);
-        loop.after(config.idleFor() / 4 + 1, this::closeOld);
+        loop.after(config.backendIdleTimeoutNs() / 4 + 1, this::closeOld);
         loop.after(WATCH_EVERY, this::watch);
         channel.call();
     }
@@ -100,8 +100,8 @@
     /** A proxy with a router of its own. */
     public static Proxy start(ProxyConfig config, Loop loop, RandomGenerator random, Tap tap)
             throws IOException {
-        Router router = new Router(config.site(), config.conduct(),
-                config.standing().stream().map(Addresses::toBackend).toList(),
+        Router router = new Router(config.site(), config.policy(),
+                config.standingBackends().stream().map(Addresses::toBackend).toList(),
                 random, loop.now());
         return new Proxy(config, loop, router, random, tap);
     }
@@ -133,27 +133,27 @@
     }
 
     /** Whether its stream is up. */
-    public boolean joined() {
+    public boolean isJoined() {
         return channel.up();
     }
 
     /** Epoch and version of what it holds. */
-    public String held() {
+    public String epochAndVersion() {
         return router.epoch() + "/" + router.version();
     }
 
     /** Requests in work. */
-    public int inflight() {
+    public int requestsInFlight() {
         return working.size();
     }
 
     /** Connections to backends, idle and in use. */
-    public int connections() {
+    public int backendConnections() {
         return pool.open();
     }
 
     /** Connections of clients. */
-    public int clients() {
+    public int clientConnections() {
         return clients.size();
     }
 
@@ -170,7 +170,7 @@
         stopping = true;
         stopped = then;
         listener.close();
-        long within = conduct().stopWithin();
+        long within = conduct().stopTimeoutNs();
         long idleWithin = Math.min(STOP_IDLE, within / 4);
         List.copyOf(clients).forEach(c -> c.stop(idleWithin));
         loop.after(within - Math.min(STOP_LAST_ANSWERS, within / 2), this::answerTheRest);
@@ -191,7 +191,7 @@
     }
 
     private long lastReportWithin() {
-        return Math.min(STOP_LAST_REPORT, conduct().stopWithin() / 4);
+        return Math.min(STOP_LAST_REPORT, conduct().stopTimeoutNs() / 4);
     }
 
     /** No request is in work any more: what was counted is told, and must have been taken. */
@@ -240,8 +240,8 @@
         return tallies;
     }
 
-    Conduct conduct() {
-        return config.conduct();
+    ForwardingPolicy conduct() {
+        return config.policy();
     }
 
     LoadColumns columns() {
@@ -255,8 +255,8 @@
             return kept;
         }
         pool.opened(backend);
-        return ClientStream.open(loop, config.from(), Addresses.toSocketAddress(backend),
-                ServerStream.options().connectWithin(config.connectWithin()), limits,
+        return ClientStream.open(loop, config.localAddress(), Addresses.toSocketAddress(backend),
+                ServerStream.options().connectWithin(config.connectTimeoutNs()), limits,
                 gone -> pool.gone(backend, gone));
     }
 
@@ -275,16 +275,16 @@
 
     /** An answer of the proxy's own. */
     void own(ServerStream.Exchange exchange, int status, String why) {
-        exchange.answer(status, why + "\n", REASON, why, "Content-Type", "text/plain");
+        exchange.answer(status, why + "\n", REASON_FIELD, why, "Content-Type", "text/plain");
     }
 
     Part.RequestHead forwarded(Part.RequestHead head, Backend backend, long left) {
         Fields fields = endToEnd(head.fields());
         fields.set("Host", backend.toString());
-        fields.set(VIA, Integer.toString(config.number()));
+        fields.set(PROXY_NUMBER_FIELD, Integer.toString(config.number()));
         fields.add("Via", "1." + head.minor() + " " + config.name());
-        if (fields.get(ID) == null) {
-            fields.set(ID, idStem + ++ids);
+        if (fields.get(REQUEST_ID_FIELD) == null) {
+            fields.set(REQUEST_ID_FIELD, idStem + ++ids);
         }
         fields.set(conduct().deadlineField(), Long.toString(Math.max(1, left / MILLI)));
         return new Part.RequestHead(head.method(), head.target(), 1, fields, head.length());
@@ -316,12 +316,12 @@
     private Handler accept(Connection connection) {
         InetAddress from = connection.remote().getAddress();
         int its = byAddress.getOrDefault(from, 0);
-        if (clients.size() >= config.connectionsMost() || its >= conduct().perClientMost()) {
+        if (clients.size() >= config.maxClientConnections() || its >= conduct().maxConnectionsPerClient()) {
             return turnedAway < TURNED_AWAY_MOST ? new TurnedAway() : null;
         }
         byAddress.put(from, its + 1);
-        ServerStream.Patience patience = new ServerStream.Patience(conduct().headWithin(),
-                IDLE_TIMES * config.idleFor());
+        ServerStream.Patience patience = new ServerStream.Patience(conduct().headTimeoutNs(),
+                IDLE_TIMES * config.backendIdleTimeoutNs());
         ServerStream stream = new ServerStream(loop, limits, patience, this) {
             @Override
             public void closed(Connection itsConnection, Close why, String detail) {
@@ -345,7 +345,7 @@
         @Override
         public void opened(Connection connection) {
             connection.send(Message.Response.of(503, "as many connections as may be\n", "Connection", "close",
-                    REASON, "as many connections as may be", NEVER_RAN, "1").encode(false));
+                    REASON_FIELD, "as many connections as may be", NEVER_RAN_FIELD, "1").encode(false));
             connection.end();
         }
 
@@ -366,7 +366,7 @@
             own(exchange, 404, "no class has this path");
             return;
         }
-        tallies.came(cls);
+        tallies.onRequest(cls);
         long within = config.site().classes().get(cls).deadline();
         String stated = head.fields().get(conduct().deadlineField());
         long millis = stated == null ? 0 : millis(stated);
@@ -375,11 +375,11 @@
             return;
         }
         within = stated == null ? within : Math.min(within, millis * MILLI);
-        if (working.size() >= conduct().inflightMost()) { // asked before its level, which would spend a token
+        if (working.size() >= conduct().maxRequestsInFlight()) { // asked before its level, which would spend a token
             refuse(exchange, "as many requests in work as may be");
             return;
         }
-        if (!router.admits(cls, loop.now())) {
+        if (!router.tryAdmit(cls, loop.now())) {
             refuse(exchange, "refused by its level");
             return;
         }
@@ -394,8 +394,8 @@
     }
 
     private void refuse(ServerStream.Exchange exchange, String why) {
-        exchange.answer(conduct().refusal(), why + "\n", REASON, why, "Content-Type", "text/plain",
-                "Retry-After", Integer.toString(conduct().retryAfter()));
+        exchange.answer(conduct().refusalStatus(), why + "\n", REASON_FIELD, why, "Content-Type", "text/plain",
+                "Retry-After", Integer.toString(conduct().retryAfterSeconds()));
     }
 
     @Override
@@ -414,8 +414,8 @@
     }
 
     private void closeOld() {
-        pool.closeOld(loop.now() - config.idleFor());
-        loop.after(config.idleFor() / 4 + 1, this::closeOld);
+        pool.closeOld(loop.now() - config.backendIdleTimeoutNs());
+        loop.after(config.backendIdleTimeoutNs() / 4 + 1, this::closeOld);
     }
 
     private void report() {
--- a/src/main/java/rowanmoor/proxy/ProxyConfig.java
+++ b/src/main/java/rowanmoor/proxy/ProxyConfig.java
@@ -12,20 +12,20 @@
  * One proxy: the {@code proxy} block beside a {@code site} block.
  *
  * @param number its number, one to a proxy of the site
- * @param rate requests a second that it usually gets
- * @param from local address of its connections, or null for any
+ * @param requestsPerSecond requests a second that it usually gets
+ * @param localAddress local address of its connections, or null for any
  * @param controllers their addresses; it calls them in turn, beginning with {@code firstController}
- * @param redial mean wait before the first call after a stream has ended, ns
- * @param silentAfter a stream on which nothing is heard for so long has broken, ns
- * @param standing backends used until a controller says otherwise
- * @param idleFor a connection to a backend that is not used for so long is closed, ns
- * @param connectionsMost connections of clients
- * @param connectWithin how long a backend may take to accept a connection, ns
+ * @param redialWaitNs mean wait before the first call after a stream has ended, ns
+ * @param controllerTimeoutNs a stream on which nothing is heard for so long has broken, ns
+ * @param standingBackends backends used until a controller says otherwise
+ * @param backendIdleTimeoutNs a connection to a backend that is not used for so long is closed, ns
+ * @param maxClientConnections connections of clients
+ * @param connectTimeoutNs how long a backend may take to accept a connection, ns
  */
-public record ProxyConfig(Site site, int number, String name, int zone, double rate, InetSocketAddress listen,
-        InetSocketAddress from, List<InetSocketAddress> controllers, int firstController, long redial,
-        long silentAfter, List<InetSocketAddress> standing, long idleFor, long connectWithin,
-        int connectionsMost, Conduct conduct) {
+public record ProxyConfig(Site site, int number, String name, int zone, double requestsPerSecond, InetSocketAddress listen,
+        InetSocketAddress localAddress, List<InetSocketAddress> controllers, int firstController, long redialWaitNs,
+        long controllerTimeoutNs, List<InetSocketAddress> standingBackends, long backendIdleTimeoutNs, long connectTimeoutNs,
+        int maxClientConnections, ForwardingPolicy policy) {
 
     /** All {@code proxy} blocks of a file; one process may run several. */
     public static List<ProxyConfig> read(Path file) throws ConfigError {
@@ -59,7 +59,7 @@
                 p.duration("silent-after", "200ms", "60s", "3s"), p.addresses("standing", true),
                 p.duration("idle-for", "100ms", "1h", "15s"),
                 p.duration("connect-within", "1ms", "60s", "250ms"),
-                p.whole("connections-most", 1, 1 << 20, 4096), Conduct.of(p));
+                p.whole("connections-most", 1, 1 << 20, 4096), ForwardingPolicy.of(p));
         p.finish();
         return config;
     }
--- a/src/main/java/rowanmoor/proxy/ReportQueue.java
+++ b/src/main/java/rowanmoor/proxy/ReportQueue.java
@@ -29,7 +29,7 @@
     /** Makes a report of what was counted since the last one, if there is anything and room for it. */
     void cut(long now) {
         if (unacknowledged.size() < UNACKNOWLEDGED_MOST) {
-            Frame.Report report = tallies.report(now);
+            Frame.Report report = tallies.takeReport(now);
             if (!report.tallies().isEmpty() || !report.uses().isEmpty()) {
                 unacknowledged.add(new Frame.NumberedReport(++lastNumber, report));
             }
--- a/src/main/java/rowanmoor/proxy/Router.java
+++ b/src/main/java/rowanmoor/proxy/Router.java
@@ -26,9 +26,9 @@
 public class Router {
 
     /** What became of a message. */
-    public enum Heed {
+    public enum UpdateResult {
         /** It is in force; its marks are to be answered. */
-        DONE,
+        APPLIED,
         /** It does not follow on what is held: a snapshot must be asked for. */
         GAP,
         /** A snapshot has been asked for, and this came before it. */
@@ -64,7 +64,7 @@
     }
 
     private final Site site;
-    private final Conduct conduct;
+    private final ForwardingPolicy conduct;
     private final RandomGenerator random;
     private final double[] levelBefore;
     private double budget;
@@ -85,11 +85,11 @@
 
     /** @param standingTable backends used, evenly, for every class until a controller says otherwise */
     public Router(Site site, Collection<Backend> standingTable, RandomGenerator random, long now) {
-        this(site, Conduct.usual(), standingTable, random, now);
+        this(site, ForwardingPolicy.defaults(), standingTable, random, now);
     }
 
     /** @param conduct its retry budget, lease and safe level count here */
-    public Router(Site site, Conduct conduct, Collection<Backend> standingTable, RandomGenerator random,
+    public Router(Site site, ForwardingPolicy conduct, Collection<Backend> standingTable, RandomGenerator random,
             long now) {
         this.conduct = conduct;
         this.budget = BUDGET_MOST;
@@ -114,14 +114,14 @@
     // ---- the stream ----------------------------------------------------------------------------------
 
     /** A stream has begun: nothing of it is in step before its snapshot. */
-    public void streamBegins() {
+    public void onStreamOpened() {
         inStep = false;
         bound = false;
         tables.clear();
     }
 
     /** Whether it still has only its standing table. */
-    public boolean fresh() {
+    public boolean hasOnlyStandingTable() {
         return Arrays.stream(held).allMatch(t -> t == standing);
     }
 
@@ -134,7 +134,7 @@
     }
 
     /** Takes a snapshot in. */
-    public void heed(Frame.Snapshot snapshot) {
+    public void apply(Frame.Snapshot snapshot) {
         Arrays.fill(choices, null);
         epoch = snapshot.epoch();
         version = snapshot.version();
@@ -154,19 +154,19 @@
     }
 
     /** Takes an update in, if it is the next one. */
-    public Heed heed(Frame.Update update) {
+    public UpdateResult apply(Frame.Update update) {
         if (!inStep) {
-            return Heed.SKIPPED;
+            return UpdateResult.SKIPPED;
         }
         if (update.epoch() != epoch || update.version() != version + 1) {
             inStep = false;
-            return Heed.GAP;
+            return UpdateResult.GAP;
         }
         version = update.version();
         Arrays.fill(choices, null);
-        update.orders().forEach(this::heed);
+        update.orders().forEach(this::apply);
         forget();
-        return Heed.DONE;
+        return UpdateResult.APPLIED;
     }
 
     /** What no table names any more, and no try is out to, is let go: machines are replaced for years. */
@@ -186,7 +186,7 @@
         return paths.size() + withdrawn.size();
     }
 
-    private void heed(Frame.Order order) {
+    private void apply(Frame.Order order) {
         if (order instanceof Frame.SetLine o) {
             setLine(tables.computeIfAbsent(o.table(), n -> new Table(held.length)), o.line());
         } else if (order instanceof Frame.Clear o) {
@@ -254,11 +254,11 @@
     // ---- choices -------------------------------------------------------------------------------------
 
     /** Whether a request of a class is let in now; one that is not must be refused at once. */
-    public boolean admits(int cls, long now) {
+    public boolean tryAdmit(int cls, long now) {
         double level = Double.POSITIVE_INFINITY;
         level = overall[cls] == null ? level : Math.min(level, overall[cls].level());
         level = held[cls].levels[cls] == null ? level : Math.min(level, held[cls].levels[cls].level());
-        if (conduct.safeLevel() >= 0 && now - heardAt > conduct.lease()) {
+        if (conduct.safeLevel() >= 0 && now - heardAt > conduct.leaseNs()) {
             return earned(within(cls, Math.min(rate(level), conduct.safeLevel()), now));
         }
         if (site.admission() == Admission.OFF || Double.isInfinite(level)) {
@@ -298,7 +298,7 @@
     }
 
     /** A controller was heard: levels and tables stand for another lease. */
-    public void heard(long now) {
+    public void onControllerMessage(long now) {
         heardAt = now;
     }
 
@@ -461,12 +461,12 @@
     }
 
     /** A try has gone out. */
-    public void sent(Backend backend) {
+    public void onTrySent(Backend backend) {
         path(backend).out++;
     }
 
     /** A try is over. After so many failures in a row the backend is shunned for some seconds. */
-    public void done(Backend backend, boolean good, long now) {
+    public void onTryEnded(Backend backend, boolean good, long now) {
         Path path = path(backend);
         path.out--;
         path.failedInARow = good ? 0 : path.failedInARow + 1;
@@ -477,17 +477,17 @@
     }
 
     /** A try was given up by its client, or never left this proxy: it says nothing of the backend. */
-    public void gaveUp(Backend backend) {
+    public void onTryAbandoned(Backend backend) {
         path(backend).out--;
     }
 
     /** Whether a class has a backend that was not tried. */
-    public boolean hasOther(int cls, Set<Backend> tried) {
+    public boolean hasUntriedBackend(int cls, Set<Backend> tried) {
         return Arrays.stream(choices(cls).backends).anyMatch(b -> !tried.contains(b));
     }
 
     /** Tries out to all backends. */
-    public int out() {
+    public int triesInFlight() {
         return paths.values().stream().mapToInt(p -> p.out).sum();
     }
 
@@ -495,10 +495,10 @@
      * Whether another try may follow a failed one: as the controller orders, or as usual where it has not,
      * and only with proof that the failed one never ran, unless the class is safe to repeat.
      */
-    public boolean mayFollow(int cls, int tries, boolean neverRan, long left) {
+    public boolean mayRetry(int cls, int tries, boolean neverRan, long left) {
         Frame.Level level = held[cls].levels[cls] == null ? overall[cls] : held[cls].levels[cls];
         Retry how = level == null ? site.usualRetry() : level.retry();
-        boolean safe = neverRan || repeatable(cls);
+        boolean safe = neverRan || isSafeToRepeat(cls);
         boolean ordered = switch (how) {
             case NEVER -> false;
             case ONCE_UNRUN -> tries == 1 && neverRan;
@@ -521,15 +521,15 @@
     }
 
     /** Whether a request that may have run may be sent again. */
-    protected boolean repeatable(int cls) {
+    protected boolean isSafeToRepeat(int cls) {
         return site.classes().get(cls).effect() == Effect.SAFE;
     }
 
     /** Nanoseconds a try may take when another might follow; 0 for no such bound. */
-    public long tryWithin(int cls) {
+    public long tryTimeoutNs(int cls) {
         Frame.Level level = held[cls].levels[cls] == null ? overall[cls] : held[cls].levels[cls];
         Retry how = level == null ? site.usualRetry() : level.retry();
-        boolean bounded = (how == Retry.ONCE || how == Retry.TWICE) && repeatable(cls);
+        boolean bounded = (how == Retry.ONCE || how == Retry.TWICE) && isSafeToRepeat(cls);
         return bounded ? (long) (site.tryAims() * site.classes().get(cls).aim()) : 0;
     }
 
--- a/src/main/java/rowanmoor/proxy/Tallies.java
+++ b/src/main/java/rowanmoor/proxy/Tallies.java
@@ -25,7 +25,7 @@
     }
 
     /** A try is over; {@code load} is what its answer said of the backend's load, or empty. */
-    public void tried(Backend backend, boolean good, long latency, List<Double> load) {
+    public void onTryEnded(Backend backend, boolean good, long latency, List<Double> load) {
         Sum sum = tries.computeIfAbsent(backend, b -> new Sum());
         sum.count++;
         sum.failed += good ? 0 : 1;
@@ -33,12 +33,12 @@
         sum.load = load.isEmpty() ? sum.load : load;
     }
 
-    public void came(int cls) {
+    public void onRequest(int cls) {
         uses.computeIfAbsent(cls, c -> new Sum()).count++;
     }
 
     /** A request that was let in got no answer. */
-    public void unanswered(int cls) {
+    public void onUnanswered(int cls) {
         uses.computeIfAbsent(cls, c -> new Sum()).failed++;
     }
 
@@ -48,7 +48,7 @@
     }
 
     /** All since the last report, which this ends; without entries if nothing came. */
-    public Frame.Report report(long now) {
+    public Frame.Report takeReport(long now) {
         long span = now - since;
         since = now;
         List<Frame.Tally> tallies = new ArrayList<>();
--- a/src/main/java/rowanmoor/standin/BackendServer.java
+++ b/src/main/java/rowanmoor/standin/BackendServer.java
@@ -189,7 +189,7 @@
         }
         double work = seconds(request.fields().get(WORK, "0"));
         String id = request.fields().get(ID, "?");
-        int proxy = (int) seconds(request.fields().get(Proxy.VIA, "-1"));
+        int proxy = (int) seconds(request.fields().get(Proxy.PROXY_NUMBER_FIELD, "-1"));
         Ledger.Entry entry = ledger.open(backend, id, request.path(), proxy, work, loop.now());
         if (failing > 0 && random.nextDouble() < failing) {
             entry.close(Ledger.End.FAILED, loop.now());
@@ -212,7 +212,7 @@
                 List.copyOf(working.values()).forEach(ServerConnection.Exchange::breakOff);
                 working.clear();
             }
-            exchange.answer(withLoad(503, "full\n", Proxy.NEVER_RAN, "1"));
+            exchange.answer(withLoad(503, "full\n", Proxy.NEVER_RAN_FIELD, "1"));
         }
         schedule();
     }
--- a/src/test/java/rowanmoor/lab/Histories.java
+++ b/src/test/java/rowanmoor/lab/Histories.java
@@ -90,7 +90,7 @@
                 return new Player.Mutant(day, parts -> new Router(parts.site(), parts.standing(), parts.random(),
                         parts.now()) {
                     @Override
-                    protected boolean repeatable(int cls) {
+                    protected boolean isSafeToRepeat(int cls) {
                         return true;
                     }
                 }, told.between());
--- a/src/test/java/rowanmoor/proxy/ProxyFixture.java
+++ b/src/test/java/rowanmoor/proxy/ProxyFixture.java
@@ -86,7 +86,7 @@
         String answers() {
             String all = heard.toString();
             int last = all.lastIndexOf("HTTP/1.1 408 ");
-            return over && last > 0 && all.substring(last).toLowerCase().contains(Proxy.NEVER_RAN) ? all.substring(0, last) : all;
+            return over && last > 0 && all.substring(last).toLowerCase().contains(Proxy.NEVER_RAN_FIELD) ? all.substring(0, last) : all;
         }
 
         ClientEnd say(String text) {
@@ -130,11 +130,11 @@
                 """));
     }
 
-    Proxy proxy(UnaryOperator<Conduct> conduct, InetSocketAddress... standing)
+    Proxy proxy(UnaryOperator<ForwardingPolicy> conduct, InetSocketAddress... standing)
             throws IOException, ConfigError {
         return Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(refusing()), 0,
                 300 * MS, 3 * SECOND, List.of(standing), 15 * SECOND, 250 * MS, 1000,
-                conduct.apply(Conduct.usual())), loop, new SplittableRandom(1), Tap.NONE);
+                conduct.apply(ForwardingPolicy.defaults())), loop, new SplittableRandom(1), Tap.NONE);
     }
 
     Proxy proxy(InetSocketAddress... standing) throws IOException, ConfigError {
--- a/src/test/java/rowanmoor/proxy/ProxyStopTest.java
+++ b/src/test/java/rowanmoor/proxy/ProxyStopTest.java
@@ -30,20 +30,20 @@
     private boolean stopped;
 
     /** A proxy on a loop of its own, which can stand still while clients and backends go on. */
-    private Proxy proxyApart(Conduct conduct, InetSocketAddress... standing) throws IOException, ConfigError {
+    private Proxy proxyApart(ForwardingPolicy conduct, InetSocketAddress... standing) throws IOException, ConfigError {
         return Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(refusing()), 0, 300 * MS, 3 * SECOND,
                 List.of(standing), 15 * SECOND, 250 * MS, 1000, conduct), proxyLoop, new SplittableRandom(1), Tap.NONE);
     }
 
     private Proxy proxyApart(InetSocketAddress... standing) throws IOException, ConfigError {
-        return proxyApart(Conduct.usual(), standing);
+        return proxyApart(ForwardingPolicy.defaults(), standing);
     }
 
-    private static Conduct stopWithin(long nanos) {
-        Conduct u = Conduct.usual();
-        return new Conduct(u.headWithin(), u.idleWithin(), u.wholeWithin(), u.holdMost(), u.perBackendMost(), u.idleMost(),
-                u.inflightMost(), u.perClientMost(), u.retryBudget(), u.refusal(), u.retryAfter(), u.lease(), u.safeLevel(),
-                u.deadlineField(), nanos, u.homeAfter());
+    private static ForwardingPolicy stopWithin(long nanos) {
+        ForwardingPolicy u = ForwardingPolicy.defaults();
+        return new ForwardingPolicy(u.headTimeoutNs(), u.stallTimeoutNs(), u.responseTimeoutNs(), u.maxReplayBytes(), u.maxConnectionsPerBackend(), u.maxIdlePerBackend(),
+                u.maxRequestsInFlight(), u.maxConnectionsPerClient(), u.retryBudget(), u.refusalStatus(), u.retryAfterSeconds(), u.leaseNs(), u.safeLevel(),
+                u.deadlineField(), nanos, u.rehomeIntervalNs());
     }
 
     private void stop(Proxy proxy) {
@@ -135,7 +135,7 @@
         assertTrue(net.now() < until, "an idle connection ends within its bound");
         for (ClientEnd client : List.of(idle, crossing)) {
             assertTrue(client.heard.toString().startsWith("HTTP/1.1 408"), client.heard.toString());
-            assertTrue(client.heard.toString().toLowerCase().contains(Proxy.NEVER_RAN), client.heard.toString());
+            assertTrue(client.heard.toString().toLowerCase().contains(Proxy.NEVER_RAN_FIELD), client.heard.toString());
             assertTrue(client.over);
         }
         assertFalse(reached.stream().anyMatch(b -> b.heard.toString().contains("crossing")));
@@ -206,7 +206,7 @@
         assertTrue(client.heard.toString().startsWith("HTTP/1.1 503"), client.heard.toString());
         net.runFor(15 * SECOND);
         assertTrue(client.over);
-        assertEquals(0, proxy.clients());
+        assertEquals(0, proxy.clientConnections());
     }
 
     /** The same where the answer comes later than what there is of the request. */
@@ -219,14 +219,14 @@
         assertFalse(client.over, "it may send the rest and go on");
         net.runFor(15 * SECOND);
         assertTrue(client.over);
-        assertEquals(0, proxy.clients());
+        assertEquals(0, proxy.clientConnections());
     }
 
     @Test
     void aClientForWhomThereIsNoRoomIsAnswered() throws IOException, ConfigError {
-        Conduct u = Conduct.usual();
-        Proxy proxy = proxyApart(new Conduct(u.headWithin(), u.idleWithin(), u.wholeWithin(), u.holdMost(), 9, 9, 99, 2, 1, 503, 1,
-                u.lease(), -1, u.deadlineField(), u.stopWithin(), 0), backend(1));
+        ForwardingPolicy u = ForwardingPolicy.defaults();
+        Proxy proxy = proxyApart(new ForwardingPolicy(u.headTimeoutNs(), u.stallTimeoutNs(), u.responseTimeoutNs(), u.maxReplayBytes(), 9, 9, 99, 2, 1, 503, 1,
+                u.leaseNs(), -1, u.deadlineField(), u.stopTimeoutNs(), 0), backend(1));
         ClientEnd first = new ClientEnd(proxy);
         ClientEnd second = new ClientEnd(proxy);
         net.runFor(10 * MS);
@@ -234,7 +234,7 @@
         assertTrue(third.heard.toString().startsWith("HTTP/1.1 503"), third.heard.toString());
         assertTrue(third.heard.toString().contains("Connection: close"), third.heard.toString());
         assertTrue(third.over);
-        assertEquals(2, proxy.clients());
+        assertEquals(2, proxy.clientConnections());
         assertFalse(first.over || second.over);
         List<ClientEnd> crowd = new ArrayList<>();
         for (int i = 0; i < 500; i++) {
--- a/src/test/java/rowanmoor/proxy/ProxyTest.java
+++ b/src/test/java/rowanmoor/proxy/ProxyTest.java
@@ -67,7 +67,7 @@
         }
         net.runFor(SECOND);
         assertEquals(16_000_000, client.heard.length() - client.heard.indexOf("\r\n\r\n") - 4);
-        assertEquals(0, proxy.inflight());
+        assertEquals(0, proxy.requestsInFlight());
     }
 
     @Test
@@ -80,7 +80,7 @@
             BackendEnd far = reached.get(0);
             far.say("HTTP/1.1 200 OK\r\nContent-Length: " + size + "\r\n\r\n" + "x".repeat(size - 30_000));
             far.say("x".repeat(30_000));
-            if (proxy.inflight() > 0) {
+            if (proxy.requestsInFlight() > 0) {
                 continue; // paused before its last piece: it goes on when the client reads
             }
             ClientEnd next = new ClientEnd(proxy).say(get("/r/2"));
@@ -250,7 +250,7 @@
         net.runFor(200 * MS);
         assertTrue(client.heard.toString().startsWith("HTTP/1.1 504"), client.heard.toString());
         assertTrue(reached.get(0).over, "its try is cancelled");
-        assertEquals(0, proxy.inflight());
+        assertEquals(0, proxy.requestsInFlight());
     }
 
     @Test
@@ -273,8 +273,8 @@
         client.connection.reset("test");
         net.runFor(50 * MS);
         assertTrue(reached.get(0).over);
-        assertEquals(0, proxy.inflight());
-        assertEquals(0, proxy.connections());
+        assertEquals(0, proxy.requestsInFlight());
+        assertEquals(0, proxy.backendConnections());
     }
 
     @Test
@@ -327,18 +327,18 @@
 
     @Test
     void boundsOnRequestsInWorkAndOnOneClientsConnections() throws IOException, ConfigError {
-        Conduct u = Conduct.usual();
-        Proxy proxy = proxy(c -> new Conduct(u.headWithin(), u.idleWithin(), u.wholeWithin(), u.holdMost(), 2, 2, 3,
-                5, 1, 429, 7, u.lease(), -1, u.deadlineField(), u.stopWithin(), 0), backend(1));
+        ForwardingPolicy u = ForwardingPolicy.defaults();
+        Proxy proxy = proxy(c -> new ForwardingPolicy(u.headTimeoutNs(), u.stallTimeoutNs(), u.responseTimeoutNs(), u.maxReplayBytes(), 2, 2, 3,
+                5, 1, 429, 7, u.leaseNs(), -1, u.deadlineField(), u.stopTimeoutNs(), 0), backend(1));
         List<ClientEnd> clients = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             clients.add(new ClientEnd(proxy).say(get("/p/" + i)));
         }
-        assertEquals(2, proxy.connections());
+        assertEquals(2, proxy.backendConnections());
         assertTrue(clients.get(2).heard.toString().contains("as many connections as may be"), clients.get(2).heard.toString());
-        assertEquals(2, proxy.inflight());
+        assertEquals(2, proxy.requestsInFlight());
         assertTrue(clients.get(5).over, "a sixth connection of one client is not taken");
-        assertEquals(5, proxy.clients());
+        assertEquals(5, proxy.clientConnections());
     }
 
     @Test
@@ -364,7 +364,7 @@
 
     @Test
     void tenThousandIdleClientsHoldNoRequestUp() throws IOException, ConfigError {
-        Conduct u = Conduct.usual();
+        ForwardingPolicy u = ForwardingPolicy.defaults();
         Proxy proxy = Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(refusing()), 0,
                 300 * MS, 3 * SECOND, List.of(backend(1)), 15 * SECOND, 250 * MS, 20_000, u), loop,
                 new SplittableRandom(1), Tap.NONE);
@@ -372,7 +372,7 @@
             new ClientEnd(proxy);
         }
         net.runFor(200 * MS);
-        assertEquals(10_000, proxy.clients());
+        assertEquals(10_000, proxy.clientConnections());
         ClientEnd client = new ClientEnd(proxy).say(get("/r/1"));
         reached.get(0).say(OK);
         assertTrue(client.heard.toString().endsWith("ok"));
@@ -455,7 +455,7 @@
 
     @Test
     void aProxyMovesBackToItsFirstControllerOnceThatIsThereAndNotBefore() throws IOException, ConfigError {
-        Conduct u = Conduct.usual();
+        ForwardingPolicy u = ForwardingPolicy.defaults();
         InetSocketAddress home = refusing();
         int[] joined = new int[2];
         InetSocketAddress other = loop.listen(ANY, Connection.Options.usual(), c -> {
@@ -463,18 +463,18 @@
             return new Listener(new long[4]);
         }).address();
         Proxy proxy = Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(home, other), 0, 300 * MS,
-                60 * SECOND, List.of(backend(1)), 15 * SECOND, 250 * MS, 5000, new Conduct(u.headWithin(),
-                u.idleWithin(), u.wholeWithin(), u.holdMost(), 9, 9, 99, 99, 1, 503, 1, u.lease(), -1,
-                u.deadlineField(), u.stopWithin(), 2 * SECOND)), loop, new SplittableRandom(1), Tap.NONE);
+                60 * SECOND, List.of(backend(1)), 15 * SECOND, 250 * MS, 5000, new ForwardingPolicy(u.headTimeoutNs(),
+                u.stallTimeoutNs(), u.responseTimeoutNs(), u.maxReplayBytes(), 9, 9, 99, 99, 1, 503, 1, u.leaseNs(), -1,
+                u.deadlineField(), u.stopTimeoutNs(), 2 * SECOND)), loop, new SplittableRandom(1), Tap.NONE);
         net.runFor(20 * SECOND);
-        assertTrue(proxy.joined());
+        assertTrue(proxy.isJoined());
         assertEquals(1, joined[1], "it stays while its first controller is gone");
         loop.listen(home, Connection.Options.usual(), c -> {
             joined[0]++;
             return new Listener(new long[4]);
         });
         net.runFor(6 * SECOND);
-        assertTrue(proxy.joined());
+        assertTrue(proxy.isJoined());
         assertEquals(2, joined[0], "once to look, once to join");
         net.runFor(20 * SECOND);
         assertEquals(2, joined[0]);
@@ -492,7 +492,7 @@
         }
         InetSocketAddress controller = refusing();
         Proxy proxy = Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(controller), 0, 300 * MS,
-                3 * SECOND, List.of(backends), 15 * SECOND, 250 * MS, 5000, Conduct.usual()), loop,
+                3 * SECOND, List.of(backends), 15 * SECOND, 250 * MS, 5000, ForwardingPolicy.defaults()), loop,
                 new SplittableRandom(1), Tap.NONE);
         List<ClientEnd> clients = new ArrayList<>();
         for (int i = 0; i < 600; i++) {
@@ -519,39 +519,39 @@
 
     @Test
     void withoutAnotherBackendItsOwnAnswerPassesAndNoCreditIsSpent() throws IOException, ConfigError {
-        Conduct u = Conduct.usual();
+        ForwardingPolicy u = ForwardingPolicy.defaults();
         InetSocketAddress only = backend(1);
         Router[] made = new Router[1];
-        Proxy proxy = proxy(c -> new Conduct(u.headWithin(), u.idleWithin(), u.wholeWithin(), u.holdMost(), 9, 9, 99,
-                99, 0.01, 503, 1, u.lease(), -1, u.deadlineField(), u.stopWithin(), 0), only);
+        Proxy proxy = proxy(c -> new ForwardingPolicy(u.headTimeoutNs(), u.stallTimeoutNs(), u.responseTimeoutNs(), u.maxReplayBytes(), 9, 9, 99,
+                99, 0.01, 503, 1, u.leaseNs(), -1, u.deadlineField(), u.stopTimeoutNs(), 0), only);
         made[0] = proxy.router();
         for (int i = 0; i < 30; i++) {
             ClientEnd client = new ClientEnd(proxy).say(get("/r/" + i));
             reached.get(reached.size() - 1).say("HTTP/1.1 500 Mine\r\nContent-Length: 0\r\n\r\n");
             assertTrue(client.heard.toString().startsWith("HTTP/1.1 500"), client.heard.toString());
         }
-        assertTrue(made[0].mayFollow(0, 1, true, SECOND), "ten credits at first, none spent");
+        assertTrue(made[0].mayRetry(0, 1, true, SECOND), "ten credits at first, none spent");
     }
 
     @Test
     void aRequestRefusedByABoundCostsNoTokenOfItsLevel() throws IOException, ConfigError {
-        Conduct u = Conduct.usual();
+        ForwardingPolicy u = ForwardingPolicy.defaults();
         InetSocketAddress at = backend(1);
         Proxy proxy = Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(refusing()), 0, 300 * MS,
-                60 * SECOND, List.of(at), 15 * SECOND, 250 * MS, 5000, new Conduct(u.headWithin(), u.idleWithin(),
-                u.wholeWithin(), u.holdMost(), 9, 9, 1, 99, 1, 503, 1, 100 * MS, 0.5, u.deadlineField(),
-                u.stopWithin(), 0)), loop, new SplittableRandom(1), Tap.NONE);
+                60 * SECOND, List.of(at), 15 * SECOND, 250 * MS, 5000, new ForwardingPolicy(u.headTimeoutNs(), u.stallTimeoutNs(),
+                u.responseTimeoutNs(), u.maxReplayBytes(), 9, 9, 1, 99, 1, 503, 1, 100 * MS, 0.5, u.deadlineField(),
+                u.stopTimeoutNs(), 0)), loop, new SplittableRandom(1), Tap.NONE);
         net.runFor(3 * SECOND); // no controller: half a request a second, one at once
         ClientEnd first = new ClientEnd(proxy).say(get("/p/1"));
         net.runFor(1900 * MS);
-        assertEquals(1, proxy.inflight());
+        assertEquals(1, proxy.requestsInFlight());
         new ClientEnd(proxy).say(get("/p/2").replace("\r\n\r\n", "\r\nX-Deadline-Ms: soon\r\n\r\n"));
         ClientEnd refused = new ClientEnd(proxy).say(get("/p/3"));
         assertTrue(refused.heard.toString().contains("as many requests in work"), refused.heard.toString());
         net.runFor(200 * MS);
-        assertEquals(0, proxy.inflight(), first.heard.toString());
+        assertEquals(0, proxy.requestsInFlight(), first.heard.toString());
         ClientEnd next = new ClientEnd(proxy).say(get("/p/4"));
-        assertEquals(1, proxy.inflight(), "the token of these two seconds is still there: " + next.heard);
+        assertEquals(1, proxy.requestsInFlight(), "the token of these two seconds is still there: " + next.heard);
     }
 
     /** What 80 requests come to whose clients leave at drawn times, with a controller whose streams break. */
@@ -569,7 +569,7 @@
             return new Listener(sums);
         }).address();
         Proxy proxy = Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(controller), 0, 300 * MS,
-                60 * SECOND, List.of(backends), 15 * SECOND, 250 * MS, 5000, Conduct.usual()), loop,
+                60 * SECOND, List.of(backends), 15 * SECOND, 250 * MS, 5000, ForwardingPolicy.defaults()), loop,
                 new SplittableRandom(seed), Tap.NONE);
         net.runFor(SECOND);
         List<ClientEnd> clients = new ArrayList<>();
@@ -592,8 +592,8 @@
             }
         }
         net.runFor(6 * SECOND);
-        assertEquals(0, proxy.inflight());
-        assertEquals(0, proxy.router().out(), "tries out");
+        assertEquals(0, proxy.requestsInFlight());
+        assertEquals(0, proxy.router().triesInFlight(), "tries out");
         boolean[] stopped = new boolean[1];
         proxy.stop(() -> stopped[0] = true);
         net.runFor(SECOND);
@@ -634,12 +634,12 @@
         long[] sums = new long[4];
         InetSocketAddress controller = loop.listen(ANY, Connection.Options.usual(), c -> new Listener(sums)).address();
         Proxy proxy = Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(controller), 0, 300 * MS,
-                60 * SECOND, List.of(backend(1)), 15 * SECOND, 250 * MS, 5000, Conduct.usual()), loop,
+                60 * SECOND, List.of(backend(1)), 15 * SECOND, 250 * MS, 5000, ForwardingPolicy.defaults()), loop,
                 new SplittableRandom(1), tap);
         net.runFor(SECOND);
         tap.read(0, 1, 0, ByteBuffer.allocate(1 << 18)); // more than is buffered: written at once
         tap.read(0, 1, 0, ByteBuffer.allocate(1 << 18));
-        assertTrue(proxy.joined());
+        assertTrue(proxy.isJoined());
         org.junit.jupiter.api.Assertions.assertThrows(IOException.class, tap::close);
     }
 
@@ -669,7 +669,7 @@
                     }
                 }).address();
         Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(controller), 0, 300 * MS, 600 * SECOND,
-                List.of(backend(1)), 15 * SECOND, 250 * MS, 5000, Conduct.usual()), loop, new SplittableRandom(1), Tap.NONE);
+                List.of(backend(1)), 15 * SECOND, 250 * MS, 5000, ForwardingPolicy.defaults()), loop, new SplittableRandom(1), Tap.NONE);
         net.runFor(SECOND);
         for (int i = 0; i < 3000; i++) { // read in one turn: more answers than may wait
             stream[0].send(Codec.encode(new Frame.Ping(i)));
--- a/src/test/java/rowanmoor/proxy/ReportQueueTest.java
+++ b/src/test/java/rowanmoor/proxy/ReportQueueTest.java
@@ -108,9 +108,9 @@
             addresses.add(controller.address);
         }
         Proxy proxy = Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, addresses, 0, 300 * MS, 60 * SECOND,
-                List.of(), 15 * SECOND, 250 * MS, 5000, Conduct.usual()), loop, new SplittableRandom(4), Tap.NONE);
+                List.of(), 15 * SECOND, 250 * MS, 5000, ForwardingPolicy.defaults()), loop, new SplittableRandom(4), Tap.NONE);
         net.runFor(SECOND);
-        assertTrue(proxy.joined());
+        assertTrue(proxy.isJoined());
         return proxy;
     }
 
@@ -210,9 +210,9 @@
         ScriptedController old = new ScriptedController();
         old.versionSpoken = Frame.OLDEST_PROTOCOL;
         Proxy proxy = Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(old.address), 0, 300 * MS,
-                60 * SECOND, List.of(), 15 * SECOND, 250 * MS, 5000, Conduct.usual()), loop, new SplittableRandom(4), Tap.NONE);
+                60 * SECOND, List.of(), 15 * SECOND, 250 * MS, 5000, ForwardingPolicy.defaults()), loop, new SplittableRandom(4), Tap.NONE);
         net.runFor(2 * SECOND);
-        assertTrue(proxy.joined(), "it calls again in the version that is spoken there");
+        assertTrue(proxy.isJoined(), "it calls again in the version that is spoken there");
         ask(proxy, 7);
         net.runFor(2 * SECOND);
         assertEquals(7, old.requests);
@@ -264,7 +264,7 @@
             long counted = 0;
             for (int step = 0; step < 300; step++) {
                 if (random.nextInt(3) > 0) {
-                    tallies.came(0);
+                    tallies.onRequest(0);
                     counted++;
                     queue.cut(step);
                 }
--- a/src/test/java/rowanmoor/proxy/RouterTest.java
+++ b/src/test/java/rowanmoor/proxy/RouterTest.java
@@ -42,8 +42,8 @@
         return new Frame.Snapshot(epoch, 0, 0, 0, List.of(), List.of(), List.of(), List.of());
     }
 
-    private Router.Heed update(long epoch, long version, Frame.Order... orders) {
-        return router.heed(new Frame.Update(epoch, version, 0, 0, List.of(orders)));
+    private Router.UpdateResult update(long epoch, long version, Frame.Order... orders) {
+        return router.apply(new Frame.Update(epoch, version, 0, 0, List.of(orders)));
     }
 
     private Set<Backend> picks(int cls) {
@@ -58,40 +58,40 @@
     }
 
     private void joined() {
-        router.streamBegins();
-        router.heed(keep(9));
+        router.onStreamOpened();
+        router.apply(keep(9));
     }
 
     @Test
     void theStandingTableServesUntilAClassIsBound() {
-        assertTrue(router.fresh());
+        assertTrue(router.hasOnlyStandingTable());
         joined();
         assertEquals(Set.of(A, B), picks(0));
-        assertEquals(Router.Heed.DONE, update(9, 1, new Frame.Bind(1, table(4, null, C), List.of())));
+        assertEquals(Router.UpdateResult.APPLIED, update(9, 1, new Frame.Bind(1, table(4, null, C), List.of())));
         assertEquals(Set.of(C), picks(0));
         assertEquals(Set.of(A, B), picks(1));
-        assertFalse(router.fresh());
+        assertFalse(router.hasOnlyStandingTable());
     }
 
     @Test
     void aGapMakesItAskForASnapshotAndHeedNothingBeforeIt() {
         joined();
         update(9, 1, new Frame.Bind(0, table(4, null, C), List.of()));
-        assertEquals(Router.Heed.GAP, update(9, 3, new Frame.Clear(4)));
-        assertEquals(Router.Heed.SKIPPED, update(9, 4, new Frame.Clear(4)));
+        assertEquals(Router.UpdateResult.GAP, update(9, 3, new Frame.Clear(4)));
+        assertEquals(Router.UpdateResult.SKIPPED, update(9, 4, new Frame.Clear(4)));
         assertEquals(Set.of(C), picks(0));
-        router.heed(new Frame.Snapshot(9, 7, 0, 0, List.of(table(4, null, A, B)),
+        router.apply(new Frame.Snapshot(9, 7, 0, 0, List.of(table(4, null, A, B)),
                 List.of(new Frame.Binding(4, 3)), List.of(B), List.of()));
         assertEquals(Set.of(A), picks(1));
-        assertEquals(Router.Heed.GAP, update(8, 8));
+        assertEquals(Router.UpdateResult.GAP, update(8, 8));
     }
 
     @Test
     void whatItHoldsOutlivesItsStreamAndTheNextControllersNumbersDoNotMixWithIt() {
         joined();
         update(9, 1, new Frame.Bind(0, table(0, null, A), List.of()));
-        router.streamBegins();
-        router.heed(keep(10));
+        router.onStreamOpened();
+        router.apply(keep(10));
         assertEquals(Set.of(A), picks(0));
         update(10, 1, new Frame.Bind(2, table(0, null, C), List.of()));
         assertEquals(Set.of(A), picks(0), "class 0 still has the table of the stream before");
@@ -103,8 +103,8 @@
         joined();
         update(9, 1, new Frame.Withdraw(A, true));
         assertEquals(Set.of(B), picks(0));
-        router.streamBegins();
-        router.heed(keep(10));
+        router.onStreamOpened();
+        router.apply(keep(10));
         assertEquals(Set.of(B), picks(0));
         update(10, 1, new Frame.Bind(1, table(0, null, A, C), List.of(C)));
         assertEquals(Set.of(A), picks(0));
@@ -125,35 +125,35 @@
         update(9, 1, new Frame.Bind(0, table(0, new Frame.Level(3, 10, Retry.NEVER), A), List.of()));
         int in = 0;
         for (long now = 0; now < 10 * SECOND; now += SECOND / 100) {
-            in += router.admits(0, now) ? 1 : 0;
+            in += router.tryAdmit(0, now) ? 1 : 0;
         }
         assertTrue(in >= 99 && in <= 103, in + " of about 100");
         update(9, 2, new Frame.Admit(0, new Frame.Level(1, 0, Retry.NEVER)));
-        assertFalse(router.admits(0, 100 * SECOND) && router.admits(0, 100 * SECOND));
+        assertFalse(router.tryAdmit(0, 100 * SECOND) && router.tryAdmit(0, 100 * SECOND));
     }
 
     @Test
     void anotherTryFollowsOnlyAsOrderedAndForWhatIsUnsafeOnlyWithProof() {
         long left = site.classes().get(0).deadline();
-        assertTrue(router.mayFollow(1, 1, true, left), "usual: once, with proof");
-        assertFalse(router.mayFollow(1, 1, false, left));
-        assertFalse(router.mayFollow(1, 2, true, left));
-        assertFalse(router.mayFollow(1, 1, true, left / 20), "too little time is left");
+        assertTrue(router.mayRetry(1, 1, true, left), "usual: once, with proof");
+        assertFalse(router.mayRetry(1, 1, false, left));
+        assertFalse(router.mayRetry(1, 2, true, left));
+        assertFalse(router.mayRetry(1, 1, true, left / 20), "too little time is left");
         joined();
         update(9, 1, new Frame.Bind(0, table(0, new Frame.Level(3, 1e6, Retry.TWICE), A, B), List.of()));
-        assertTrue(router.mayFollow(0, 2, false, left));
-        assertFalse(router.mayFollow(1, 1, false, left), "unsafe, whatever is ordered");
-        assertTrue(router.tryWithin(0) > 0);
-        assertEquals(0, router.tryWithin(1));
+        assertTrue(router.mayRetry(0, 2, false, left));
+        assertFalse(router.mayRetry(1, 1, false, left), "unsafe, whatever is ordered");
+        assertTrue(router.tryTimeoutNs(0) > 0);
+        assertEquals(0, router.tryTimeoutNs(1));
         update(9, 2, new Frame.Admit(0, new Frame.Level(3, 1e6, Retry.NEVER)));
-        assertFalse(router.mayFollow(0, 1, true, left));
+        assertFalse(router.mayRetry(0, 1, true, left));
     }
 
     @Test
     void aBackendThatFailsInARowIsShunnedWhileThereAreOthers() {
         for (int i = 0; i < site.ejects(); i++) {
-            router.sent(A);
-            router.done(A, false, SECOND);
+            router.onTrySent(A);
+            router.onTryEnded(A, false, SECOND);
         }
         assertEquals(Set.of(B), picks(0));
         assertEquals(A, router.pick(0, Set.of(B), SECOND), "better a shunned one than none");
@@ -162,8 +162,8 @@
 
     @Test
     void ofTwoDrawnTheOneWithLessOutIsTaken() {
-        router.sent(A);
-        router.sent(A);
+        router.onTrySent(A);
+        router.onTrySent(A);
         int b = 0;
         for (int i = 0; i < 1000; i++) {
             b += router.pick(0, Set.of(), SECOND) == B ? 1 : 0;
@@ -190,15 +190,15 @@
     }
 
     private Router with(double budget, double safe) {
-        Conduct u = Conduct.usual();
-        return new Router(site, new Conduct(u.headWithin(), u.idleWithin(), u.wholeWithin(), u.holdMost(), 9, 9, 9, 9,
+        ForwardingPolicy u = ForwardingPolicy.defaults();
+        return new Router(site, new ForwardingPolicy(u.headTimeoutNs(), u.stallTimeoutNs(), u.responseTimeoutNs(), u.maxReplayBytes(), 9, 9, 9, 9,
                 budget, 503, 1, 10 * SECOND, safe, u.deadlineField(), 0, 0), List.of(A, B), new SplittableRandom(1), 0);
     }
 
     private static int admitted(Router its, long from, long to, int times) {
         int in = 0;
         for (int i = 0; i < times; i++) {
-            in += its.admits(0, from + i * (to - from) / times) ? 1 : 0;
+            in += its.tryAdmit(0, from + i * (to - from) / times) ? 1 : 0;
         }
         return in;
     }
@@ -238,22 +238,22 @@
         Router bounded = with(0.1, -1);
         int followed = 0;
         for (int i = 0; i < 1000; i++) {
-            bounded.admits(0, i);
-            followed += bounded.mayFollow(0, 1, true, 2 * SECOND) ? 1 : 0;
+            bounded.tryAdmit(0, i);
+            followed += bounded.mayRetry(0, 1, true, 2 * SECOND) ? 1 : 0;
         }
         assertTrue(followed > 95 && followed < 120, followed + " of a tenth of a thousand");
-        assertFalse(bounded.mayFollow(1, 1, false, 2 * SECOND), "no proof, unsafe");
-        assertTrue(with(1, -1).mayFollow(0, 1, true, 2 * SECOND));
+        assertFalse(bounded.mayRetry(1, 1, false, 2 * SECOND), "no proof, unsafe");
+        assertTrue(with(1, -1).mayRetry(0, 1, true, 2 * SECOND));
     }
 
     @Test
     void outOfReachOfAllControllersLevelsAreKeptThroughALeaseAndThenFall() {
         Router safe = with(1, 20);
-        safe.heard(SECOND);
+        safe.onControllerMessage(SECOND);
         assertEquals(500, admitted(safe, 2 * SECOND, 10 * SECOND, 500), "within the lease");
         int after = admitted(safe, 12 * SECOND, 22 * SECOND, 5000);
         assertTrue(after > 190 && after < 215, after + " in ten seconds at twenty");
-        safe.heard(23 * SECOND);
+        safe.onControllerMessage(23 * SECOND);
         assertEquals(500, admitted(safe, 24 * SECOND, 25 * SECOND, 500), "a controller is back");
         assertEquals(500, admitted(with(1, -1), 90 * SECOND, 91 * SECOND, 500), "kept where so set");
     }
@@ -275,15 +275,15 @@
     @Test
     void aTryThatItsClientGaveUpNeitherClearsNorAddsToABackendsFailures() {
         for (int i = 0; i < 4; i++) {
-            router.sent(B);
-            router.done(B, false, 0);
+            router.onTrySent(B);
+            router.onTryEnded(B, false, 0);
         }
-        router.sent(B);
-        router.gaveUp(B);
-        assertEquals(0, router.out());
+        router.onTrySent(B);
+        router.onTryAbandoned(B);
+        assertEquals(0, router.triesInFlight());
         assertEquals(Set.of(A, B), picks(0), "four failures shun nobody");
-        router.sent(B);
-        router.done(B, false, SECOND);
+        router.onTrySent(B);
+        router.onTryEnded(B, false, SECOND);
         assertEquals(Set.of(A), picks(0), "the fifth in a row does");
     }
 
--- a/src/test/java/rowanmoor/proxy/SwapExplorerTest.java
+++ b/src/test/java/rowanmoor/proxy/SwapExplorerTest.java
@@ -65,8 +65,8 @@
 
         Run(Function<RandomGenerator, Router> make, long seed) {
             router = make.apply(new SplittableRandom(seed));
-            router.streamBegins();
-            router.heed(new Frame.Snapshot(1, 0, 0, 0, List.of(), List.of(), List.of(), List.of()));
+            router.onStreamOpened();
+            router.apply(new Frame.Snapshot(1, 0, 0, 0, List.of(), List.of(), List.of(), List.of()));
             for (int r = 0; r < REQUESTS; r++) {
                 tried.add(new TreeSet<>());
             }
@@ -78,7 +78,7 @@
                 if (updates == UPDATES.size()) {
                     return false;
                 }
-                router.heed(new Frame.Update(1, updates + 1, 0, 0, UPDATES.get(updates++)));
+                router.apply(new Frame.Update(1, updates + 1, 0, 0, UPDATES.get(updates++)));
                 return true;
             }
             int request = (what - 1) / 2;
@@ -88,7 +88,7 @@
             }
             Backend left = at[request];
             at[request] = null;
-            router.done(left, !fails, 1);
+            router.onTryEnded(left, !fails, 1);
             if (fails) {
                 return pick(request);
             }
@@ -104,7 +104,7 @@
                 wrong = "after " + updates + " updates picked " + picked + " of " + may;
             }
             if (picked != null) {
-                router.sent(picked);
+                router.onTrySent(picked);
                 tried.get(request).add(picked);
                 at[request] = picked;
             } else {
