--- a/src/main/java/rowanmoor/channel/ChannelLimits.java
+++ b/src/main/java/rowanmoor/channel/ChannelLimits.java
@@ -3,14 +3,14 @@
 /**
  * Bounds on what a peer may send.
  *
- * @param frame bytes of one frame after its length
- * @param items entries of any one list within a frame
- * @param text bytes of one text
+ * @param maxFrameBytes bytes of one frame after its length
+ * @param maxListEntries entries of any one list within a frame
+ * @param maxTextBytes bytes of one text
  */
-public record ChannelLimits(int frame, int items, int text) {
+public record ChannelLimits(int maxFrameBytes, int maxListEntries, int maxTextBytes) {
 
     /** A mebibyte, 8192 entries, 256 bytes. */
-    public static ChannelLimits usual() {
+    public static ChannelLimits defaults() {
         return new ChannelLimits(1 << 20, 8192, 256);
     }
 }
--- a/src/main/java/rowanmoor/channel/Codec.java
+++ b/src/main/java/rowanmoor/channel/Codec.java
@@ -44,16 +44,16 @@
         Out out = new Out();
         out.u32(0);
         if (frame instanceof Frame.Hello f) {
-            out.u8(HELLO).u32(MAGIC).u16(f.protocol()).u16(f.proxy()).u64(f.incarnation()).u16(f.zone())
-                    .f64(f.rate()).u8(f.fresh() ? 1 : 0).u64(f.epoch()).u64(f.version()).text(f.name());
+            out.u8(HELLO).u32(MAGIC).u16(f.protocolVersion()).u16(f.proxy()).u64(f.incarnation()).u16(f.zone())
+                    .f64(f.requestsPerSecond()).u8(f.fresh() ? 1 : 0).u64(f.epoch()).u64(f.version()).text(f.name());
         } else if (frame instanceof Frame.Snapshot f) {
-            out.u8(SNAPSHOT).u64(f.epoch()).u64(f.version()).u64(f.orderedAt()).u32(f.waiting());
+            out.u8(SNAPSHOT).u64(f.epoch()).u64(f.version()).u64(f.orderedAtNs()).u32(f.queuedLines());
             out.list(f.tables(), out::table);
-            out.list(f.bindings(), b -> out.u16(b.table()).u16(b.classes()));
+            out.list(f.bindings(), b -> out.u16(b.table()).u16(b.classMask()));
             out.list(f.withdrawn(), out::backend);
-            out.list(f.overall(), out::level);
+            out.list(f.globalLevels(), out::level);
         } else if (frame instanceof Frame.Update f) {
-            out.u8(UPDATE).u64(f.epoch()).u64(f.version()).u64(f.orderedAt()).u32(f.waiting());
+            out.u8(UPDATE).u64(f.epoch()).u64(f.version()).u64(f.orderedAtNs()).u32(f.queuedLines());
             out.list(f.orders(), out::order);
         } else if (frame instanceof Frame.Applied f) {
             out.u8(APPLIED).u64(f.epoch()).u64(f.version()).u16(f.mark());
@@ -135,7 +135,7 @@
                 u8(t.load().size());
                 t.load().forEach(this::f64);
             });
-            list(report.uses(), u -> u16(u.cls()).u32(u.requests()).u32(u.failed()).u64(u.span()));
+            list(report.usages(), u -> u16(u.cls()).u32(u.requests()).u32(u.failed()).u64(u.span()));
         }
 
         void line(Frame.Line line) {
@@ -143,7 +143,7 @@
         }
 
         void level(Frame.Level level) {
-            u16(level.classes()).f64(level.level()).u8(level.retry().ordinal());
+            u16(level.classMask()).f64(level.level()).u8(level.retry().ordinal());
         }
 
         void table(Frame.Table table) {
@@ -159,12 +159,12 @@
             } else if (order instanceof Frame.Clear o) {
                 u8(CLEAR).u16(o.table());
             } else if (order instanceof Frame.Withdraw o) {
-                u8(WITHDRAW).backend(o.backend()).u8(o.out() ? 1 : 0);
+                u8(WITHDRAW).backend(o.backend()).u8(o.withdrawn() ? 1 : 0);
             } else if (order instanceof Frame.Admit o) {
                 u8(ADMIT).u16(o.table());
                 level(o.level());
             } else if (order instanceof Frame.Bind o) {
-                u8(BIND).u16(o.classes());
+                u8(BIND).u16(o.classMask());
                 table(o.table());
                 list(o.withdrawn(), this::backend);
             } else if (order instanceof Frame.Mark o) {
@@ -181,26 +181,26 @@
     // ---- from bytes ----------------------------------------------------------------------------------
 
     /** Decodes one frame's bytes, its length already taken off. */
-    public static Frame decode(ByteBuffer bytes, ChannelLimits limits) throws ChannelError {
+    public static Frame decode(ByteBuffer bytes, ChannelLimits limits) throws ChannelException {
         try {
             In in = new In(bytes, limits);
             Frame frame = in.frame();
             if (bytes.hasRemaining()) {
-                throw new ChannelError("a frame has " + bytes.remaining() + " bytes after its last field");
+                throw new ChannelException("a frame has " + bytes.remaining() + " bytes after its last field");
             }
             return frame;
         } catch (BufferUnderflowException e) {
-            throw new ChannelError("a frame ends within its fields");
+            throw new ChannelException("a frame ends within its fields");
         }
     }
 
     private interface Item<T> {
-        T read() throws ChannelError;
+        T read() throws ChannelException;
     }
 
     private record In(ByteBuffer bytes, ChannelLimits limits) {
 
-        Frame frame() throws ChannelError {
+        Frame frame() throws ChannelException {
             int type = u8();
             switch (type) {
                 case HELLO:
@@ -228,59 +228,59 @@
                 case RESYNC:
                     return new Frame.Resync(u64(), u64());
                 default:
-                    throw new ChannelError("a frame of unknown type " + type);
+                    throw new ChannelException("a frame of unknown type " + type);
             }
         }
 
-        private Frame hello() throws ChannelError {
+        private Frame hello() throws ChannelException {
             if (u32() != MAGIC) {
-                throw new ChannelError("a hello without the protocol's mark");
+                throw new ChannelException("a hello without the protocol's mark");
             }
             int protocol = u16();
-            if (protocol < Frame.OLDEST_PROTOCOL || protocol > Frame.PROTOCOL) {
+            if (protocol < Frame.MIN_PROTOCOL_VERSION || protocol > Frame.PROTOCOL_VERSION) {
                 // Other versions may have other fields: nothing after this one is read.
                 bytes.position(bytes.limit());
                 return new Frame.Hello(protocol, 0, 0, 0, 0, false, 0, 0, "");
             }
             int proxy = u16();
             if (proxy == ControlApi.ALL_TABLES) {
-                throw new ChannelError("a proxy's number is out of range: " + proxy);
+                throw new ChannelException("a proxy's number is out of range: " + proxy);
             }
             return new Frame.Hello(protocol, proxy, u64(), u16(), amount("rate"), flag(), u64(), u64(),
                     text());
         }
 
-        private long version() throws ChannelError {
+        private long version() throws ChannelException {
             long version = u64();
             if (version < 0) {
-                throw new ChannelError("a version is out of range");
+                throw new ChannelException("a version is out of range");
             }
             return version;
         }
 
-        private Frame.Report report() throws ChannelError {
+        private Frame.Report report() throws ChannelException {
             return new Frame.Report(list(this::tally, 31), list(this::use, 18));
         }
 
-        private long reportNumber() throws ChannelError {
+        private long reportNumber() throws ChannelException {
             long number = u64();
             if (number < 1) {
-                throw new ChannelError("a report's number is out of range: " + number);
+                throw new ChannelException("a report's number is out of range: " + number);
             }
             return number;
         }
 
-        private Frame.Tally tally() throws ChannelError {
+        private Frame.Tally tally() throws ChannelException {
             Backend backend = backend();
             long tries = u32();
             long failed = u32();
             long sum = span();
             long span = span();
             if (failed > tries) {
-                throw new ChannelError("a tally has more failures than tries");
+                throw new ChannelException("a tally has more failures than tries");
             }
             if (sum / LONGEST_TRY > tries - failed) {
-                throw new ChannelError("a tally has latencies beyond a day a try");
+                throw new ChannelException("a tally has latencies beyond a day a try");
             }
             int count = u8();
             List<Double> load = new ArrayList<>(Math.min(count, 8));
@@ -290,11 +290,11 @@
             return new Frame.Tally(backend, tries, failed, sum, span, List.copyOf(load));
         }
 
-        private Frame.Use use() throws ChannelError {
+        private Frame.Use use() throws ChannelException {
             return new Frame.Use(u16(), u32(), u32(), span());
         }
 
-        private Frame.Order order() throws ChannelError {
+        private Frame.Order order() throws ChannelException {
             int kind = u8();
             switch (kind) {
                 case SET_LINE:
@@ -310,27 +310,27 @@
                 case MARK:
                     return new Frame.Mark(u16());
                 default:
-                    throw new ChannelError("an order of unknown kind " + kind);
+                    throw new ChannelException("an order of unknown kind " + kind);
             }
         }
 
-        private Frame.Table table() throws ChannelError {
+        private Frame.Table table() throws ChannelException {
             return new Frame.Table(u16(), list(this::line, 14), list(this::level, 11));
         }
 
-        private Frame.Line line() throws ChannelError {
+        private Frame.Line line() throws ChannelException {
             return new Frame.Line(backend(), amount("weight"));
         }
 
-        private Frame.Level level() throws ChannelError {
+        private Frame.Level level() throws ChannelException {
             return new Frame.Level(u16(), amount("level"), one(Retry.values(), "way of trying again"));
         }
 
         /** A list is refused by its count before any of it is read: it cannot make this side allocate. */
-        private <T> List<T> list(Item<T> item, int leastBytes) throws ChannelError {
+        private <T> List<T> list(Item<T> item, int leastBytes) throws ChannelException {
             int count = u16();
-            if (count > limits.items() || (long) count * leastBytes > bytes.remaining()) {
-                throw new ChannelError("a list of " + count + " entries is over the limit or its frame");
+            if (count > limits.maxListEntries() || (long) count * leastBytes > bytes.remaining()) {
+                throw new ChannelException("a list of " + count + " entries is over the limit or its frame");
             }
             List<T> items = new ArrayList<>(count);
             for (int i = 0; i < count; i++) {
@@ -343,49 +343,49 @@
             return new Backend(u32() << 16 | u16());
         }
 
-        private <T> T one(T[] values, String what) throws ChannelError {
+        private <T> T one(T[] values, String what) throws ChannelException {
             int place = u8();
             if (place >= values.length) {
-                throw new ChannelError("an unknown " + what + ": " + place);
+                throw new ChannelException("an unknown " + what + ": " + place);
             }
             return values[place];
         }
 
-        private double amount(String what) throws ChannelError {
+        private double amount(String what) throws ChannelException {
             double value = bytes.getDouble();
             if (!(value >= 0 && value <= 1e15)) {
-                throw new ChannelError("a " + what + " is out of range: " + value);
+                throw new ChannelException("a " + what + " is out of range: " + value);
             }
             return value;
         }
 
-        private long span() throws ChannelError {
+        private long span() throws ChannelException {
             long value = u64();
             if (value < 0) {
-                throw new ChannelError("a time is out of range");
+                throw new ChannelException("a time is out of range");
             }
             return value;
         }
 
-        private boolean flag() throws ChannelError {
+        private boolean flag() throws ChannelException {
             int value = u8();
             if (value > 1) {
-                throw new ChannelError("a flag is neither 0 nor 1: " + value);
+                throw new ChannelException("a flag is neither 0 nor 1: " + value);
             }
             return value == 1;
         }
 
-        private String text() throws ChannelError {
+        private String text() throws ChannelException {
             int count = u16();
-            if (count > limits.text() || count > bytes.remaining()) {
-                throw new ChannelError("a text of " + count + " bytes is over the limit or its frame");
+            if (count > limits.maxTextBytes() || count > bytes.remaining()) {
+                throw new ChannelException("a text of " + count + " bytes is over the limit or its frame");
             }
             ByteBuffer data = bytes.slice(bytes.position(), count);
             bytes.position(bytes.position() + count);
             try {
                 return StandardCharsets.UTF_8.newDecoder().decode(data).toString();
             } catch (CharacterCodingException e) {
-                throw new ChannelError("a text is not UTF-8");
+                throw new ChannelException("a text is not UTF-8");
             }
         }
 
--- a/src/main/java/rowanmoor/channel/FrameReader.java
+++ b/src/main/java/rowanmoor/channel/FrameReader.java
@@ -17,14 +17,14 @@
     }
 
     /** Whether a frame has begun and is not whole. */
-    public boolean inFrame() {
+    public boolean hasPartialFrame() {
         return length >= 0 || held.position() > 0;
     }
 
     /** The next whole frame, or null if the bytes end before it does; leaves the bytes behind it. */
-    public Frame next(ByteBuffer bytes) throws ChannelError {
+    public Frame next(ByteBuffer bytes) throws ChannelException {
         if (broken) {
-            throw new ChannelError("the stream is no longer framed");
+            throw new ChannelException("the stream is no longer framed");
         }
         if (length < 0) {
             take(bytes, 4);
@@ -32,9 +32,9 @@
                 return null;
             }
             long stated = held.getInt(0) & 0xffffffffL;
-            if (stated < 1 || stated > limits.frame()) {
+            if (stated < 1 || stated > limits.maxFrameBytes()) {
                 broken = true;
-                throw new ChannelError("a frame of " + stated + " bytes");
+                throw new ChannelException("a frame of " + stated + " bytes");
             }
             length = (int) stated;
             held.clear();
@@ -47,7 +47,7 @@
         ByteBuffer whole = held.flip();
         try {
             return Codec.decode(whole, limits);
-        } catch (ChannelError e) {
+        } catch (ChannelException e) {
             broken = true;
             throw e;
         } finally {
--- a/src/main/java/rowanmoor/channel/ReportReceiver.java
+++ b/src/main/java/rowanmoor/channel/ReportReceiver.java
@@ -12,7 +12,7 @@
     /** What becomes of a numbered report. */
     public enum Verdict {
         /** It is new: it counts, and is acknowledged. */
-        TAKEN,
+        ACCEPTED,
         /** It was taken before: it does not count, and is acknowledged again. */
         DUPLICATE,
         /** Reports between the last one and this are missing, which no stream can bring about. */
@@ -36,7 +36,7 @@
      *
      * @param incarnation names the proxy's process; reports of another one are numbered anew
      */
-    public void streamBegins(int proxy, long incarnation) {
+    public void streamOpened(int proxy, long incarnation) {
         Taken taken = byProxy.get(proxy);
         if (taken == null || taken.incarnation != incarnation) {
             taken = new Taken(incarnation);
@@ -46,7 +46,7 @@
     }
 
     /** Judges a report of a proxy whose stream has begun. */
-    public Verdict hear(int proxy, long number) {
+    public Verdict receive(int proxy, long number) {
         Taken taken = byProxy.get(proxy);
         if (number <= taken.upTo) {
             return Verdict.DUPLICATE;
@@ -56,11 +56,11 @@
         }
         taken.upTo = number;
         taken.streamIsNew = false;
-        return Verdict.TAKEN;
+        return Verdict.ACCEPTED;
     }
 
     /** The number up to which all reports of a proxy were taken, here or elsewhere; 0 for none. */
-    public long takenUpTo(int proxy) {
+    public long lastAccepted(int proxy) {
         return byProxy.get(proxy).upTo;
     }
 }
--- a/src/main/java/rowanmoor/controller/LineFile.java
+++ b/src/main/java/rowanmoor/controller/AsyncLineWriter.java
@@ -14,7 +14,7 @@
  * cannot be written, or that does not fit into what may wait, the file ends for good, which is told once. A
  * file with a gap would be worse than a short one.
  */
-final class LineFile implements Closeable {
+final class AsyncLineWriter implements Closeable {
 
     private static final String END = "\0"; // no line: offered lines are JSON
     private static final long CLOSE_MS = 2000;
@@ -32,7 +32,7 @@
      * @param charsMost characters that may wait to be written
      * @param lost hears once why no more is written, on any thread
      */
-    LineFile(Writer to, long charsMost, Consumer<String> lost) {
+    AsyncLineWriter(Writer to, long charsMost, Consumer<String> lost) {
         this.out = new BufferedWriter(to, 1 << 16);
         this.charsMost = charsMost;
         this.lost = lost;
@@ -42,12 +42,12 @@
     }
 
     /** Whether lines are still taken. */
-    boolean open() {
+    boolean isOpen() {
         return !over.get() && !closing;
     }
 
     void offer(String line) {
-        if (!open()) {
+        if (!isOpen()) {
             return;
         }
         if (waiting.addAndGet(line.length()) > charsMost) {
--- a/src/main/java/rowanmoor/controller/Controller.java
+++ b/src/main/java/rowanmoor/controller/Controller.java
@@ -33,7 +33,7 @@
 import rowanmoor.net.Ticks;
 
 /** The daemon: one {@link Driver} on one loop, with its streams, its roster and its probes. */
-public final class Controller implements Driver.Outside, ProxyStream.Owner {
+public final class Controller implements Driver.Environment, ProxyStream.Owner {
 
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
     private static final int FRAMES_MOST = 65536;
@@ -72,23 +72,23 @@
                         config.site().zones(),
                         config.site().kinds(), config.site().classNames()), text -> LOG.error("capture {}",
                                 kv("what", text)));
-        this.ticks = new Ticks(loop, config.tick(), now -> driver().tick(now), () -> driver().nextAt());
+        this.ticks = new Ticks(loop, config.tick(), now -> driver().tick(now), () -> driver().nextTickAt());
         this.driver = new Driver(settings, seed, epoch, loop.now(), this, System::nanoTime);
         this.roster = new RosterClient(loop, config.roster(), config.service(), "rowanmoor-" + config.rank(),
                 config.rosterWait(),
                 config.emptyHold(), config.site().zones(), config.site().kinds(), wall, members -> {
-                    driver.hearList(members);
+                    driver.onMembers(members);
                     members.entries().forEach(this::captureListed);
                     ticks.soon();
                 }, text -> LOG.warn("roster {}", kv("what", text)));
         LoadColumns columns = new LoadColumns(config.site().columns());
         this.prober = new Prober(loop, config.probePath(), config.probeWithin(), config.probesAtOnce(),
                 Addresses::toSocketAddress, answer -> columns.parse(answer.fields().get(Orca.FIELD)), probed -> {
-                    driver.hearProbe(probed);
+                    driver.onProbeResult(probed);
                     ticks.soon();
                 });
         this.listener = loop.listen(config.listen(), options(), this::accept);
-        driver.hearList(roster.view().initialMembers());
+        driver.onMembers(roster.view().initialMembers());
         ticks.soon();
         stats();
         LOG.info("listening {} {}", kv("at", address().getAddress().getHostAddress() + ":"
@@ -122,9 +122,9 @@
 
     @Override
     public Frame.Goodbye hello(ProxyStream stream, Frame.Hello hello) {
-        if (hello.protocol() < Frame.OLDEST_PROTOCOL || hello.protocol() > Frame.PROTOCOL) {
+        if (hello.protocolVersion() < Frame.MIN_PROTOCOL_VERSION || hello.protocolVersion() > Frame.PROTOCOL_VERSION) {
             return new Frame.Goodbye(Frame.Reason.VERSION, "this side speaks versions "
-                    + Frame.OLDEST_PROTOCOL + " to " + Frame.PROTOCOL + ", not " + hello.protocol());
+                    + Frame.MIN_PROTOCOL_VERSION + " to " + Frame.PROTOCOL_VERSION + ", not " + hello.protocolVersion());
         }
         if (hello.zone() >= config.site().zones().size()) {
             return new Frame.Goodbye(Frame.Reason.PROTOCOL, "zone " + hello.zone() + " does not exist");
@@ -140,9 +140,9 @@
             other.end(Frame.Reason.MOVING, "the same proxy has joined again");
         }
         streams.put(hello.proxy(), stream);
-        reports.streamBegins(hello.proxy(), hello.incarnation());
-        driver.joined(loop.now(), hello);
-        capture(new LoadRecord.Joined(loop.now(), hello.proxy(), hello.zone(), hello.rate()));
+        reports.streamOpened(hello.proxy(), hello.incarnation());
+        driver.onProxyJoined(loop.now(), hello);
+        capture(new LoadRecord.Joined(loop.now(), hello.proxy(), hello.zone(), hello.requestsPerSecond()));
         LOG.info("proxy joined {} {} {}", kv("proxy", hello.proxy()), kv("name", hello.name()),
                 kv("held", hello.epoch() + "/" + hello.version()));
         ticks.soon();
@@ -156,7 +156,7 @@
             return;
         }
         if (frame instanceof Frame.Applied applied) {
-            driver.applied(loop.now(), proxy, applied);
+            driver.onApplied(loop.now(), proxy, applied);
         } else if (frame instanceof Frame.Report report) {
             takeReport(stream, report);
         } else if (frame instanceof Frame.NumberedReport numbered) {
@@ -164,27 +164,27 @@
         } else if (frame instanceof Frame.Resync resync) {
             LOG.warn("proxy asks for a snapshot {} {}", kv("proxy", proxy),
                     kv("held", resync.epoch() + "/" + resync.version()));
-            driver.resync(loop.now(), proxy);
+            driver.onResync(loop.now(), proxy);
         }
         ticks.soon();
     }
 
     private void hearNumbered(ProxyStream stream, Frame.NumberedReport numbered) {
         int proxy = stream.hello().proxy();
-        ReportReceiver.Verdict verdict = reports.hear(proxy, numbered.number());
+        ReportReceiver.Verdict verdict = reports.receive(proxy, numbered.number());
         if (verdict == ReportReceiver.Verdict.GAP) {
             stream.end(Frame.Reason.PROTOCOL, "report " + numbered.number() + " does not follow on "
-                    + reports.takenUpTo(proxy));
+                    + reports.lastAccepted(proxy));
             return;
         }
-        if (verdict == ReportReceiver.Verdict.TAKEN) {
+        if (verdict == ReportReceiver.Verdict.ACCEPTED) {
             takeReport(stream, numbered.report());
         }
-        stream.send(new Frame.ReportsTaken(reports.takenUpTo(proxy)));
+        stream.send(new Frame.ReportsTaken(reports.lastAccepted(proxy)));
     }
 
     private void takeReport(ProxyStream stream, Frame.Report report) {
-        driver.report(stream.hello().proxy(), report);
+        driver.onReport(stream.hello().proxy(), report);
         captureReport(stream.hello(), report);
     }
 
@@ -195,7 +195,7 @@
             LOG.warn("stream over before it joined {} {}", kv("from", String.valueOf(
                     stream.connection() == null ? null : stream.connection().remote())), kv("why", why));
         } else if (streams.remove(hello.proxy(), stream)) {
-            driver.left(hello.proxy());
+            driver.onProxyLeft(hello.proxy());
             capture(new LoadRecord.Left(loop.now(), hello.proxy()));
             LOG.info("proxy left {} {}", kv("proxy", hello.proxy()), kv("why", why));
             ticks.soon();
@@ -222,7 +222,7 @@
 
     private void captureReport(Frame.Hello from, Frame.Report report) {
         long now = loop.now();
-        report.uses().stream().filter(u -> u.cls() < config.site().classes().size()).forEach(u ->
+        report.usages().stream().filter(u -> u.cls() < config.site().classes().size()).forEach(u ->
                 capture(new LoadRecord.Use(now, from.proxy(), from.zone(), u.cls(), u.requests(), u.failed(),
                         u.span())));
         report.tallies().forEach(t -> capture(new LoadRecord.Tried(now, from.proxy(), from.zone(),
@@ -255,7 +255,7 @@
     }
 
     @Override
-    public void decided(long now, List<Event> events, List<Action> actions, long took) {
+    public void onDecision(long now, List<Event> events, List<Action> actions, long took) {
         decided.recordValue(Math.min(took, HIGHEST_TIMED));
         if (trace != null) {
             trace.write(now, events, actions);
@@ -264,11 +264,11 @@
 
     private void stats() {
         Runtime runtime = Runtime.getRuntime();
-        LOG.info("stats {} {} {} {} {} {} {} {} {} {} {} {}", kv("joined", driver.joinedCount()),
-                kv("waiting", Math.round(driver.waitingLines())),
-                kv("mostWaiting", Math.round(driver.mostWaitingLines())),
-                kv("lines", Math.round(driver.totalLines())),
-                kv("mostReportsWaiting", driver.mostWaitingReports()),
+        LOG.info("stats {} {} {} {} {} {} {} {} {} {} {} {}", kv("joined", driver.joinedProxyCount()),
+                kv("waiting", Math.round(driver.queuedLines())),
+                kv("mostWaiting", Math.round(driver.maxQueuedLines())),
+                kv("lines", Math.round(driver.totalQueuedLines())),
+                kv("mostReportsWaiting", driver.maxPendingReportLines()),
                 kv("captureDropped", capture == null ? 0 : capture.dropped()), kv("decides",
                         decided.getTotalCount()),
                 kv("decideP50us", decided.getValueAtPercentile(50) / 1000),
--- a/src/main/java/rowanmoor/controller/Driver.java
+++ b/src/main/java/rowanmoor/controller/Driver.java
@@ -26,14 +26,14 @@
 /**
  * One {@link RoutingPolicy} and all that stands between it and the sockets, without any I/O: feeds it what was
  * heard, in one order; turns what it orders into one message for each proxy concerned; paces the channel.
- * Its caller passes the time and carries out what {@link Outside} asks.
+ * Its caller passes the time and carries out what {@link Environment} asks.
  *
  * <p>The order within a tick is that of {@link Turns}.
  */
 public final class Driver {
 
     /** What a tick asks of the world outside. */
-    public interface Outside {
+    public interface Environment {
 
         void watch(boolean on);
 
@@ -45,7 +45,7 @@
         void log(String text);
 
         /** What was fed and what was ordered in one tick. */
-        default void decided(long now, List<Event> events, List<Action> actions, long took) { }
+        default void onDecision(long now, List<Event> events, List<Action> actions, long took) { }
     }
 
     /** A message before it has a version: an update's orders, or null for a snapshot. */
@@ -64,7 +64,7 @@
 
     private final Settings settings;
     private final long epoch;
-    private final Outside outside;
+    private final Environment outside;
     private final Turns turns;
     private final Fanout fanout;
     private final Intake intake;
@@ -77,7 +77,7 @@
      * @param epoch names this start of this controller; never the same twice
      * @param stopwatch a clock for measuring how long the module takes, and for nothing else
      */
-    public Driver(Settings settings, long seed, long epoch, long now, Outside outside,
+    public Driver(Settings settings, long seed, long epoch, long now, Environment outside,
             LongSupplier stopwatch) {
         this.settings = settings;
         this.turns = new Turns(settings, seed, stopwatch);
@@ -90,25 +90,25 @@
 
     // ---- what is heard -------------------------------------------------------------------------------
 
-    public void hearList(Members members) {
+    public void onMembers(Members members) {
         fanout.hearList(members);
         turns.hearList(members);
     }
 
-    public void hearProbe(ControlApi.Probed probed) {
+    public void onProbeResult(ControlApi.Probed probed) {
         turns.hearProbe(probed);
     }
 
     /** A proxy's stream is up. It gets a snapshot without bindings, which it answers by keeping its own. */
-    public void joined(long now, Frame.Hello hello) {
+    public void onProxyJoined(long now, Frame.Hello hello) {
         fanout.join(hello.proxy());
         Peer peer = new Peer(hello.zone());
         peers.put(hello.proxy(), peer);
-        turns.hearStream(new ProxyJoined(hello.proxy(), hello.zone(), hello.rate(), hello.fresh()));
+        turns.hearStream(new ProxyJoined(hello.proxy(), hello.zone(), hello.requestsPerSecond(), hello.fresh()));
         outside.send(hello.proxy(), snapshot(hello.proxy(), peer, now));
     }
 
-    public void left(int proxy) {
+    public void onProxyLeft(int proxy) {
         if (peers.remove(proxy) != null) {
             fanout.leave(proxy);
             turns.hearStream(new ProxyLeft(proxy));
@@ -117,7 +117,7 @@
     }
 
     /** A mark was answered; one of another epoch, or one never set, is not passed on. */
-    public void applied(long now, int proxy, Frame.Applied applied) {
+    public void onApplied(long now, int proxy, Frame.Applied applied) {
         Long since = applied.epoch() == epoch ? markedAt.get(applied.mark()) : null;
         if (since != null && peers.containsKey(proxy)) {
             turns.hearStream(new Applied(proxy, applied.mark(), now - since));
@@ -125,21 +125,21 @@
     }
 
     /** Takes a report in; what it says of backends never listed is counted and left out. */
-    public void report(int proxy, Frame.Report report) {
+    public void onReport(int proxy, Frame.Report report) {
         Peer peer = peers.get(proxy);
         if (peer == null) {
             return;
         }
         List<Frame.Tally> known = report.tallies().stream().filter(t -> fanout.knows(t.backend()))
                 .toList();
-        List<Frame.Use> uses = report.uses().stream().filter(u -> u.cls() < settings.classes().size())
+        List<Frame.Use> uses = report.usages().stream().filter(u -> u.cls() < settings.classes().size())
                 .toList();
-        unlisted += report.tallies().size() - known.size() + report.uses().size() - uses.size();
+        unlisted += report.tallies().size() - known.size() + report.usages().size() - uses.size();
         intake.hear(proxy, peer.zone, new Frame.Report(known, uses));
     }
 
     /** A proxy has lost the thread: all that is ordered for it is sent anew, through the channel. */
-    public void resync(long now, int proxy) {
+    public void onResync(long now, int proxy) {
         Peer peer = peers.get(proxy);
         if (peer != null && !peer.snapshotWaits) {
             peer.snapshotWaits = true; // however often it asks, one at a time waits in the channel
@@ -169,13 +169,13 @@
         Turns.Turn turn = turns.turn(now);
         if (turn != null) {
             carryOut(now, turn.actions());
-            outside.decided(now, turn.events(), turn.actions(), turn.took());
+            outside.onDecision(now, turn.events(), turn.actions(), turn.took());
         }
         depart(now);
     }
 
     /** When a tick is next due, if nothing more is heard. */
-    public long nextAt() {
+    public long nextTickAt() {
         long told = turns.knowsBackends() ? intake.nextAt() : Long.MAX_VALUE;
         return Math.min(turns.nextAt(), Math.min(told, outbox.nextAt()));
     }
@@ -183,7 +183,7 @@
     private void carryOut(long now, List<Action> actions) {
         fanout.messages(actions).forEach((proxy, orders) -> outbox.add(now, proxy,
                 new Draft(List.copyOf(orders), null),
-                settings.channel().head() + orders.stream().mapToInt(Frame::lines).sum()));
+                settings.channel().head() + orders.stream().mapToInt(Frame::lineCount).sum()));
         for (Action action : actions) {
             if (action instanceof Mark a) {
                 markedAt.put(a.number(), now);
@@ -216,7 +216,7 @@
                 Frame.Snapshot s = draft.snapshot();
                 peer.snapshotWaits = false;
                 outside.send(entry.proxy(), new Frame.Snapshot(epoch, ++peer.version, entry.orderedAt(),
-                        waiting, s.tables(), s.bindings(), s.withdrawn(), s.overall()));
+                        waiting, s.tables(), s.bindings(), s.withdrawn(), s.globalLevels()));
             }
         }
     }
@@ -227,7 +227,7 @@
         return epoch;
     }
 
-    public int joinedCount() {
+    public int joinedProxyCount() {
         return peers.size();
     }
 
@@ -236,19 +236,19 @@
     }
 
     /** Lines that wait in the channel, heads among them. */
-    public double waitingLines() {
+    public double queuedLines() {
         return outbox.waiting();
     }
 
-    public double mostWaitingLines() {
+    public double maxQueuedLines() {
         return outbox.mostWaiting();
     }
 
-    public double totalLines() {
+    public double totalQueuedLines() {
         return outbox.totalLines();
     }
 
-    public int mostWaitingReports() {
+    public int maxPendingReportLines() {
         return intake.mostWaiting();
     }
 
@@ -258,7 +258,7 @@
     }
 
     /** Report lines of backends never listed, or of classes that do not exist. */
-    public long unlistedReports() {
+    public long ignoredReportLines() {
         return unlisted;
     }
 }
--- a/src/main/java/rowanmoor/controller/Intake.java
+++ b/src/main/java/rowanmoor/controller/Intake.java
@@ -76,7 +76,7 @@
             sum.latency = plus(sum.latency, tally.latencySum());
             sum.load = tally.load().isEmpty() ? sum.load : tally.load();
         }
-        for (Frame.Use use : report.uses()) {
+        for (Frame.Use use : report.usages()) {
             Sum sum = gathering.computeIfAbsent(new Place(true, proxy, use.cls()), p -> new Sum());
             sum.count += use.requests();
             sum.failed += use.failed();
--- a/src/main/java/rowanmoor/controller/ProxyStream.java
+++ b/src/main/java/rowanmoor/controller/ProxyStream.java
@@ -1,7 +1,7 @@
 package rowanmoor.controller;
 
 import java.nio.ByteBuffer;
-import rowanmoor.channel.ChannelError;
+import rowanmoor.channel.ChannelException;
 import rowanmoor.channel.ChannelLimits;
 import rowanmoor.channel.Codec;
 import rowanmoor.channel.Frame;
@@ -37,7 +37,7 @@
     private final Owner owner;
     private final long helloWithin;
     private final long pingEvery;
-    private final FrameReader reader = new FrameReader(ChannelLimits.usual());
+    private final FrameReader reader = new FrameReader(ChannelLimits.defaults());
     private Connection connection;
     private Timer timer;
     private Frame.Hello hello;
@@ -75,7 +75,7 @@
                     take(frame);
                 }
             }
-        } catch (ChannelError e) {
+        } catch (ChannelException e) {
             end(Frame.Reason.PROTOCOL, e.getMessage());
         }
     }
--- a/src/main/java/rowanmoor/controller/Trace.java
+++ b/src/main/java/rowanmoor/controller/Trace.java
@@ -21,7 +21,7 @@
 /**
  * What a module was told and what it ordered, tick by tick, as JSON lines: enough to feed another instance
  * the same and compare. The first line has the settings and the seed. It is written beside the loop
- * ({@link LineFile}): a disk that stalls or is full ends the trace, and nothing else.
+ * ({@link AsyncLineWriter}): a disk that stalls or is full ends the trace, and nothing else.
  */
 public final class Trace implements Closeable {
 
@@ -30,7 +30,7 @@
 
     private static final ObjectMapper JSON = mapper();
     private static final long CHARS_MOST = 1 << 25;
-    private final LineFile out;
+    private final AsyncLineWriter out;
 
     private static ObjectMapper mapper() {
         ObjectMapper mapper = new ObjectMapper();
@@ -47,7 +47,7 @@
 
     /** @param lost hears once, on any thread, why the trace has ended before its time */
     Trace(Path file, Settings settings, long seed, Consumer<String> lost) throws IOException {
-        out = new LineFile(Files.newBufferedWriter(file), CHARS_MOST, lost);
+        out = new AsyncLineWriter(Files.newBufferedWriter(file), CHARS_MOST, lost);
         ObjectNode head = JSON.createObjectNode();
         head.put("seed", seed);
         head.set("settings", JSON.valueToTree(settings));
@@ -55,7 +55,7 @@
     }
 
     void write(long now, List<Event> events, List<Action> actions) {
-        if (!out.open()) {
+        if (!out.isOpen()) {
             return;
         }
         ObjectNode tick = JSON.createObjectNode();
--- a/src/main/java/rowanmoor/emulator/Emulator.java
+++ b/src/main/java/rowanmoor/emulator/Emulator.java
@@ -644,7 +644,7 @@
         int c = joinedTo[p];
         if (c >= 0 && !cut[p]) {
             Frame.Report report = tallies[p].takeReport(now);
-            if (!report.tallies().isEmpty() || !report.uses().isEmpty()) {
+            if (!report.tallies().isEmpty() || !report.usages().isEmpty()) {
                 agenda.add(now + model.sameZone(), HEARD, p, parcel(withLoad(report)));
             }
         }
@@ -663,7 +663,7 @@
         }
         return new Frame.Report(report.tallies().stream().map(t -> new Frame.Tally(t.backend(), t.tries(),
                 t.failed(), t.latencySum(), t.span(), t.tries() == t.failed() ? List.of()
-                        : load((int) (t.backend().id() >> 16 & 0xffffff)))).toList(), report.uses());
+                        : load((int) (t.backend().id() >> 16 & 0xffffff)))).toList(), report.usages());
     }
 
     private void dropIdle(int p) {
@@ -823,7 +823,7 @@
     /** A message under way to a proxy's stream. */
     private record Sent(int stream, Frame frame) { }
 
-    private final class Surroundings implements Driver.Outside {
+    private final class Surroundings implements Driver.Environment {
         private final int rank;
 
         Surroundings(int rank) {
@@ -852,7 +852,7 @@
         public void log(String text) { }
 
         @Override
-        public void decided(long at, List<rowanmoor.ControlApi.Event> heard,
+        public void onDecision(long at, List<rowanmoor.ControlApi.Event> heard,
                 List<rowanmoor.ControlApi.Action> ordered, long took) {
             outcome.controllers().get(rank).decisions++;
         }
@@ -861,7 +861,7 @@
     private void startController(int rank, long seed) {
         drivers[rank] = new Driver(model.site().settings(drivers.length), seed, ++epochs, now,
                 new Surroundings(rank), () -> 0);
-        drivers[rank].hearList(new Members(ListKind.CACHED, version, List.of()));
+        drivers[rank].onMembers(new Members(ListKind.CACHED, version, List.of()));
         dead[rank] = false;
         tickAt[rank] = Long.MAX_VALUE;
         tickBy(rank, now);
@@ -869,9 +869,9 @@
 
     private void settle(int rank) {
         Outcome.ControllerMet met = outcome.controllers().get(rank);
-        met.mostLines = Math.max(met.mostLines, drivers[rank].mostWaitingLines());
-        met.lines += drivers[rank].totalLines();
-        met.mostReports = Math.max(met.mostReports, drivers[rank].mostWaitingReports());
+        met.mostLines = Math.max(met.mostLines, drivers[rank].maxQueuedLines());
+        met.lines += drivers[rank].totalQueuedLines();
+        met.mostReports = Math.max(met.mostReports, drivers[rank].maxPendingReportLines());
     }
 
     private void tickBy(int rank, long time) {
@@ -889,7 +889,7 @@
         tickAt[rank] = Long.MAX_VALUE;
         lastTick[rank] = now;
         drivers[rank].tick(now);
-        long next = drivers[rank].nextAt();
+        long next = drivers[rank].nextTickAt();
         if (next != Long.MAX_VALUE) {
             tickBy(rank, Math.max(next, now));
         }
@@ -911,7 +911,7 @@
         boolean fresh = routers[p].hasOnlyStandingTable();
         routers[p].onStreamOpened();
         double rate = model.rate() * model.proxyWeights()[p] / proxySums[proxySums.length - 1];
-        drivers[rank].joined(now, new Frame.Hello(Frame.PROTOCOL, p, p, model.proxyZones()[p], rate, fresh,
+        drivers[rank].onProxyJoined(now, new Frame.Hello(Frame.PROTOCOL_VERSION, p, p, model.proxyZones()[p], rate, fresh,
                 routers[p].epoch(), routers[p].version(), "p"));
         tickBy(rank, now);
     }
@@ -944,9 +944,9 @@
             return;
         }
         if (frame instanceof Frame.Applied applied) {
-            drivers[rank].applied(now, p, applied);
+            drivers[rank].onApplied(now, p, applied);
         } else if (frame instanceof Frame.Report report) {
-            drivers[rank].report(p, report);
+            drivers[rank].onReport(p, report);
         }
         tickBy(rank, now);
     }
@@ -957,7 +957,7 @@
             int most = model.machines().get(b).connections();
             boolean full = idle != null && most > 0 && connections[b] >= most; // a probe needs one of its own
             boolean up = !down && !full;
-            drivers[rank].hearProbe(new Probed(backends[b], up, up ? Prober.STATUS_OK : down ? Prober.STATUS_UNREACHABLE
+            drivers[rank].onProbeResult(new Probed(backends[b], up, up ? Prober.STATUS_OK : down ? Prober.STATUS_UNREACHABLE
                     : Prober.STATUS_CONNECTION_LOST, 2 * model.sameZone(), up ? load(b) : List.of()));
             tickBy(rank, now);
         }
@@ -969,7 +969,7 @@
             return;
         }
         if (rosterDown) {
-            drivers[rank].hearList(new Members(ListKind.FAILED, version, List.of()));
+            drivers[rank].onMembers(new Members(ListKind.FAILED, version, List.of()));
         } else {
             List<Member> members = new ArrayList<>();
             for (int b = 0; b < backends.length; b++) {
@@ -979,7 +979,7 @@
                             startedAt[b]));
                 }
             }
-            drivers[rank].hearList(new Members(ListKind.FULL, version, members));
+            drivers[rank].onMembers(new Members(ListKind.FULL, version, members));
         }
         tickBy(rank, now);
     }
@@ -1036,7 +1036,7 @@
         int rank = joinedTo[p];
         joinedTo[p] = -1;
         if (!dead[rank]) {
-            drivers[rank].left(p);
+            drivers[rank].onProxyLeft(p);
             tickBy(rank, now);
         }
         agenda.add(now + notice + (long) (REDIAL * (0.5 + ways.nextDouble())), JOIN, p, next);
--- a/src/main/java/rowanmoor/lab/Charts.java
+++ b/src/main/java/rowanmoor/lab/Charts.java
@@ -14,7 +14,7 @@
 import org.knowm.xchart.VectorGraphicsEncoder.VectorGraphicsFormat;
 import org.knowm.xchart.XYChart;
 import org.knowm.xchart.XYChartBuilder;
-import rowanmoor.channel.ChannelError;
+import rowanmoor.channel.ChannelException;
 import rowanmoor.channel.ChannelLimits;
 import rowanmoor.channel.Frame;
 import rowanmoor.channel.FrameReader;
@@ -68,7 +68,7 @@
         Map<String, FrameReader> readers = new HashMap<>();
         for (Evidence.Tapped tap : played.evidence().taps()) {
             FrameReader reader = readers.computeIfAbsent(tap.proxy() + "/" + tap.stream(),
-                    k -> new FrameReader(ChannelLimits.usual()));
+                    k -> new FrameReader(ChannelLimits.defaults()));
             ByteBuffer bytes = ByteBuffer.wrap(tap.bytes());
             int second = second(tap.at());
             try {
@@ -79,7 +79,7 @@
                         update.orders().forEach(o -> levels(o, second, levels));
                     }
                 }
-            } catch (ChannelError e) {
+            } catch (ChannelException e) {
                 readers.remove(tap.proxy() + "/" + tap.stream()); // the judge tells of it
             }
         }
@@ -92,7 +92,7 @@
                 : order instanceof Frame.Bind b ? b.table().levels() : List.of();
         for (Frame.Level level : all) {
             for (int c = 0; c < played.met().size(); c++) {
-                if ((level.classes() >> c & 1) == 1 && level.level() < OPEN) {
+                if ((level.classMask() >> c & 1) == 1 && level.level() < OPEN) {
                     double[] its = levels.computeIfAbsent(played.day().site().classNames().get(c),
                             k -> new double[seconds]);
                     its[second] = its[second] == 0 ? level.level() : Math.min(its[second], level.level());
--- a/src/main/java/rowanmoor/lab/ControllerLoops.java
+++ b/src/main/java/rowanmoor/lab/ControllerLoops.java
@@ -70,9 +70,9 @@
             Outcome.ControllerMet met = new Outcome.ControllerMet();
             if (newest.containsKey(rank)) {
                 var driver = newest.get(rank).driver();
-                met.lines = driver.totalLines();
-                met.mostLines = driver.mostWaitingLines();
-                met.mostReports = driver.mostWaitingReports();
+                met.lines = driver.totalQueuedLines();
+                met.mostLines = driver.maxQueuedLines();
+                met.mostReports = driver.maxPendingReportLines();
             }
             all.add(met);
         }
--- a/src/main/java/rowanmoor/lab/Fuzz.java
+++ b/src/main/java/rowanmoor/lab/Fuzz.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Retry;
-import rowanmoor.channel.ChannelError;
+import rowanmoor.channel.ChannelException;
 import rowanmoor.channel.ChannelLimits;
 import rowanmoor.channel.Codec;
 import rowanmoor.channel.Frame;
@@ -102,7 +102,7 @@
                         .toString());
                 default -> http(input, most, story);
             }
-        } catch (ChannelError | HttpError | KdlError e) {
+        } catch (ChannelException | HttpError | KdlError e) {
             story.add(e.getMessage());
             if (most == input.length) {
                 refused++;
@@ -116,7 +116,7 @@
         return story.toString();
     }
 
-    private void channel(byte[] input, int most, List<String> story) throws ChannelError {
+    private void channel(byte[] input, int most, List<String> story) throws ChannelException {
         FrameReader reader = new FrameReader(CHANNEL_LIMITS);
         for (ByteBuffer piece : pieces(input, most)) {
             while (piece.hasRemaining()) {
@@ -231,7 +231,7 @@
         Backend backend = new Backend(0x7f0000011f90L);
         Frame.Level level = new Frame.Level(3, 12.5, Retry.ONCE_UNRUN);
         Frame.Table table = new Frame.Table(7, List.of(new Frame.Line(backend, 2.5)), List.of(level));
-        return List.of(new Frame.Hello(Frame.PROTOCOL, 4, 99, 1, 20, true, 5, 6, "relay"),
+        return List.of(new Frame.Hello(Frame.PROTOCOL_VERSION, 4, 99, 1, 20, true, 5, 6, "relay"),
                 new Frame.Snapshot(5, 6, 7, 8, List.of(table), List.of(new Frame.Binding(7, 3)),
                         List.of(backend), List.of(level)),
                 new Frame.Update(5, 7, 8, 9, List.of(new Frame.SetLine(7, new Frame.Line(backend, 1)),
--- a/src/main/java/rowanmoor/lab/Judge.java
+++ b/src/main/java/rowanmoor/lab/Judge.java
@@ -15,7 +15,7 @@
 import rowanmoor.ControlApi.Group;
 import rowanmoor.ControlApi.Listed;
 import rowanmoor.ControlApi.Rules;
-import rowanmoor.channel.ChannelError;
+import rowanmoor.channel.ChannelException;
 import rowanmoor.channel.ChannelLimits;
 import rowanmoor.channel.Frame;
 import rowanmoor.channel.FrameReader;
@@ -132,7 +132,7 @@
         for (Evidence.Tapped tap : taps) {
             if (tap.what() == Evidence.What.OPENED) {
                 mirror.opened();
-                reader = new FrameReader(ChannelLimits.usual());
+                reader = new FrameReader(ChannelLimits.defaults());
                 stay = null;
             } else if (tap.what() == Evidence.What.CLOSED) {
                 if (stay != null) {
@@ -174,7 +174,7 @@
     private Frame next(FrameReader reader, ByteBuffer bytes, int proxy, long at) {
         try {
             return reader.next(bytes);
-        } catch (ChannelError e) {
+        } catch (ChannelException e) {
             bytes.position(bytes.limit());
             misnumbered++;
             firstMisnumbered.note(at, "proxy " + proxy + " read what is no frame: " + e.getMessage());
@@ -184,8 +184,8 @@
 
     private void note(Frame frame, long at, Stay stay) {
         if (frame instanceof Frame.Update update) {
-            double lines = channel.head() + update.orders().stream().mapToInt(Frame::lines).sum();
-            messages.add(new Message(update.epoch(), update.orderedAt(), at, lines, update.waiting()));
+            double lines = channel.head() + update.orders().stream().mapToInt(Frame::lineCount).sum();
+            messages.add(new Message(update.epoch(), update.orderedAtNs(), at, lines, update.queuedLines()));
             if (stay != null) {
                 stay.messages.add(at);
             }
@@ -193,7 +193,7 @@
             // One that was asked for goes through the channel; a stream's first has no bindings and does not.
             double lines = channel.head() + s.withdrawn().size() + s.tables().stream()
                     .mapToInt(t -> 1 + t.lines().size() + t.levels().size()).sum();
-            messages.add(new Message(s.epoch(), s.orderedAt(), at, lines, s.waiting()));
+            messages.add(new Message(s.epoch(), s.orderedAtNs(), at, lines, s.queuedLines()));
         }
     }
 
--- a/src/main/java/rowanmoor/lab/Mirror.java
+++ b/src/main/java/rowanmoor/lab/Mirror.java
@@ -61,7 +61,7 @@
                 withdrawn.clear();
                 withdrawn.addAll(s.withdrawn());
                 s.tables().forEach(this::put);
-                s.bindings().forEach(b -> bind(b.classes(), b.table()));
+                s.bindings().forEach(b -> bind(b.classMask(), b.table()));
             }
         } else if (frame instanceof Frame.Update u) {
             if (version < 0) {
@@ -86,7 +86,7 @@
         } else if (order instanceof Frame.Clear o) {
             table(o.table()).clear();
         } else if (order instanceof Frame.Withdraw o) {
-            withdraw(o.backend(), o.out());
+            withdraw(o.backend(), o.withdrawn());
         } else if (order instanceof Frame.Bind o) {
             if (!bound) {
                 withdrawn.clear();
@@ -95,7 +95,7 @@
             put(o.table());
             o.table().lines().forEach(l -> withdrawn.remove(l.backend()));
             withdrawn.addAll(o.withdrawn());
-            bind(o.classes(), o.table().number());
+            bind(o.classMask(), o.table().number());
         }
     }
 
--- a/src/main/java/rowanmoor/platform/Translator.java
+++ b/src/main/java/rowanmoor/platform/Translator.java
@@ -51,22 +51,22 @@
         int mark = -1;
         for (Frame.Order order : orders) {
             if (order instanceof Frame.Bind bind) {
-                Part part = new Part(bind.classes());
+                Part part = new Part(bind.classMask());
                 part.full = true;
                 parts.add(part);
                 bind.table().lines().forEach(l -> part.lines.put(l.backend(), l.weight()));
-                eachClass(bind.classes(), levels::remove);
-                bind.table().levels().forEach(l -> eachClass(l.classes() & bind.classes(), c ->
+                eachClass(bind.classMask(), levels::remove);
+                bind.table().levels().forEach(l -> eachClass(l.classMask() & bind.classMask(), c ->
                         levels.put(c, l)));
                 bind.withdrawn().forEach(b -> shut.put(b, true));
             } else if (order instanceof Frame.SetLine line) {
                 change(parts, fanout.classesOn(proxy, line.table())).lines
                         .put(line.line().backend(), line.line().weight());
             } else if (order instanceof Frame.Admit admit) {
-                eachClass(fanout.classesOn(proxy, admit.table()) & admit.level().classes(), c ->
+                eachClass(fanout.classesOn(proxy, admit.table()) & admit.level().classMask(), c ->
                         levels.put(c, admit.level()));
             } else if (order instanceof Frame.Withdraw withdraw) {
-                shut.put(withdraw.backend(), withdraw.out());
+                shut.put(withdraw.backend(), withdraw.withdrawn());
             } else if (order instanceof Frame.Mark m) {
                 mark = m.number();
             }
--- a/src/main/java/rowanmoor/proxy/ChannelClient.java
+++ b/src/main/java/rowanmoor/proxy/ChannelClient.java
@@ -7,7 +7,7 @@
 import java.util.random.RandomGenerator;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import rowanmoor.channel.ChannelError;
+import rowanmoor.channel.ChannelException;
 import rowanmoor.channel.ChannelLimits;
 import rowanmoor.channel.Codec;
 import rowanmoor.channel.Frame;
@@ -67,7 +67,7 @@
             return;
         }
         calling = redial.controller();
-        protocol = oldControllers.contains(calling) ? Frame.OLDEST_PROTOCOL : Frame.PROTOCOL;
+        protocol = oldControllers.contains(calling) ? Frame.MIN_PROTOCOL_VERSION : Frame.PROTOCOL_VERSION;
         InetSocketAddress to = config.controllers().get(calling);
         connection = loop.connect(config.localAddress(), to, Connection.Options.usual()
                 .connectWithin(config.controllerTimeoutNs()).idleAfter(config.controllerTimeoutNs()), this);
@@ -99,7 +99,7 @@
     }
 
     private void sendReports() {
-        if (protocol == Frame.OLDEST_PROTOCOL) {
+        if (protocol == Frame.MIN_PROTOCOL_VERSION) {
             reports.sendUnnumbered(this::send);
         } else {
             reports.send(this::send);
@@ -113,7 +113,7 @@
     @Override
     public void opened(Connection its) {
         tap.opened(config.number(), ++streams, loop.now());
-        reader = new FrameReader(ChannelLimits.usual());
+        reader = new FrameReader(ChannelLimits.defaults());
         boolean fresh = router.hasOnlyStandingTable();
         router.onStreamOpened();
         unasked = false;
@@ -135,14 +135,14 @@
                     take(frame);
                 }
             }
-        } catch (ChannelError e) {
+        } catch (ChannelException e) {
             send(new Frame.Goodbye(Frame.Reason.PROTOCOL, e.getMessage()));
             connection.end();
             LOG.warn("proxy {}: the controller's stream is broken: {}", config.number(), e.getMessage());
         }
     }
 
-    private void take(Frame frame) throws ChannelError {
+    private void take(Frame frame) throws ChannelException {
         if (frame instanceof Frame.Snapshot snapshot) {
             router.apply(snapshot);
             if (!up) {
@@ -169,14 +169,14 @@
                     goodbye.text());
             connection.close(Close.LOCAL, "goodbye: " + goodbye.reason());
         } else if (!(frame instanceof Frame.Pong)) {
-            throw new ChannelError("a frame that a controller may not send: "
+            throw new ChannelException("a frame that a controller may not send: "
                     + frame.getClass().getSimpleName());
         }
     }
 
-    private void take(Frame.ReportsTaken taken) throws ChannelError {
+    private void take(Frame.ReportsTaken taken) throws ChannelException {
         if (!reports.acknowledge(taken.upTo())) {
-            throw new ChannelError("an acknowledgement of report " + taken.upTo() + ", which was not sent");
+            throw new ChannelException("an acknowledgement of report " + taken.upTo() + ", which was not sent");
         }
         sendReports();
         reportsChanged.run();
--- a/src/main/java/rowanmoor/proxy/ReportQueue.java
+++ b/src/main/java/rowanmoor/proxy/ReportQueue.java
@@ -30,7 +30,7 @@
     void cut(long now) {
         if (unacknowledged.size() < UNACKNOWLEDGED_MOST) {
             Frame.Report report = tallies.takeReport(now);
-            if (!report.tallies().isEmpty() || !report.uses().isEmpty()) {
+            if (!report.tallies().isEmpty() || !report.usages().isEmpty()) {
                 unacknowledged.add(new Frame.NumberedReport(++lastNumber, report));
             }
         }
--- a/src/main/java/rowanmoor/proxy/Router.java
+++ b/src/main/java/rowanmoor/proxy/Router.java
@@ -147,9 +147,9 @@
         withdrawn.clear();
         withdrawn.addAll(snapshot.withdrawn());
         Arrays.fill(overall, null);
-        snapshot.overall().forEach(level -> set(overall, level));
+        snapshot.globalLevels().forEach(level -> set(overall, level));
         snapshot.tables().forEach(this::put);
-        snapshot.bindings().forEach(b -> hold(b.classes(), tables.computeIfAbsent(b.table(),
+        snapshot.bindings().forEach(b -> hold(b.classMask(), tables.computeIfAbsent(b.table(),
                 n -> new Table(held.length))));
     }
 
@@ -194,7 +194,7 @@
             table.lines.clear();
             Arrays.fill(table.levels, null);
         } else if (order instanceof Frame.Withdraw o) {
-            withdraw(o.backend(), o.out());
+            withdraw(o.backend(), o.withdrawn());
         } else if (order instanceof Frame.Admit o) {
             set(o.table() == ControlApi.ALL_TABLES ? overall : tables.computeIfAbsent(o.table(),
                     n -> new Table(held.length)).levels, o.level());
@@ -206,7 +206,7 @@
             }
             o.table().lines().forEach(line -> withdraw(line.backend(), false));
             o.withdrawn().forEach(backend -> withdraw(backend, true));
-            hold(o.classes(), put(o.table()));
+            hold(o.classMask(), put(o.table()));
         }
     }
 
@@ -237,7 +237,7 @@
 
     private void set(Frame.Level[] levels, Frame.Level level) {
         for (int c = 0; c < levels.length; c++) {
-            if (level.classes() == 0 || (level.classes() >> c & 1) == 1) {
+            if (level.classMask() == 0 || (level.classMask() >> c & 1) == 1) {
                 levels[c] = level;
             }
         }
--- a/src/main/java/rowanmoor/standin/BackendModel.java
+++ b/src/main/java/rowanmoor/standin/BackendModel.java
@@ -203,7 +203,7 @@
         }
     }
 
-    /** Moves on to a time at which nothing ends before it; see {@link #nextAt}. */
+    /** Moves on to a time at which nothing ends before it; see {@link #nextTickAt}. */
     private void advance(long now) {
         double seconds = (now - at) / SECOND;
         busySeconds += seconds * Math.min(inWork, spec.cores());
--- a/src/test/java/rowanmoor/channel/ChannelDocTest.java
+++ b/src/test/java/rowanmoor/channel/ChannelDocTest.java
@@ -18,7 +18,7 @@
 class ChannelDocTest {
 
     @Test
-    void theDocumentsBytesAreTheCodes() throws IOException, ChannelError {
+    void theDocumentsBytesAreTheCodes() throws IOException, ChannelException {
         List<Frame> frames = List.of(
                 new Frame.Hello(1, 41, 0x1122334455667788L, 1, 12.5, true, 0, 0, "relay-41"),
                 new Frame.Update(77, 3, 1000, 9, List.of(new Frame.SetLine(2, new Frame.Line(
@@ -36,7 +36,7 @@
             bytes.get(copy);
             assertEquals(HexFormat.of().formatHex(copy), blocks.get(i));
             ByteBuffer read = ByteBuffer.wrap(HexFormat.of().parseHex(blocks.get(i)));
-            assertEquals(frames.get(i), new FrameReader(ChannelLimits.usual()).next(read));
+            assertEquals(frames.get(i), new FrameReader(ChannelLimits.defaults()).next(read));
         }
     }
 }
--- a/src/test/java/rowanmoor/channel/CodecTest.java
+++ b/src/test/java/rowanmoor/channel/CodecTest.java
@@ -42,7 +42,7 @@
     }
 
     @Property(seed = "31", tries = 100)
-    void framesComeBackAsTheyWentHoweverTheyAreSplit(@ForAll long seed) throws ChannelError {
+    void framesComeBackAsTheyWentHoweverTheyAreSplit(@ForAll long seed) throws ChannelException {
         Random random = new Random(seed);
         List<Frame> frames = samples(random);
         FrameReader reader = new FrameReader(LIMITS);
@@ -78,7 +78,7 @@
         }
         try {
             Codec.decode(ByteBuffer.wrap(bytes, 4, bytes.length - 4).slice(), LIMITS);
-        } catch (ChannelError e) {
+        } catch (ChannelException e) {
             assertTrue(e.getMessage() != null);
         }
     }
@@ -87,44 +87,44 @@
     void aLengthOf4GiBIsRefusedBeforeAnythingIsAllocated() {
         FrameReader reader = new FrameReader(LIMITS);
         ByteBuffer length = ByteBuffer.allocate(4).putInt(0xffffffff).flip();
-        assertThrows(ChannelError.class, () -> reader.next(length));
-        assertThrows(ChannelError.class, () -> reader.next(Codec.encode(new Frame.Ping(1))));
+        assertThrows(ChannelException.class, () -> reader.next(length));
+        assertThrows(ChannelException.class, () -> reader.next(Codec.encode(new Frame.Ping(1))));
     }
 
     @Test
     void aListLongerThanItsFrameIsRefusedByItsCount() {
         ByteBuffer frame = ByteBuffer.allocate(64).put((byte) 5).putShort((short) 49).put(new byte[40]).flip();
-        assertThrows(ChannelError.class, () -> Codec.decode(frame, LIMITS));
+        assertThrows(ChannelException.class, () -> Codec.decode(frame, LIMITS));
     }
 
     @Test
-    void aHelloFromAnUnknownVersionIsReadAsFarAsItsVersion() throws ChannelError {
+    void aHelloFromAnUnknownVersionIsReadAsFarAsItsVersion() throws ChannelException {
         ByteBuffer frame = ByteBuffer.allocate(16).put((byte) 1).putInt(0x52574d43).putShort((short) 900)
                 .put(new byte[] {1, 2, 3}).flip();
-        assertEquals(900, ((Frame.Hello) Codec.decode(frame, LIMITS)).protocol());
+        assertEquals(900, ((Frame.Hello) Codec.decode(frame, LIMITS)).protocolVersion());
     }
 
     @Test
     void bytesBehindTheLastFieldAndNegativeWeightsAreRefused() {
         byte[] ping = Codec.encode(new Frame.Ping(1)).array();
         ByteBuffer more = ByteBuffer.allocate(20).put(ping, 4, 9).put((byte) 0).flip();
-        assertThrows(ChannelError.class, () -> Codec.decode(more, LIMITS));
+        assertThrows(ChannelException.class, () -> Codec.decode(more, LIMITS));
         ByteBuffer negative = Codec.encode(new Frame.Update(1, 1, 1, 1, List.of(new Frame.SetLine(1,
                 new Frame.Line(new Backend(1), -1))))).position(4).slice();
-        assertThrows(ChannelError.class, () -> Codec.decode(negative, LIMITS));
+        assertThrows(ChannelException.class, () -> Codec.decode(negative, LIMITS));
     }
 
     @Test
-    void aFrameCutInTheMiddleIsNotYetOne() throws ChannelError {
+    void aFrameCutInTheMiddleIsNotYetOne() throws ChannelException {
         FrameReader reader = new FrameReader(LIMITS);
         ByteBuffer bytes = Codec.encode(new Frame.Ping(5));
         bytes.limit(7);
         assertNull(reader.next(bytes));
-        assertTrue(reader.inFrame());
+        assertTrue(reader.hasPartialFrame());
     }
 
     @Test
-    void aTallyWhoseLatenciesCannotBeIsRefused() throws ChannelError {
+    void aTallyWhoseLatenciesCannotBeIsRefused() throws ChannelException {
         for (long good : new long[] {0, 10}) {
             for (int over = 0; over < 2; over++) {
                 long sum = good * 86_400_000_000_000L + over * 86_400_000_000_000L;
@@ -134,7 +134,7 @@
                 if (over == 0) {
                     assertTrue(reader.next(bytes) instanceof Frame.Report);
                 } else {
-                    ChannelError e = assertThrows(ChannelError.class, () -> reader.next(bytes));
+                    ChannelException e = assertThrows(ChannelException.class, () -> reader.next(bytes));
                     assertTrue(e.getMessage().contains("beyond a day a try"), e.getMessage());
                 }
             }
--- a/src/test/java/rowanmoor/controller/ControllerTest.java
+++ b/src/test/java/rowanmoor/controller/ControllerTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Listed;
-import rowanmoor.channel.ChannelError;
+import rowanmoor.channel.ChannelException;
 import rowanmoor.channel.ChannelLimits;
 import rowanmoor.channel.Codec;
 import rowanmoor.channel.Frame;
@@ -110,7 +110,7 @@
     private final class Peer implements Handler {
         final List<Frame> heard = new ArrayList<>();
         final Connection connection;
-        private final FrameReader reader = new FrameReader(ChannelLimits.usual());
+        private final FrameReader reader = new FrameReader(ChannelLimits.defaults());
         Close why;
 
         Peer(Frame... frames) {
@@ -139,7 +139,7 @@
                         heard.add(frame);
                     }
                 }
-            } catch (ChannelError e) {
+            } catch (ChannelException e) {
                 throw new AssertionError(e);
             }
         }
@@ -160,7 +160,7 @@
     }
 
     private static Frame.Hello hello(int proxy, long incarnation) {
-        return new Frame.Hello(Frame.PROTOCOL, proxy, incarnation, 0, 10, true, 0, 0, "p" + proxy);
+        return new Frame.Hello(Frame.PROTOCOL_VERSION, proxy, incarnation, 0, 10, true, 0, 0, "p" + proxy);
     }
 
     private Peer joined(int proxy) {
@@ -216,7 +216,7 @@
     @Test
     void aHelloFromAnUnknownVersionIsAnsweredWithTheVersionSpoken() {
         Frame.Hello h = hello(3, 3);
-        Peer peer = new Peer(new Frame.Hello(Frame.PROTOCOL + 1, h.proxy(), 1, 0, 1, true, 0, 0, "new"));
+        Peer peer = new Peer(new Frame.Hello(Frame.PROTOCOL_VERSION + 1, h.proxy(), 1, 0, 1, true, 0, 0, "new"));
         net.runFor(100 * MS);
         assertEquals(Frame.Reason.VERSION, peer.goodbye());
         assertFalse(controller.driver().hasJoined(3));
@@ -289,8 +289,8 @@
                 new Frame.Tally(backend(1), 5, 0, 100 * MS, 1000 * MS, List.of())),
                 List.of(new Frame.Use(9, 1, 0, 1), new Frame.Use(0, 5, 0, 1000 * MS))));
         net.runFor(3000 * MS);
-        assertEquals(2, controller.driver().unlistedReports());
-        assertEquals(2, controller.driver().mostWaitingReports());
+        assertEquals(2, controller.driver().ignoredReportLines());
+        assertEquals(2, controller.driver().maxPendingReportLines());
         assertEquals(List.of(), faults);
     }
 
@@ -306,19 +306,19 @@
         peer.send(numbered(2));
         peer.send(numbered(2));
         net.runFor(100 * MS);
-        assertEquals(2, controller.driver().unlistedReports());
+        assertEquals(2, controller.driver().ignoredReportLines());
         assertEquals(List.of(1L, 2L, 2L), peer.heard(Frame.ReportsTaken.class).stream().map(Frame.ReportsTaken::upTo).toList());
         Peer again = new Peer(hello(6, 6)); // the same process on a new stream: the acknowledgement was lost
         again.send(numbered(2));
         again.send(numbered(3));
         net.runFor(100 * MS);
-        assertEquals(3, controller.driver().unlistedReports());
+        assertEquals(3, controller.driver().ignoredReportLines());
         again.connection.close(Close.LOCAL, "test");
         net.runFor(100 * MS);
         Peer back = new Peer(hello(6, 6)); // it was with another controller meanwhile, which took 4 to 8
         back.send(numbered(9));
         net.runFor(100 * MS);
-        assertEquals(4, controller.driver().unlistedReports());
+        assertEquals(4, controller.driver().ignoredReportLines());
         assertEquals(null, back.goodbye());
     }
 
@@ -332,7 +332,7 @@
         Peer restarted = new Peer(hello(6, 777));
         restarted.send(numbered(1));
         net.runFor(100 * MS);
-        assertEquals(2, controller.driver().unlistedReports());
+        assertEquals(2, controller.driver().ignoredReportLines());
     }
 
     @Test
@@ -342,18 +342,18 @@
         peer.send(numbered(3));
         net.runFor(100 * MS);
         assertEquals(Frame.Reason.PROTOCOL, peer.goodbye());
-        assertEquals(1, controller.driver().unlistedReports());
+        assertEquals(1, controller.driver().ignoredReportLines());
     }
 
     @Test
     void aProxyOfTheOldProtocolIsTakenInAndHearsNothingNew() {
         Frame.Hello h = hello(6, 6);
-        Peer peer = new Peer(new Frame.Hello(1, h.proxy(), h.incarnation(), h.zone(), h.rate(), true, 0, 0, h.name()));
+        Peer peer = new Peer(new Frame.Hello(1, h.proxy(), h.incarnation(), h.zone(), h.requestsPerSecond(), true, 0, 0, h.name()));
         net.runFor(200 * MS);
         peer.send(new Frame.Report(List.of(), List.of(new Frame.Use(9, 1, 0, 1))));
         net.runFor(2000 * MS);
         assertTrue(controller.driver().hasJoined(6));
-        assertEquals(1, controller.driver().unlistedReports());
+        assertEquals(1, controller.driver().ignoredReportLines());
         assertEquals(List.of(), peer.heard(Frame.ReportsTaken.class));
     }
 
@@ -394,7 +394,7 @@
         List<Frame.Snapshot> snapshots = peer.heard(Frame.Snapshot.class);
         assertEquals(2, snapshots.size());
         Frame.Snapshot whole = snapshots.get(1);
-        assertEquals(3, whole.bindings().stream().mapToInt(Frame.Binding::classes).sum(), "both classes");
+        assertEquals(3, whole.bindings().stream().mapToInt(Frame.Binding::classMask).sum(), "both classes");
         assertEquals(6, whole.tables().get(0).lines().size());
     }
 
--- a/src/test/java/rowanmoor/controller/DriverPartsTest.java
+++ b/src/test/java/rowanmoor/controller/DriverPartsTest.java
@@ -96,7 +96,7 @@
     private static List<String> minute(long seed, Trace trace) throws ConfigError {
         Settings settings = ControllerConfig.read(Path.of("conf/controller.kdl")).site().settings(1);
         List<String> story = new ArrayList<>();
-        Driver driver = new Driver(settings, seed, 5, START, new Driver.Outside() {
+        Driver driver = new Driver(settings, seed, 5, START, new Driver.Environment() {
             @Override
             public void watch(boolean on) {
                 story.add("watch " + on);
@@ -118,7 +118,7 @@
             }
 
             @Override
-            public void decided(long now, List<Event> events, List<Action> actions, long took) {
+            public void onDecision(long now, List<Event> events, List<Action> actions, long took) {
                 if (trace != null) {
                     trace.write(now, events, actions);
                 }
@@ -128,20 +128,20 @@
         for (int i = 0; i < 8; i++) {
             members.add(new Member(new Backend(100 + i), i % 2, 0, 0, Listed.READY, 1, 0));
         }
-        driver.hearList(new Members(ListKind.FULL, 1, members));
+        driver.onMembers(new Members(ListKind.FULL, 1, members));
         for (int p = 0; p < 10; p++) {
-            driver.joined(START, new Frame.Hello(1, p, p, p % 2, 5, true, 0, 0, "p"));
+            driver.onProxyJoined(START, new Frame.Hello(1, p, p, p % 2, 5, true, 0, 0, "p"));
         }
         for (long now = START; now < START + 20 * SECOND; now += SECOND / 10) {
             if ((now - START) % SECOND == 0) {
                 for (int p = 0; p < 10; p++) {
-                    driver.report(p, new Frame.Report(List.of(new Frame.Tally(new Backend(100 + p % 8), 20, p,
+                    driver.onReport(p, new Frame.Report(List.of(new Frame.Tally(new Backend(100 + p % 8), 20, p,
                             30 * SECOND / 10, SECOND, List.of())), List.of(new Frame.Use(0, 20, 0, SECOND))));
                 }
             }
             if (now == START + 5 * SECOND) {
-                driver.left(3);
-                driver.hearList(new Members(ListKind.DELTA, 2, List.of(members.get(2).gone())));
+                driver.onProxyLeft(3);
+                driver.onMembers(new Members(ListKind.DELTA, 2, List.of(members.get(2).gone())));
             }
             driver.tick(now);
         }
@@ -180,19 +180,19 @@
         List<Event> fed = new ArrayList<>();
         Driver driver = new Driver(settings, 1, 5, START, new Silent() {
             @Override
-            public void decided(long now, List<Event> events, List<Action> actions, long took) {
+            public void onDecision(long now, List<Event> events, List<Action> actions, long took) {
                 fed.addAll(events);
             }
         }, () -> 0);
-        driver.joined(START, new Frame.Hello(1, 1, 1, 0, 5, true, 0, 0, "p"));
+        driver.onProxyJoined(START, new Frame.Hello(1, 1, 1, 0, 5, true, 0, 0, "p"));
         driver.tick(START);
-        driver.applied(START, 1, new Frame.Applied(4, 1, 1));
-        driver.applied(START, 1, new Frame.Applied(5, 1, 60000));
+        driver.onApplied(START, 1, new Frame.Applied(4, 1, 1));
+        driver.onApplied(START, 1, new Frame.Applied(5, 1, 60000));
         driver.tick(START + SECOND);
         assertTrue(fed.stream().noneMatch(e -> e instanceof rowanmoor.ControlApi.Applied), fed.toString());
     }
 
-    private static class Silent implements Driver.Outside {
+    private static class Silent implements Driver.Environment {
         @Override
         public void watch(boolean on) { }
 
@@ -217,7 +217,7 @@
         long now = START;
         for (int i = 0; i < 2000; i++) {
             now += 10 * SECOND;
-            driver.hearList(new Members(i == 0 ? ListKind.FULL : ListKind.DELTA, i, List.of(
+            driver.onMembers(new Members(i == 0 ? ListKind.FULL : ListKind.DELTA, i, List.of(
                     new Member(new Backend(100 + i), 0, 0, 0, Listed.READY, 1, 0),
                     new Member(new Backend(99 + i), 0, 0, 0, Listed.GONE, 1, 0))));
             driver.tick(now);
@@ -229,19 +229,19 @@
     @Test
     void aProxyThatAsksForSnapshotsWithoutEndHasOneWaiting() throws ConfigError {
         Driver driver = driver();
-        driver.hearList(new Members(ListKind.FULL, 1, List.of(
+        driver.onMembers(new Members(ListKind.FULL, 1, List.of(
                 new Member(new Backend(100), 0, 0, 0, Listed.READY, 1, 0))));
-        driver.joined(START, new Frame.Hello(1, 1, 1, 0, 5, true, 0, 0, "p"));
+        driver.onProxyJoined(START, new Frame.Hello(1, 1, 1, 0, 5, true, 0, 0, "p"));
         driver.tick(START);
-        double before = driver.waitingLines();
+        double before = driver.queuedLines();
         for (int i = 0; i < 1000; i++) {
-            driver.resync(START, 1);
+            driver.onResync(START, 1);
         }
-        assertTrue(driver.waitingLines() < before + 50, driver.waitingLines() + " lines wait, " + before + " before");
+        assertTrue(driver.queuedLines() < before + 50, driver.queuedLines() + " lines wait, " + before + " before");
         driver.tick(START + 60 * SECOND);
-        double sent = driver.totalLines();
-        driver.resync(START + 60 * SECOND, 1);
-        assertTrue(driver.totalLines() > sent, "once it has left, another may be asked for");
+        double sent = driver.totalQueuedLines();
+        driver.onResync(START + 60 * SECOND, 1);
+        assertTrue(driver.totalQueuedLines() > sent, "once it has left, another may be asked for");
     }
 
     @Test
--- a/src/test/java/rowanmoor/controller/LineFileTest.java
+++ b/src/test/java/rowanmoor/controller/LineFileTest.java
@@ -22,7 +22,7 @@
     @Test
     void linesAreWrittenInOrder() {
         StringWriter to = new StringWriter();
-        LineFile file = new LineFile(to, 1000, lost::add);
+        AsyncLineWriter file = new AsyncLineWriter(to, 1000, lost::add);
         file.offer("a");
         file.offer("b");
         file.close();
@@ -45,13 +45,13 @@
                 }
             }
         };
-        LineFile file = new LineFile(still, 1000, lost::add);
+        AsyncLineWriter file = new AsyncLineWriter(still, 1000, lost::add);
         file.offer("first");
         stuck.await();
         for (int i = 0; i < 1000; i++) {
             file.offer("0123456789");
         }
-        assertFalse(file.open());
+        assertFalse(file.isOpen());
         assertEquals(1, lost.size(), lost.toString());
         assertTrue(lost.get(0).contains("wait to be written"), lost.get(0));
         goOn.countDown();
@@ -72,11 +72,11 @@
             @Override
             public void close() { }
         };
-        LineFile file = new LineFile(full, 1 << 20, lost::add);
+        AsyncLineWriter file = new AsyncLineWriter(full, 1 << 20, lost::add);
         file.offer("x");
         file.close();
         file.offer("after the end nothing is taken");
-        assertFalse(file.open());
+        assertFalse(file.isOpen());
         assertEquals(List.of("no space left"), lost);
     }
 }
--- a/src/test/java/rowanmoor/lab/FrameRelay.java
+++ b/src/test/java/rowanmoor/lab/FrameRelay.java
@@ -6,7 +6,7 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.function.UnaryOperator;
-import rowanmoor.channel.ChannelError;
+import rowanmoor.channel.ChannelException;
 import rowanmoor.channel.ChannelLimits;
 import rowanmoor.channel.Codec;
 import rowanmoor.channel.Frame;
@@ -72,7 +72,7 @@
 
         @Override
         public void opened(Connection near) {
-            FrameReader reader = new FrameReader(ChannelLimits.usual());
+            FrameReader reader = new FrameReader(ChannelLimits.defaults());
             far = loop.connect(null, to, Connection.Options.usual(), new Handler() {
                 @Override
                 public void received(Connection its, ByteBuffer bytes) {
@@ -83,7 +83,7 @@
                                 near.send(Codec.encode(change.apply(frame)));
                             }
                         }
-                    } catch (ChannelError e) {
+                    } catch (ChannelException e) {
                         throw new IllegalStateException(e);
                     }
                 }
--- a/src/test/java/rowanmoor/lab/Histories.java
+++ b/src/test/java/rowanmoor/lab/Histories.java
@@ -77,15 +77,15 @@
 
     private static final Map<String, Function<DayFile, Player.Mutant>> FAULTS = Map.of(
             "empties-tables", day -> orders(day, order -> order instanceof Frame.Bind b
-                    ? new Frame.Bind(b.classes(), new Frame.Table(b.table().number(), List.of(),
+                    ? new Frame.Bind(b.classMask(), new Frame.Table(b.table().number(), List.of(),
                             b.table().levels()), List.of())
                     : order instanceof Frame.SetLine s ? new Frame.Clear(s.table()) : order),
-            "drops-withdrawals", day -> orders(day, order -> order instanceof Frame.Withdraw w && w.out()
+            "drops-withdrawals", day -> orders(day, order -> order instanceof Frame.Withdraw w && w.withdrawn()
                     || order instanceof Frame.SetLine s && s.line().weight() == 0 ? new Frame.Mark(65535)
-                    : order instanceof Frame.Bind b ? new Frame.Bind(b.classes(), b.table(), List.of()) : order),
+                    : order instanceof Frame.Bind b ? new Frame.Bind(b.classMask(), b.table(), List.of()) : order),
             "repeats-unsafe", day -> {
                 Player.Mutant told = orders(day, order -> order instanceof Frame.Bind b
-                        ? new Frame.Bind(b.classes(), new Frame.Table(b.table().number(), b.table().lines(),
+                        ? new Frame.Bind(b.classMask(), new Frame.Table(b.table().number(), b.table().lines(),
                                 List.of(new Frame.Level(0, 1e6, Retry.ONCE))), b.withdrawn()) : order);
                 return new Player.Mutant(day, parts -> new Router(parts.site(), parts.standing(), parts.random(),
                         parts.now()) {
@@ -98,7 +98,7 @@
 
     private static Player.Mutant orders(DayFile day, Function<Frame.Order, Frame.Order> change) {
         return new Player.Mutant(day, Player.Mutant.none(day).routers(), (loop, real) -> new FrameRelay(loop, real,
-                frame -> frame instanceof Frame.Update u ? new Frame.Update(u.epoch(), u.version(), u.orderedAt(),
-                        u.waiting(), u.orders().stream().map(change).toList()) : frame));
+                frame -> frame instanceof Frame.Update u ? new Frame.Update(u.epoch(), u.version(), u.orderedAtNs(),
+                        u.queuedLines(), u.orders().stream().map(change).toList()) : frame));
     }
 }
--- a/src/test/java/rowanmoor/perf/WireBenchmark.java
+++ b/src/test/java/rowanmoor/perf/WireBenchmark.java
@@ -16,7 +16,7 @@
 import org.openjdk.jmh.annotations.Warmup;
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Retry;
-import rowanmoor.channel.ChannelError;
+import rowanmoor.channel.ChannelException;
 import rowanmoor.channel.ChannelLimits;
 import rowanmoor.channel.Codec;
 import rowanmoor.channel.Frame;
@@ -69,8 +69,8 @@
     }
 
     @Benchmark
-    public Object decodeBindOf25() throws ChannelError {
-        return new FrameReader(ChannelLimits.usual()).next(ByteBuffer.wrap(encodedBind));
+    public Object decodeBindOf25() throws ChannelException {
+        return new FrameReader(ChannelLimits.defaults()).next(ByteBuffer.wrap(encodedBind));
     }
 
     @Benchmark
@@ -79,8 +79,8 @@
     }
 
     @Benchmark
-    public Object decodeTwoLines() throws ChannelError {
-        return new FrameReader(ChannelLimits.usual()).next(ByteBuffer.wrap(encodedLines));
+    public Object decodeTwoLines() throws ChannelException {
+        return new FrameReader(ChannelLimits.defaults()).next(ByteBuffer.wrap(encodedLines));
     }
 
     @Benchmark
--- a/src/test/java/rowanmoor/proxy/ProxyTest.java
+++ b/src/test/java/rowanmoor/proxy/ProxyTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import rowanmoor.channel.ChannelError;
+import rowanmoor.channel.ChannelException;
 import rowanmoor.channel.ChannelLimits;
 import rowanmoor.channel.Codec;
 import rowanmoor.channel.Frame;
@@ -411,7 +411,7 @@
 
     /** A controller's end that binds nothing and sums what it is told, each numbered report once. */
     private final class Listener implements Handler {
-        private final FrameReader reader = new FrameReader(ChannelLimits.usual());
+        private final FrameReader reader = new FrameReader(ChannelLimits.defaults());
         private final long[] sums;
         private int proxy;
 
@@ -426,23 +426,23 @@
                     Frame frame = reader.next(bytes);
                     if (frame instanceof Frame.Hello hello) {
                         proxy = hello.proxy();
-                        receiver.streamBegins(proxy, hello.incarnation());
+                        receiver.streamOpened(proxy, hello.incarnation());
                         its.send(Codec.encode(new Frame.Snapshot(1, 0, 0, 0, List.of(), List.of(), List.of(),
                                 List.of())));
                     } else if (frame instanceof Frame.NumberedReport numbered) {
-                        if (receiver.hear(proxy, numbered.number()) == ReportReceiver.Verdict.TAKEN) {
+                        if (receiver.receive(proxy, numbered.number()) == ReportReceiver.Verdict.ACCEPTED) {
                             add(numbered.report());
                         }
-                        its.send(Codec.encode(new Frame.ReportsTaken(receiver.takenUpTo(proxy))));
+                        its.send(Codec.encode(new Frame.ReportsTaken(receiver.lastAccepted(proxy))));
                     }
                 }
-            } catch (ChannelError e) {
+            } catch (ChannelException e) {
                 throw new AssertionError(e);
             }
         }
 
         private void add(Frame.Report report) {
-            report.uses().forEach(u -> {
+            report.usages().forEach(u -> {
                 sums[0] += u.requests();
                 sums[1] += u.failed();
             });
@@ -649,7 +649,7 @@
         int[] asked = new int[1];
         InetSocketAddress controller = loop.listen(ANY, Connection.Options.usual().bound(new rowanmoor.net.Bound(1 << 24,
                 1 << 20, rowanmoor.net.Bound.Policy.REFUSE)), c -> new Handler() {
-                    private final FrameReader reader = new FrameReader(ChannelLimits.usual());
+                    private final FrameReader reader = new FrameReader(ChannelLimits.defaults());
 
                     @Override
                     public void opened(Connection its) {
@@ -663,7 +663,7 @@
                             while (bytes.hasRemaining()) {
                                 asked[0] += reader.next(bytes) instanceof Frame.Resync ? 1 : 0;
                             }
-                        } catch (ChannelError e) {
+                        } catch (ChannelException e) {
                             throw new AssertionError(e);
                         }
                     }
--- a/src/test/java/rowanmoor/proxy/ReportQueueTest.java
+++ b/src/test/java/rowanmoor/proxy/ReportQueueTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import rowanmoor.channel.ChannelError;
+import rowanmoor.channel.ChannelException;
 import rowanmoor.channel.ChannelLimits;
 import rowanmoor.channel.Codec;
 import rowanmoor.channel.Frame;
@@ -30,7 +30,7 @@
         private final List<Long> heard = new ArrayList<>();
         private final InetSocketAddress address;
         private ReportReceiver receiver = new ReportReceiver();
-        private int versionSpoken = Frame.PROTOCOL;
+        private int versionSpoken = Frame.PROTOCOL_VERSION;
         private boolean answers = true;
         private Frame.Goodbye refusal;
         private Frame.Goodbye goodbyeHeard;
@@ -41,7 +41,7 @@
         }
 
         private final class Stream implements Handler {
-            private final FrameReader reader = new FrameReader(ChannelLimits.usual());
+            private final FrameReader reader = new FrameReader(ChannelLimits.defaults());
             private int proxy;
 
             @Override
@@ -53,7 +53,7 @@
                             take(its, frame);
                         }
                     }
-                } catch (ChannelError e) {
+                } catch (ChannelException e) {
                     throw new AssertionError(e);
                 }
             }
@@ -62,12 +62,12 @@
                 if (frame instanceof Frame.Hello hello) {
                     join(its, hello);
                 } else if (frame instanceof Frame.NumberedReport numbered) {
-                    assertEquals(Frame.PROTOCOL, versionSpoken, "an old controller must not get what it cannot read");
+                    assertEquals(Frame.PROTOCOL_VERSION, versionSpoken, "an old controller must not get what it cannot read");
                     heard.add(numbered.number());
                     if (answers) {
-                        requests += receiver.hear(proxy, numbered.number()) == ReportReceiver.Verdict.TAKEN
+                        requests += receiver.receive(proxy, numbered.number()) == ReportReceiver.Verdict.ACCEPTED
                                 ? count(numbered.report()) : 0;
-                        acknowledge(its, receiver.takenUpTo(proxy));
+                        acknowledge(its, receiver.lastAccepted(proxy));
                     }
                 } else if (frame instanceof Frame.Report report) {
                     requests += count(report);
@@ -77,13 +77,13 @@
             }
 
             private void join(Connection its, Frame.Hello hello) {
-                if (hello.protocol() > versionSpoken) {
+                if (hello.protocolVersion() > versionSpoken) {
                     its.send(Codec.encode(new Frame.Goodbye(Frame.Reason.VERSION, "too new")));
                     its.end();
                     return;
                 }
                 proxy = hello.proxy();
-                receiver.streamBegins(proxy, hello.incarnation());
+                receiver.streamOpened(proxy, hello.incarnation());
                 streams.add(its);
                 its.send(Codec.encode(new Frame.Snapshot(1, 0, 0, 0, List.of(), List.of(), List.of(), List.of())));
             }
@@ -99,7 +99,7 @@
     }
 
     private static long count(Frame.Report report) {
-        return report.uses().stream().mapToLong(Frame.Use::requests).sum();
+        return report.usages().stream().mapToLong(Frame.Use::requests).sum();
     }
 
     private Proxy proxyOf(ScriptedController... controllers) throws IOException, ConfigError {
@@ -208,7 +208,7 @@
     @Test
     void aControllerOfTheOldProtocolGetsReportsAsItKnowsThem() throws IOException, ConfigError {
         ScriptedController old = new ScriptedController();
-        old.versionSpoken = Frame.OLDEST_PROTOCOL;
+        old.versionSpoken = Frame.MIN_PROTOCOL_VERSION;
         Proxy proxy = Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(old.address), 0, 300 * MS,
                 60 * SECOND, List.of(), 15 * SECOND, 250 * MS, 5000, ForwardingPolicy.defaults()), loop, new SplittableRandom(4), Tap.NONE);
         net.runFor(2 * SECOND);
@@ -216,7 +216,7 @@
         ask(proxy, 7);
         net.runFor(2 * SECOND);
         assertEquals(7, old.requests);
-        old.versionSpoken = Frame.PROTOCOL; // upgraded
+        old.versionSpoken = Frame.PROTOCOL_VERSION; // upgraded
         old.newest().reset("restarted");
         net.runFor(2 * SECOND);
         ask(proxy, 2);
@@ -259,7 +259,7 @@
             List<ReportReceiver> receivers = List.of(new ReportReceiver(), new ReportReceiver());
             List<List<Long>> books = List.of(new ArrayList<>(), new ArrayList<>());
             int at = 0;
-            receivers.get(at).streamBegins(0, 1);
+            receivers.get(at).streamOpened(0, 1);
             queue.streamBegins();
             long counted = 0;
             for (int step = 0; step < 300; step++) {
@@ -272,11 +272,11 @@
                 int its = at;
                 queue.send(frame -> lost || deliver((Frame.NumberedReport) frame, receivers.get(its), books.get(its)));
                 if (random.nextInt(2) == 0 && !lost) {
-                    assertTrue(queue.acknowledge(receivers.get(at).takenUpTo(0)), "seed " + seed);
+                    assertTrue(queue.acknowledge(receivers.get(at).lastAccepted(0)), "seed " + seed);
                 }
                 if (lost || random.nextInt(5) == 0) { // what was lost is lost with its stream
                     at = random.nextInt(2);
-                    receivers.get(at).streamBegins(0, 1);
+                    receivers.get(at).streamOpened(0, 1);
                     queue.streamBegins();
                 }
                 assertTrue(queue.unacknowledged() <= ReportQueue.UNACKNOWLEDGED_MOST);
@@ -285,7 +285,7 @@
             for (int i = 0; i < 300 && !queue.isSettled(); i++) {
                 queue.cut(1000 + i);
                 queue.send(frame -> deliver((Frame.NumberedReport) frame, receivers.get(last), books.get(last)));
-                queue.acknowledge(receivers.get(last).takenUpTo(0));
+                queue.acknowledge(receivers.get(last).lastAccepted(0));
             }
             assertTrue(queue.isSettled(), "seed " + seed);
             java.util.TreeSet<Long> told = new java.util.TreeSet<>(books.get(0));
@@ -299,9 +299,9 @@
     }
 
     private static boolean deliver(Frame.NumberedReport report, ReportReceiver receiver, List<Long> book) {
-        ReportReceiver.Verdict verdict = receiver.hear(0, report.number());
+        ReportReceiver.Verdict verdict = receiver.receive(0, report.number());
         assertTrue(verdict != ReportReceiver.Verdict.GAP, "report " + report.number());
-        if (verdict == ReportReceiver.Verdict.TAKEN) {
+        if (verdict == ReportReceiver.Verdict.ACCEPTED) {
             book.add(report.number());
         }
         return true;
