--- a/src/main/java/rowanmoor/channel/Codec.java
+++ b/src/main/java/rowanmoor/channel/Codec.java
@@ -14,7 +14,7 @@
 /** Frames to bytes and back; all numbers big end first. */
 public final class Codec {
 
-    private static final long LONGEST_TRY = 86_400_000_000_000L;
+    private static final long MAX_TRY_LATENCY_NS = 86_400_000_000_000L;
     private static final int MAGIC = 0x52574d43;
     private static final int HELLO = 1;
     private static final int SNAPSHOT = 2;
@@ -27,13 +27,13 @@
     private static final int RESYNC = 9;
     private static final int NUMBERED_REPORT = 10;
     private static final int REPORTS_TAKEN = 11;
-    private static final int SET_LINE = 1;
-    private static final int CLEAR = 2;
-    private static final int WITHDRAW = 3;
-    private static final int ADMIT = 4;
-    private static final int BIND = 5;
-    private static final int MARK = 6;
-    private static final int FIRST_ROOM = 256;
+    private static final int ORDER_SET_LINE = 1;
+    private static final int ORDER_CLEAR = 2;
+    private static final int ORDER_WITHDRAW = 3;
+    private static final int ORDER_ADMIT = 4;
+    private static final int ORDER_BIND = 5;
+    private static final int ORDER_MARK = 6;
+    private static final int INITIAL_BUFFER_BYTES = 256;
 
     private Codec() { }
 
@@ -41,7 +41,7 @@
 
     /** A frame with its length before it, ready to be sent. */
     public static ByteBuffer encode(Frame frame) {
-        Out out = new Out();
+        FrameWriter out = new FrameWriter();
         out.u32(0);
         if (frame instanceof Frame.Hello f) {
             out.u8(HELLO).u32(MAGIC).u16(f.protocolVersion()).u16(f.proxy()).u64(f.incarnation()).u16(f.zone())
@@ -72,50 +72,50 @@
         } else if (frame instanceof Frame.Resync f) {
             out.u8(RESYNC).u64(f.epoch()).u64(f.version());
         }
-        return out.framed();
+        return out.finish();
     }
 
-    private static final class Out {
-        private ByteBuffer bytes = ByteBuffer.allocate(FIRST_ROOM);
+    private static final class FrameWriter {
+        private ByteBuffer buffer = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
 
-        private ByteBuffer room(int count) {
-            if (bytes.remaining() < count) {
-                ByteBuffer larger = ByteBuffer.allocate(Math.max(bytes.capacity() * 2,
-                        bytes.position() + count));
-                bytes = larger.put(bytes.flip());
+        private ByteBuffer ensureRemaining(int count) {
+            if (buffer.remaining() < count) {
+                ByteBuffer larger = ByteBuffer.allocate(Math.max(buffer.capacity() * 2,
+                        buffer.position() + count));
+                buffer = larger.put(buffer.flip());
             }
-            return bytes;
+            return buffer;
         }
 
-        Out u8(int value) {
-            room(1).put((byte) value);
+        FrameWriter u8(int value) {
+            ensureRemaining(1).put((byte) value);
             return this;
         }
 
-        Out u16(int value) {
-            room(2).putShort((short) value);
+        FrameWriter u16(int value) {
+            ensureRemaining(2).putShort((short) value);
             return this;
         }
 
-        Out u32(long value) {
-            room(4).putInt((int) Math.min(value, 0xffffffffL));
+        FrameWriter u32(long value) {
+            ensureRemaining(4).putInt((int) Math.min(value, 0xffffffffL));
             return this;
         }
 
-        Out u64(long value) {
-            room(8).putLong(value);
+        FrameWriter u64(long value) {
+            ensureRemaining(8).putLong(value);
             return this;
         }
 
-        Out f64(double value) {
-            room(8).putDouble(value);
+        FrameWriter f64(double value) {
+            ensureRemaining(8).putDouble(value);
             return this;
         }
 
-        Out text(String text) {
+        FrameWriter text(String text) {
             byte[] data = text.getBytes(StandardCharsets.UTF_8);
             u16(data.length);
-            room(data.length).put(data);
+            ensureRemaining(data.length).put(data);
             return this;
         }
 
@@ -124,7 +124,7 @@
             items.forEach(each);
         }
 
-        Out backend(Backend backend) {
+        FrameWriter backend(Backend backend) {
             u32(backend.id() >>> 16);
             return u16((int) (backend.id() & 0xffff));
         }
@@ -154,27 +154,27 @@
 
         void order(Frame.Order order) {
             if (order instanceof Frame.SetLine o) {
-                u8(SET_LINE).u16(o.table());
+                u8(ORDER_SET_LINE).u16(o.table());
                 line(o.line());
             } else if (order instanceof Frame.Clear o) {
-                u8(CLEAR).u16(o.table());
+                u8(ORDER_CLEAR).u16(o.table());
             } else if (order instanceof Frame.Withdraw o) {
-                u8(WITHDRAW).backend(o.backend()).u8(o.withdrawn() ? 1 : 0);
+                u8(ORDER_WITHDRAW).backend(o.backend()).u8(o.withdrawn() ? 1 : 0);
             } else if (order instanceof Frame.Admit o) {
-                u8(ADMIT).u16(o.table());
+                u8(ORDER_ADMIT).u16(o.table());
                 level(o.level());
             } else if (order instanceof Frame.Bind o) {
-                u8(BIND).u16(o.classMask());
+                u8(ORDER_BIND).u16(o.classMask());
                 table(o.table());
                 list(o.withdrawn(), this::backend);
             } else if (order instanceof Frame.Mark o) {
-                u8(MARK).u16(o.number());
+                u8(ORDER_MARK).u16(o.number());
             }
         }
 
-        ByteBuffer framed() {
-            bytes.putInt(0, bytes.position() - 4);
-            return bytes.flip();
+        ByteBuffer finish() {
+            buffer.putInt(0, buffer.position() - 4);
+            return buffer.flip();
         }
     }
 
@@ -183,7 +183,7 @@
     /** Decodes one frame's bytes, its length already taken off. */
     public static Frame decode(ByteBuffer bytes, ChannelLimits limits) throws ChannelException {
         try {
-            In in = new In(bytes, limits);
+            FrameParser in = new FrameParser(bytes, limits);
             Frame frame = in.frame();
             if (bytes.hasRemaining()) {
                 throw new ChannelException("a frame has " + bytes.remaining() + " bytes after its last field");
@@ -194,11 +194,11 @@
         }
     }
 
-    private interface Item<T> {
-        T read() throws ChannelException;
+    private interface ItemParser<T> {
+        T parse() throws ChannelException;
     }
 
-    private record In(ByteBuffer bytes, ChannelLimits limits) {
+    private record FrameParser(ByteBuffer bytes, ChannelLimits limits) {
 
         Frame frame() throws ChannelException {
             int type = u8();
@@ -224,7 +224,7 @@
                 case PONG:
                     return new Frame.Pong(u64());
                 case GOODBYE:
-                    return new Frame.Goodbye(one(Frame.Reason.values(), "reason"), text());
+                    return new Frame.Goodbye(enumValue(Frame.Reason.values(), "reason"), text());
                 case RESYNC:
                     return new Frame.Resync(u64(), u64());
                 default:
@@ -246,7 +246,7 @@
             if (proxy == ControlApi.ALL_TABLES) {
                 throw new ChannelException("a proxy's number is out of range: " + proxy);
             }
-            return new Frame.Hello(protocol, proxy, u64(), u16(), amount("rate"), flag(), u64(), u64(),
+            return new Frame.Hello(protocol, proxy, u64(), u16(), nonNegativeDouble("rate"), flag(), u64(), u64(),
                     text());
         }
 
@@ -259,7 +259,7 @@
         }
 
         private Frame.Report report() throws ChannelException {
-            return new Frame.Report(list(this::tally, 31), list(this::use, 18));
+            return new Frame.Report(list(this::tally, 31), list(this::usage, 18));
         }
 
         private long reportNumber() throws ChannelException {
@@ -274,40 +274,40 @@
             Backend backend = backend();
             long tries = u32();
             long failed = u32();
-            long sum = span();
-            long span = span();
+            long sum = durationNs();
+            long span = durationNs();
             if (failed > tries) {
                 throw new ChannelException("a tally has more failures than tries");
             }
-            if (sum / LONGEST_TRY > tries - failed) {
+            if (sum / MAX_TRY_LATENCY_NS > tries - failed) {
                 throw new ChannelException("a tally has latencies beyond a day a try");
             }
             int count = u8();
             List<Double> load = new ArrayList<>(Math.min(count, 8));
             for (int i = 0; i < count; i++) {
-                load.add(amount("load"));
+                load.add(nonNegativeDouble("load"));
             }
             return new Frame.Tally(backend, tries, failed, sum, span, List.copyOf(load));
         }
 
-        private Frame.Use use() throws ChannelException {
-            return new Frame.Use(u16(), u32(), u32(), span());
+        private Frame.Use usage() throws ChannelException {
+            return new Frame.Use(u16(), u32(), u32(), durationNs());
         }
 
         private Frame.Order order() throws ChannelException {
             int kind = u8();
             switch (kind) {
-                case SET_LINE:
+                case ORDER_SET_LINE:
                     return new Frame.SetLine(u16(), line());
-                case CLEAR:
+                case ORDER_CLEAR:
                     return new Frame.Clear(u16());
-                case WITHDRAW:
+                case ORDER_WITHDRAW:
                     return new Frame.Withdraw(backend(), flag());
-                case ADMIT:
+                case ORDER_ADMIT:
                     return new Frame.Admit(u16(), level());
-                case BIND:
+                case ORDER_BIND:
                     return new Frame.Bind(u16(), table(), list(this::backend, 6));
-                case MARK:
+                case ORDER_MARK:
                     return new Frame.Mark(u16());
                 default:
                     throw new ChannelException("an order of unknown kind " + kind);
@@ -319,22 +319,22 @@
         }
 
         private Frame.Line line() throws ChannelException {
-            return new Frame.Line(backend(), amount("weight"));
+            return new Frame.Line(backend(), nonNegativeDouble("weight"));
         }
 
         private Frame.Level level() throws ChannelException {
-            return new Frame.Level(u16(), amount("level"), one(Retry.values(), "way of trying again"));
+            return new Frame.Level(u16(), nonNegativeDouble("level"), enumValue(Retry.values(), "way of trying again"));
         }
 
         /** A list is refused by its count before any of it is read: it cannot make this side allocate. */
-        private <T> List<T> list(Item<T> item, int leastBytes) throws ChannelException {
+        private <T> List<T> list(ItemParser<T> item, int leastBytes) throws ChannelException {
             int count = u16();
             if (count > limits.maxListEntries() || (long) count * leastBytes > bytes.remaining()) {
                 throw new ChannelException("a list of " + count + " entries is over the limit or its frame");
             }
             List<T> items = new ArrayList<>(count);
             for (int i = 0; i < count; i++) {
-                items.add(item.read());
+                items.add(item.parse());
             }
             return List.copyOf(items);
         }
@@ -343,7 +343,7 @@
             return new Backend(u32() << 16 | u16());
         }
 
-        private <T> T one(T[] values, String what) throws ChannelException {
+        private <T> T enumValue(T[] values, String what) throws ChannelException {
             int place = u8();
             if (place >= values.length) {
                 throw new ChannelException("an unknown " + what + ": " + place);
@@ -351,7 +351,7 @@
             return values[place];
         }
 
-        private double amount(String what) throws ChannelException {
+        private double nonNegativeDouble(String what) throws ChannelException {
             double value = bytes.getDouble();
             if (!(value >= 0 && value <= 1e15)) {
                 throw new ChannelException("a " + what + " is out of range: " + value);
@@ -359,7 +359,7 @@
             return value;
         }
 
-        private long span() throws ChannelException {
+        private long durationNs() throws ChannelException {
             long value = u64();
             if (value < 0) {
                 throw new ChannelException("a time is out of range");
--- a/src/main/java/rowanmoor/channel/FrameReader.java
+++ b/src/main/java/rowanmoor/channel/FrameReader.java
@@ -5,12 +5,12 @@
 /** Cuts a stream into frames, however its bytes come. After an error it is of no further use. */
 public final class FrameReader {
 
-    private static final int FIRST_ROOM = 512;
+    private static final int INITIAL_BUFFER_BYTES = 512;
 
     private final ChannelLimits limits;
-    private ByteBuffer held = ByteBuffer.allocate(FIRST_ROOM);
-    private int length = -1;
-    private boolean broken;
+    private ByteBuffer buffer = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
+    private int frameLength = -1;
+    private boolean failed;
 
     public FrameReader(ChannelLimits limits) {
         this.limits = limits;
@@ -18,51 +18,51 @@
 
     /** Whether a frame has begun and is not whole. */
     public boolean hasPartialFrame() {
-        return length >= 0 || held.position() > 0;
+        return frameLength >= 0 || buffer.position() > 0;
     }
 
     /** The next whole frame, or null if the bytes end before it does; leaves the bytes behind it. */
     public Frame next(ByteBuffer bytes) throws ChannelException {
-        if (broken) {
+        if (failed) {
             throw new ChannelException("the stream is no longer framed");
         }
-        if (length < 0) {
-            take(bytes, 4);
-            if (held.position() < 4) {
+        if (frameLength < 0) {
+            fillBuffer(bytes, 4);
+            if (buffer.position() < 4) {
                 return null;
             }
-            long stated = held.getInt(0) & 0xffffffffL;
+            long stated = buffer.getInt(0) & 0xffffffffL;
             if (stated < 1 || stated > limits.maxFrameBytes()) {
-                broken = true;
+                failed = true;
                 throw new ChannelException("a frame of " + stated + " bytes");
             }
-            length = (int) stated;
-            held.clear();
+            frameLength = (int) stated;
+            buffer.clear();
         }
-        take(bytes, length);
-        if (held.position() < length) {
+        fillBuffer(bytes, frameLength);
+        if (buffer.position() < frameLength) {
             return null;
         }
-        length = -1;
-        ByteBuffer whole = held.flip();
+        frameLength = -1;
+        ByteBuffer whole = buffer.flip();
         try {
             return Codec.decode(whole, limits);
         } catch (ChannelException e) {
-            broken = true;
+            failed = true;
             throw e;
         } finally {
-            held.clear();
+            buffer.clear();
         }
     }
 
     /** Holds bytes up to a count. Room grows with what has come, never ahead of it. */
-    private void take(ByteBuffer bytes, int upTo) {
-        int count = Math.min(upTo - held.position(), bytes.remaining());
-        if (count > held.remaining()) {
-            int room = Math.min(upTo, Math.max(held.capacity() * 2, held.position() + count));
-            held = ByteBuffer.allocate(room).put(held.flip());
+    private void fillBuffer(ByteBuffer bytes, int upTo) {
+        int count = Math.min(upTo - buffer.position(), bytes.remaining());
+        if (count > buffer.remaining()) {
+            int room = Math.min(upTo, Math.max(buffer.capacity() * 2, buffer.position() + count));
+            buffer = ByteBuffer.allocate(room).put(buffer.flip());
         }
-        held.put(bytes.slice(bytes.position(), count));
+        buffer.put(bytes.slice(bytes.position(), count));
         bytes.position(bytes.position() + count);
     }
 }
--- a/src/main/java/rowanmoor/channel/ReportReceiver.java
+++ b/src/main/java/rowanmoor/channel/ReportReceiver.java
@@ -19,17 +19,17 @@
         GAP
     }
 
-    private static final class Taken {
+    private static final class ProxyState {
         private final long incarnation;
-        private long upTo;
-        private boolean streamIsNew;
+        private long lastAccepted;
+        private boolean gapAllowed;
 
-        Taken(long incarnation) {
+        ProxyState(long incarnation) {
             this.incarnation = incarnation;
         }
     }
 
-    private final Map<Integer, Taken> byProxy = new HashMap<>();
+    private final Map<Integer, ProxyState> stateByProxy = new HashMap<>();
 
     /**
      * A stream of a proxy begins. Its first new report may leave numbers out: another controller took those.
@@ -37,30 +37,30 @@
      * @param incarnation names the proxy's process; reports of another one are numbered anew
      */
     public void streamOpened(int proxy, long incarnation) {
-        Taken taken = byProxy.get(proxy);
+        ProxyState taken = stateByProxy.get(proxy);
         if (taken == null || taken.incarnation != incarnation) {
-            taken = new Taken(incarnation);
-            byProxy.put(proxy, taken);
+            taken = new ProxyState(incarnation);
+            stateByProxy.put(proxy, taken);
         }
-        taken.streamIsNew = true;
+        taken.gapAllowed = true;
     }
 
     /** Judges a report of a proxy whose stream has begun. */
     public Verdict receive(int proxy, long number) {
-        Taken taken = byProxy.get(proxy);
-        if (number <= taken.upTo) {
+        ProxyState taken = stateByProxy.get(proxy);
+        if (number <= taken.lastAccepted) {
             return Verdict.DUPLICATE;
         }
-        if (number != taken.upTo + 1 && !taken.streamIsNew) {
+        if (number != taken.lastAccepted + 1 && !taken.gapAllowed) {
             return Verdict.GAP;
         }
-        taken.upTo = number;
-        taken.streamIsNew = false;
+        taken.lastAccepted = number;
+        taken.gapAllowed = false;
         return Verdict.ACCEPTED;
     }
 
     /** The number up to which all reports of a proxy were taken, here or elsewhere; 0 for none. */
     public long lastAccepted(int proxy) {
-        return byProxy.get(proxy).upTo;
+        return stateByProxy.get(proxy).lastAccepted;
     }
 }
--- a/src/main/java/rowanmoor/controller/AsyncLineWriter.java
+++ b/src/main/java/rowanmoor/controller/AsyncLineWriter.java
@@ -16,15 +16,15 @@
  */
 final class AsyncLineWriter implements Closeable {
 
-    private static final String END = "\0"; // no line: offered lines are JSON
-    private static final long CLOSE_MS = 2000;
+    private static final String END_MARKER = "\0"; // no line: offered lines are JSON
+    private static final long CLOSE_TIMEOUT_MS = 2000;
 
     private final BufferedWriter out;
-    private final long charsMost;
-    private final Consumer<String> lost;
+    private final long maxQueuedChars;
+    private final Consumer<String> onFailure;
     private final LinkedBlockingQueue<String> queue = new LinkedBlockingQueue<>();
-    private final AtomicLong waiting = new AtomicLong();
-    private final AtomicBoolean over = new AtomicBoolean();
+    private final AtomicLong queuedChars = new AtomicLong();
+    private final AtomicBoolean failed = new AtomicBoolean();
     private final Thread thread;
     private volatile boolean closing;
 
@@ -34,47 +34,47 @@
      */
     AsyncLineWriter(Writer to, long charsMost, Consumer<String> lost) {
         this.out = new BufferedWriter(to, 1 << 16);
-        this.charsMost = charsMost;
-        this.lost = lost;
-        this.thread = new Thread(this::run, "lines");
+        this.maxQueuedChars = charsMost;
+        this.onFailure = lost;
+        this.thread = new Thread(this::writeLoop, "lines");
         thread.setDaemon(true);
         thread.start();
     }
 
     /** Whether lines are still taken. */
     boolean isOpen() {
-        return !over.get() && !closing;
+        return !failed.get() && !closing;
     }
 
     void offer(String line) {
         if (!isOpen()) {
             return;
         }
-        if (waiting.addAndGet(line.length()) > charsMost) {
-            end("more than " + charsMost + " characters wait to be written");
+        if (queuedChars.addAndGet(line.length()) > maxQueuedChars) {
+            fail("more than " + maxQueuedChars + " characters wait to be written");
         } else {
             queue.add(line);
         }
     }
 
-    private void end(String why) {
-        if (!over.getAndSet(true)) {
-            lost.accept(why);
+    private void fail(String why) {
+        if (!failed.getAndSet(true)) {
+            onFailure.accept(why);
         }
     }
 
-    private void run() {
+    private void writeLoop() {
         try (out) {
-            for (String line = queue.take(); !line.equals(END); line = queue.take()) {
+            for (String line = queue.take(); !line.equals(END_MARKER); line = queue.take()) {
                 out.write(line);
                 out.write('\n');
-                waiting.addAndGet(-line.length());
+                queuedChars.addAndGet(-line.length());
                 if (queue.isEmpty()) {
                     out.flush();
                 }
             }
         } catch (IOException e) {
-            end(String.valueOf(e.getMessage()));
+            fail(String.valueOf(e.getMessage()));
             queue.clear();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -85,9 +85,9 @@
     @Override
     public void close() {
         closing = true;
-        queue.add(END);
+        queue.add(END_MARKER);
         try {
-            thread.join(CLOSE_MS);
+            thread.join(CLOSE_TIMEOUT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/rowanmoor/controller/Controller.java
+++ b/src/main/java/rowanmoor/controller/Controller.java
@@ -36,8 +36,8 @@
 public final class Controller implements Driver.Environment, ProxyStream.Owner {
 
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
-    private static final int FRAMES_MOST = 65536;
-    private static final long HIGHEST_TIMED = 60_000_000_000L;
+    private static final int MAX_QUEUED_FRAMES = 65536;
+    private static final long MAX_RECORDED_DECISION_NS = 60_000_000_000L;
 
     private final ControllerConfig config;
     private final Loop loop;
@@ -48,10 +48,10 @@
     private final CaptureWriter capture;
     private final Loop.Listener listener;
     private final Map<Integer, ProxyStream> streams = new TreeMap<>();
-    private final ReportReceiver reports = new ReportReceiver();
-    private final Histogram decided = new Histogram(HIGHEST_TIMED, 3);
+    private final ReportReceiver reportReceiver = new ReportReceiver();
+    private final Histogram decisionTimesNs = new Histogram(MAX_RECORDED_DECISION_NS, 3);
     private final Ticks ticks;
-    private int open;
+    private int openStreams;
 
     /**
      * Listens at once.
@@ -78,7 +78,7 @@
                 config.rosterWait(),
                 config.emptyHold(), config.site().zones(), config.site().kinds(), wall, members -> {
                     driver.onMembers(members);
-                    members.entries().forEach(this::captureListed);
+                    members.entries().forEach(this::captureMember);
                     ticks.soon();
                 }, text -> LOG.warn("roster {}", kv("what", text)));
         LoadColumns columns = new LoadColumns(config.site().columns());
@@ -87,18 +87,18 @@
                     driver.onProbeResult(probed);
                     ticks.soon();
                 });
-        this.listener = loop.listen(config.listen(), options(), this::accept);
+        this.listener = loop.listen(config.listen(), connectionOptions(), this::accept);
         driver.onMembers(roster.view().initialMembers());
         ticks.soon();
-        stats();
+        logStats();
         LOG.info("listening {} {}", kv("at", address().getAddress().getHostAddress() + ":"
                 + address().getPort()), kv("epoch", epoch));
     }
 
-    private Connection.Options options() {
+    private Connection.Options connectionOptions() {
         // A proxy that does not read is let go: it joins again and gets what it needs in one message.
         return Connection.Options.usual().idleAfter(config.silentAfter())
-                .bound(new Bound(config.queueBytes(), FRAMES_MOST, Bound.Policy.CLOSE));
+                .bound(new Bound(config.queueBytes(), MAX_QUEUED_FRAMES, Bound.Policy.CLOSE));
     }
 
     public InetSocketAddress address() {
@@ -110,18 +110,18 @@
     }
 
     private ProxyStream accept(Connection connection) {
-        if (open >= config.streamsMost()) {
-            LOG.warn("stream refused: too many {}", kv("open", open));
+        if (openStreams >= config.streamsMost()) {
+            LOG.warn("stream refused: too many {}", kv("open", openStreams));
             return null;
         }
-        open++;
+        openStreams++;
         return new ProxyStream(loop, this, config.helloWithin(), config.silentAfter() / 3);
     }
 
     // ---- streams -------------------------------------------------------------------------------------
 
     @Override
-    public Frame.Goodbye hello(ProxyStream stream, Frame.Hello hello) {
+    public Frame.Goodbye onHello(ProxyStream stream, Frame.Hello hello) {
         if (hello.protocolVersion() < Frame.MIN_PROTOCOL_VERSION || hello.protocolVersion() > Frame.PROTOCOL_VERSION) {
             return new Frame.Goodbye(Frame.Reason.VERSION, "this side speaks versions "
                     + Frame.MIN_PROTOCOL_VERSION + " to " + Frame.PROTOCOL_VERSION + ", not " + hello.protocolVersion());
@@ -140,7 +140,7 @@
             other.end(Frame.Reason.MOVING, "the same proxy has joined again");
         }
         streams.put(hello.proxy(), stream);
-        reports.streamOpened(hello.proxy(), hello.incarnation());
+        reportReceiver.streamOpened(hello.proxy(), hello.incarnation());
         driver.onProxyJoined(loop.now(), hello);
         capture(new LoadRecord.Joined(loop.now(), hello.proxy(), hello.zone(), hello.requestsPerSecond()));
         LOG.info("proxy joined {} {} {}", kv("proxy", hello.proxy()), kv("name", hello.name()),
@@ -150,7 +150,7 @@
     }
 
     @Override
-    public void heard(ProxyStream stream, Frame frame) {
+    public void onFrame(ProxyStream stream, Frame frame) {
         int proxy = stream.hello().proxy();
         if (streams.get(proxy) != stream) {
             return;
@@ -158,9 +158,9 @@
         if (frame instanceof Frame.Applied applied) {
             driver.onApplied(loop.now(), proxy, applied);
         } else if (frame instanceof Frame.Report report) {
-            takeReport(stream, report);
+            acceptReport(stream, report);
         } else if (frame instanceof Frame.NumberedReport numbered) {
-            hearNumbered(stream, numbered);
+            onNumberedReport(stream, numbered);
         } else if (frame instanceof Frame.Resync resync) {
             LOG.warn("proxy asks for a snapshot {} {}", kv("proxy", proxy),
                     kv("held", resync.epoch() + "/" + resync.version()));
@@ -169,27 +169,27 @@
         ticks.soon();
     }
 
-    private void hearNumbered(ProxyStream stream, Frame.NumberedReport numbered) {
+    private void onNumberedReport(ProxyStream stream, Frame.NumberedReport numbered) {
         int proxy = stream.hello().proxy();
-        ReportReceiver.Verdict verdict = reports.receive(proxy, numbered.number());
+        ReportReceiver.Verdict verdict = reportReceiver.receive(proxy, numbered.number());
         if (verdict == ReportReceiver.Verdict.GAP) {
             stream.end(Frame.Reason.PROTOCOL, "report " + numbered.number() + " does not follow on "
-                    + reports.lastAccepted(proxy));
+                    + reportReceiver.lastAccepted(proxy));
             return;
         }
         if (verdict == ReportReceiver.Verdict.ACCEPTED) {
-            takeReport(stream, numbered.report());
+            acceptReport(stream, numbered.report());
         }
-        stream.send(new Frame.ReportsTaken(reports.lastAccepted(proxy)));
+        stream.send(new Frame.ReportsTaken(reportReceiver.lastAccepted(proxy)));
     }
 
-    private void takeReport(ProxyStream stream, Frame.Report report) {
+    private void acceptReport(ProxyStream stream, Frame.Report report) {
         driver.onReport(stream.hello().proxy(), report);
         captureReport(stream.hello(), report);
     }
 
     @Override
-    public void over(ProxyStream stream, String why) {
+    public void onStreamEnded(ProxyStream stream, String why) {
         Frame.Hello hello = stream.hello();
         if (hello == null) {
             LOG.warn("stream over before it joined {} {}", kv("from", String.valueOf(
@@ -203,8 +203,8 @@
     }
 
     @Override
-    public void closed(ProxyStream stream) {
-        open--;
+    public void onStreamClosed(ProxyStream stream) {
+        openStreams--;
     }
 
     // ---- captured load -------------------------------------------------------------------------------
@@ -215,7 +215,7 @@
         }
     }
 
-    private void captureListed(Member m) {
+    private void captureMember(Member m) {
         capture(new LoadRecord.Listed(loop.now(), m.backend().toString(), m.zone(), m.kind(),
                 m.listed().toString(), m.weight(), m.startedAt()));
     }
@@ -256,13 +256,13 @@
 
     @Override
     public void onDecision(long now, List<Event> events, List<Action> actions, long took) {
-        decided.recordValue(Math.min(took, HIGHEST_TIMED));
+        decisionTimesNs.recordValue(Math.min(took, MAX_RECORDED_DECISION_NS));
         if (trace != null) {
             trace.write(now, events, actions);
         }
     }
 
-    private void stats() {
+    private void logStats() {
         Runtime runtime = Runtime.getRuntime();
         LOG.info("stats {} {} {} {} {} {} {} {} {} {} {} {}", kv("joined", driver.joinedProxyCount()),
                 kv("waiting", Math.round(driver.queuedLines())),
@@ -270,12 +270,12 @@
                 kv("lines", Math.round(driver.totalQueuedLines())),
                 kv("mostReportsWaiting", driver.maxPendingReportLines()),
                 kv("captureDropped", capture == null ? 0 : capture.dropped()), kv("decides",
-                        decided.getTotalCount()),
-                kv("decideP50us", decided.getValueAtPercentile(50) / 1000),
-                kv("decideP99us", decided.getValueAtPercentile(99) / 1000),
-                kv("decideMaxUs", decided.getMaxValue() / 1000), kv("cpuMs", cpuMillis()),
+                        decisionTimesNs.getTotalCount()),
+                kv("decideP50us", decisionTimesNs.getValueAtPercentile(50) / 1000),
+                kv("decideP99us", decisionTimesNs.getValueAtPercentile(99) / 1000),
+                kv("decideMaxUs", decisionTimesNs.getMaxValue() / 1000), kv("cpuMs", cpuMillis()),
                 kv("heapBytes", runtime.totalMemory() - runtime.freeMemory()));
-        loop.after(config.statsEvery(), this::stats);
+        loop.after(config.statsEvery(), this::logStats);
     }
 
     private static long cpuMillis() {
--- a/src/main/java/rowanmoor/controller/Driver.java
+++ b/src/main/java/rowanmoor/controller/Driver.java
@@ -49,29 +49,29 @@
     }
 
     /** A message before it has a version: an update's orders, or null for a snapshot. */
-    private record Draft(List<Frame.Order> orders, Frame.Snapshot snapshot) { }
+    private record PendingMessage(List<Frame.Order> orders, Frame.Snapshot snapshot) { }
 
     /** A joined proxy: its zone, its stream's version. */
-    private static final class Peer {
+    private static final class JoinedProxy {
         private final int zone;
         private long version;
-        private boolean snapshotWaits;
+        private boolean snapshotQueued;
 
-        Peer(int zone) {
+        JoinedProxy(int zone) {
             this.zone = zone;
         }
     }
 
     private final Settings settings;
     private final long epoch;
-    private final Environment outside;
+    private final Environment environment;
     private final Turns turns;
     private final Fanout fanout;
     private final Intake intake;
-    private final Outbox<Draft> outbox;
-    private final TreeMap<Integer, Peer> peers = new TreeMap<>();
-    private final Map<Integer, Long> markedAt = new LinkedHashMap<>();
-    private long unlisted;
+    private final Outbox<PendingMessage> outbox;
+    private final TreeMap<Integer, JoinedProxy> proxies = new TreeMap<>();
+    private final Map<Integer, Long> markTimesNs = new LinkedHashMap<>();
+    private long ignoredReportLines;
 
     /**
      * @param epoch names this start of this controller; never the same twice
@@ -83,7 +83,7 @@
         this.turns = new Turns(settings, seed, stopwatch);
         this.fanout = new Fanout(settings.classes().size());
         this.epoch = epoch;
-        this.outside = outside;
+        this.environment = outside;
         this.intake = new Intake(settings.hearsPerSecond(), settings.period(), now);
         this.outbox = new Outbox<>(settings.channel().linesPerSecond(), now);
     }
@@ -102,31 +102,31 @@
     /** A proxy's stream is up. It gets a snapshot without bindings, which it answers by keeping its own. */
     public void onProxyJoined(long now, Frame.Hello hello) {
         fanout.join(hello.proxy());
-        Peer peer = new Peer(hello.zone());
-        peers.put(hello.proxy(), peer);
+        JoinedProxy peer = new JoinedProxy(hello.zone());
+        proxies.put(hello.proxy(), peer);
         turns.hearStream(new ProxyJoined(hello.proxy(), hello.zone(), hello.requestsPerSecond(), hello.fresh()));
-        outside.send(hello.proxy(), snapshot(hello.proxy(), peer, now));
+        environment.send(hello.proxy(), snapshot(hello.proxy(), peer, now));
     }
 
     public void onProxyLeft(int proxy) {
-        if (peers.remove(proxy) != null) {
+        if (proxies.remove(proxy) != null) {
             fanout.leave(proxy);
             turns.hearStream(new ProxyLeft(proxy));
-            outbox.drop(proxy);
+            outbox.discard(proxy);
         }
     }
 
     /** A mark was answered; one of another epoch, or one never set, is not passed on. */
     public void onApplied(long now, int proxy, Frame.Applied applied) {
-        Long since = applied.epoch() == epoch ? markedAt.get(applied.mark()) : null;
-        if (since != null && peers.containsKey(proxy)) {
+        Long since = applied.epoch() == epoch ? markTimesNs.get(applied.mark()) : null;
+        if (since != null && proxies.containsKey(proxy)) {
             turns.hearStream(new Applied(proxy, applied.mark(), now - since));
         }
     }
 
     /** Takes a report in; what it says of backends never listed is counted and left out. */
     public void onReport(int proxy, Frame.Report report) {
-        Peer peer = peers.get(proxy);
+        JoinedProxy peer = proxies.get(proxy);
         if (peer == null) {
             return;
         }
@@ -134,27 +134,27 @@
                 .toList();
         List<Frame.Use> uses = report.usages().stream().filter(u -> u.cls() < settings.classes().size())
                 .toList();
-        unlisted += report.tallies().size() - known.size() + report.usages().size() - uses.size();
-        intake.hear(proxy, peer.zone, new Frame.Report(known, uses));
+        ignoredReportLines += report.tallies().size() - known.size() + report.usages().size() - uses.size();
+        intake.addReport(proxy, peer.zone, new Frame.Report(known, uses));
     }
 
     /** A proxy has lost the thread: all that is ordered for it is sent anew, through the channel. */
     public void onResync(long now, int proxy) {
-        Peer peer = peers.get(proxy);
-        if (peer != null && !peer.snapshotWaits) {
-            peer.snapshotWaits = true; // however often it asks, one at a time waits in the channel
+        JoinedProxy peer = proxies.get(proxy);
+        if (peer != null && !peer.snapshotQueued) {
+            peer.snapshotQueued = true; // however often it asks, one at a time waits in the channel
             Frame.Snapshot whole = snapshot(proxy, peer, now);
             double lines = settings.channel().head() + whole.withdrawn().size() + whole.tables().stream()
                     .mapToInt(t -> 1 + t.lines().size() + t.levels().size()).sum();
-            outbox.add(now, proxy, new Draft(null, whole), lines);
+            outbox.add(now, proxy, new PendingMessage(null, whole), lines);
         }
     }
 
-    private Frame.Snapshot snapshot(int proxy, Peer peer, long now) {
+    private Frame.Snapshot snapshot(int proxy, JoinedProxy peer, long now) {
         TreeMap<Integer, Integer> bindings = fanout.bindings(proxy);
         List<Frame.Binding> bound = new ArrayList<>();
         bindings.forEach((table, classes) -> bound.add(new Frame.Binding(table, classes)));
-        return new Frame.Snapshot(epoch, peer.version, now, Math.round(outbox.waiting()),
+        return new Frame.Snapshot(epoch, peer.version, now, Math.round(outbox.queuedLines()),
                 bindings.keySet().stream().map(fanout.store()::whole).toList(), bound,
                 List.copyOf(fanout.withdrawnOf(bindings.keySet())), List.of());
     }
@@ -168,54 +168,54 @@
         }
         Turns.Turn turn = turns.turn(now);
         if (turn != null) {
-            carryOut(now, turn.actions());
-            outside.onDecision(now, turn.events(), turn.actions(), turn.took());
+            execute(now, turn.actions());
+            environment.onDecision(now, turn.events(), turn.actions(), turn.took());
         }
-        depart(now);
+        sendDueMessages(now);
     }
 
     /** When a tick is next due, if nothing more is heard. */
     public long nextTickAt() {
-        long told = turns.knowsBackends() ? intake.nextAt() : Long.MAX_VALUE;
-        return Math.min(turns.nextAt(), Math.min(told, outbox.nextAt()));
+        long told = turns.knowsBackends() ? intake.nextReleaseAt() : Long.MAX_VALUE;
+        return Math.min(turns.nextAt(), Math.min(told, outbox.nextSendAt()));
     }
 
-    private void carryOut(long now, List<Action> actions) {
+    private void execute(long now, List<Action> actions) {
         fanout.messages(actions).forEach((proxy, orders) -> outbox.add(now, proxy,
-                new Draft(List.copyOf(orders), null),
+                new PendingMessage(List.copyOf(orders), null),
                 settings.channel().head() + orders.stream().mapToInt(Frame::lineCount).sum()));
         for (Action action : actions) {
             if (action instanceof Mark a) {
-                markedAt.put(a.number(), now);
-                if (markedAt.size() > MARKS_KEPT) {
-                    markedAt.remove(markedAt.keySet().iterator().next());
+                markTimesNs.put(a.number(), now);
+                if (markTimesNs.size() > MAX_TRACKED_MARKS) {
+                    markTimesNs.remove(markTimesNs.keySet().iterator().next());
                 }
             } else if (action instanceof Watch a) {
-                outside.watch(a.on());
+                environment.watch(a.on());
             } else if (action instanceof Probe a) {
-                outside.probe(a.backend());
+                environment.probe(a.backend());
             } else if (action instanceof Log a) {
-                outside.log(a.text());
+                environment.log(a.text());
             }
         }
     }
 
-    private static final int MARKS_KEPT = 4096;
+    private static final int MAX_TRACKED_MARKS = 4096;
 
     /** Lets messages leave; each gets its version now, so that what was dropped leaves no gap. */
-    private void depart(long now) {
+    private void sendDueMessages(long now) {
         for (var entry = outbox.poll(now); entry != null; entry = outbox.poll(now)) {
-            Peer peer = peers.get(entry.proxy());
-            Draft draft = entry.message();
-            long waiting = Math.round(entry.waitingThen());
+            JoinedProxy peer = proxies.get(entry.proxy());
+            PendingMessage draft = entry.message();
+            long waiting = Math.round(entry.queuedLines());
             if (draft.snapshot() == null) {
-                outside.send(entry.proxy(), new Frame.Update(epoch, ++peer.version, entry.orderedAt(),
+                environment.send(entry.proxy(), new Frame.Update(epoch, ++peer.version, entry.orderedAtNs(),
                         waiting,
                         draft.orders()));
             } else {
                 Frame.Snapshot s = draft.snapshot();
-                peer.snapshotWaits = false;
-                outside.send(entry.proxy(), new Frame.Snapshot(epoch, ++peer.version, entry.orderedAt(),
+                peer.snapshotQueued = false;
+                environment.send(entry.proxy(), new Frame.Snapshot(epoch, ++peer.version, entry.orderedAtNs(),
                         waiting, s.tables(), s.bindings(), s.withdrawn(), s.globalLevels()));
             }
         }
@@ -228,20 +228,20 @@
     }
 
     public int joinedProxyCount() {
-        return peers.size();
+        return proxies.size();
     }
 
     public boolean hasJoined(int proxy) {
-        return peers.containsKey(proxy);
+        return proxies.containsKey(proxy);
     }
 
     /** Lines that wait in the channel, heads among them. */
     public double queuedLines() {
-        return outbox.waiting();
+        return outbox.queuedLines();
     }
 
     public double maxQueuedLines() {
-        return outbox.mostWaiting();
+        return outbox.maxQueuedLines();
     }
 
     public double totalQueuedLines() {
@@ -249,16 +249,16 @@
     }
 
     public int maxPendingReportLines() {
-        return intake.mostWaiting();
+        return intake.maxPendingLines();
     }
 
     /** Backends that reports are taken of: listed, or gone but not yet let go by the module. */
-    int backendsKnown() {
+    int knownBackendCount() {
         return fanout.backendsKnown();
     }
 
     /** Report lines of backends never listed, or of classes that do not exist. */
     public long ignoredReportLines() {
-        return unlisted;
+        return ignoredReportLines;
     }
 }
--- a/src/main/java/rowanmoor/controller/Intake.java
+++ b/src/main/java/rowanmoor/controller/Intake.java
@@ -19,123 +19,123 @@
  */
 final class Intake {
 
-    private static final double SECOND = 1e9;
+    private static final double NS_PER_SECOND = 1e9;
 
-    private record Place(boolean usage, long id, int part) implements Comparable<Place> {
+    private record LineKey(boolean usage, long id, int part) implements Comparable<LineKey> {
         @Override
-        public int compareTo(Place other) {
+        public int compareTo(LineKey other) {
             int byKind = Boolean.compare(usage, other.usage);
             int byId = byKind != 0 ? byKind : Long.compareUnsigned(id, other.id);
             return byId != 0 ? byId : Integer.compare(part, other.part);
         }
     }
 
-    private static final class Sum {
+    private static final class Totals {
         private long count;
         private long failed;
-        private long latency;
-        private long span;
+        private long latencySumNs;
+        private long spanNs;
         private List<Double> load = List.of();
 
-        void add(Sum other) {
+        void add(Totals other) {
             count += other.count;
             failed += other.failed;
-            latency = plus(latency, other.latency);
-            span = plus(span, other.span);
+            latencySumNs = saturatingAdd(latencySumNs, other.latencySumNs);
+            spanNs = saturatingAdd(spanNs, other.spanNs);
             load = other.load.isEmpty() ? load : other.load;
         }
     }
 
     private final double linesPerSecond;
-    private final long period;
-    private final TreeMap<Place, Sum> gathering = new TreeMap<>();
-    private final LinkedHashMap<Place, Sum> waiting = new LinkedHashMap<>();
-    private long closedAt;
-    private long releasedAt;
-    private double allowance;
-    private int mostWaiting;
+    private final long periodNs;
+    private final TreeMap<LineKey, Totals> currentPeriod = new TreeMap<>();
+    private final LinkedHashMap<LineKey, Totals> pending = new LinkedHashMap<>();
+    private long periodStartNs;
+    private long lastReleaseNs;
+    private double lineCredit;
+    private int maxPendingLines;
 
     Intake(double linesPerSecond, long period, long now) {
         this.linesPerSecond = linesPerSecond;
-        this.period = period;
-        this.closedAt = now;
-        this.releasedAt = now;
+        this.periodNs = period;
+        this.periodStartNs = now;
+        this.lastReleaseNs = now;
     }
 
     /** A sum of times, neither below 0, that stays at its end: past it, it would turn negative. */
-    private static long plus(long a, long b) {
+    private static long saturatingAdd(long a, long b) {
         return a + b < 0 ? Long.MAX_VALUE : a + b;
     }
 
     /** Takes one proxy's report in. */
-    void hear(int proxy, int zone, Frame.Report report) {
+    void addReport(int proxy, int zone, Frame.Report report) {
         for (Frame.Tally tally : report.tallies()) {
-            Sum sum = gathering.computeIfAbsent(new Place(false, tally.backend().id(), zone), p -> new Sum());
+            Totals sum = currentPeriod.computeIfAbsent(new LineKey(false, tally.backend().id(), zone), p -> new Totals());
             sum.count += tally.tries();
             sum.failed += tally.failed();
-            sum.latency = plus(sum.latency, tally.latencySum());
+            sum.latencySumNs = saturatingAdd(sum.latencySumNs, tally.latencySum());
             sum.load = tally.load().isEmpty() ? sum.load : tally.load();
         }
         for (Frame.Use use : report.usages()) {
-            Sum sum = gathering.computeIfAbsent(new Place(true, proxy, use.cls()), p -> new Sum());
+            Totals sum = currentPeriod.computeIfAbsent(new LineKey(true, proxy, use.cls()), p -> new Totals());
             sum.count += use.requests();
             sum.failed += use.failed();
-            sum.span = plus(sum.span, use.span());
+            sum.spanNs = saturatingAdd(sum.spanNs, use.span());
         }
     }
 
     /** Tells what may be told by now. */
     void release(long now, Consumer<Event> told) {
         // At most one period's lines are saved up: after a stall they do not come all at once.
-        double saved = linesPerSecond * period / SECOND;
-        allowance = Math.min(saved, allowance + linesPerSecond * (now - releasedAt) / SECOND);
-        releasedAt = now;
-        if (now - closedAt >= period) {
-            close(now);
+        double saved = linesPerSecond * periodNs / NS_PER_SECOND;
+        lineCredit = Math.min(saved, lineCredit + linesPerSecond * (now - lastReleaseNs) / NS_PER_SECOND);
+        lastReleaseNs = now;
+        if (now - periodStartNs >= periodNs) {
+            closePeriod(now);
         }
-        List<Place> released = new ArrayList<>();
-        for (Map.Entry<Place, Sum> entry : waiting.entrySet()) {
-            if (allowance < 1) {
+        List<LineKey> released = new ArrayList<>();
+        for (Map.Entry<LineKey, Totals> entry : pending.entrySet()) {
+            if (lineCredit < 1) {
                 break;
             }
-            allowance--;
+            lineCredit--;
             released.add(entry.getKey());
-            told.accept(event(entry.getKey(), entry.getValue()));
+            told.accept(toEvent(entry.getKey(), entry.getValue()));
         }
-        waiting.keySet().removeAll(released);
+        pending.keySet().removeAll(released);
     }
 
-    private void close(long now) {
-        long span = now - closedAt;
-        closedAt = now;
-        gathering.forEach((place, sum) -> {
+    private void closePeriod(long now) {
+        long span = now - periodStartNs;
+        periodStartNs = now;
+        currentPeriod.forEach((place, sum) -> {
             if (!place.usage()) {
-                sum.span = span;
+                sum.spanNs = span;
             }
-            waiting.computeIfAbsent(place, p -> new Sum()).add(sum);
+            pending.computeIfAbsent(place, p -> new Totals()).add(sum);
         });
-        gathering.clear();
-        mostWaiting = Math.max(mostWaiting, waiting.size());
+        currentPeriod.clear();
+        maxPendingLines = Math.max(maxPendingLines, pending.size());
     }
 
-    private static Event event(Place place, Sum sum) {
+    private static Event toEvent(LineKey place, Totals sum) {
         if (place.usage()) {
-            return new Usage((int) place.id(), place.part(), sum.count, sum.failed, sum.span);
+            return new Usage((int) place.id(), place.part(), sum.count, sum.failed, sum.spanNs);
         }
         long good = sum.count - sum.failed;
         return new Tally(new Backend(place.id()), place.part(), sum.count, sum.failed,
-                good == 0 ? 0 : sum.latency / good, sum.span, Collections.unmodifiableList(sum.load));
+                good == 0 ? 0 : sum.latencySumNs / good, sum.spanNs, Collections.unmodifiableList(sum.load));
     }
 
     /** When there is next something to tell, going by the clock alone. */
-    long nextAt() {
-        long tick = (long) (SECOND / linesPerSecond) + 1;
-        long lines = waiting.isEmpty() ? Long.MAX_VALUE : releasedAt + tick;
-        return Math.min(lines, gathering.isEmpty() ? Long.MAX_VALUE : closedAt + period);
+    long nextReleaseAt() {
+        long tick = (long) (NS_PER_SECOND / linesPerSecond) + 1;
+        long lines = pending.isEmpty() ? Long.MAX_VALUE : lastReleaseNs + tick;
+        return Math.min(lines, currentPeriod.isEmpty() ? Long.MAX_VALUE : periodStartNs + periodNs);
     }
 
     /** The most lines that ever waited to be told. */
-    int mostWaiting() {
-        return mostWaiting;
+    int maxPendingLines() {
+        return maxPendingLines;
     }
 }
--- a/src/main/java/rowanmoor/controller/Outbox.java
+++ b/src/main/java/rowanmoor/controller/Outbox.java
@@ -9,71 +9,71 @@
  */
 final class Outbox<M> {
 
-    private static final double SECOND = 1e9;
+    private static final double NS_PER_SECOND = 1e9;
 
     /** A message under way to a proxy. {@code lines} has the head in it. */
-    record Entry<M>(int proxy, M message, double lines, long orderedAt, double waitingThen) { }
+    record Entry<M>(int proxy, M message, double lines, long orderedAtNs, double queuedLines) { }
 
     private final double linesPerSecond;
     private final ArrayDeque<Entry<M>> queue = new ArrayDeque<>();
-    private double waiting;
-    private double mostWaiting;
+    private double queuedLines;
+    private double maxQueuedLines;
     private double totalLines;
-    private long freeAt;
+    private long headStartNs;
 
     Outbox(double linesPerSecond, long now) {
         this.linesPerSecond = linesPerSecond;
-        this.freeAt = now;
+        this.headStartNs = now;
     }
 
     /** Puts a message at the end; answers the lines that wait with it. */
     Entry<M> add(long now, int proxy, M message, double lines) {
         if (queue.isEmpty()) {
-            freeAt = Math.max(freeAt, now);
+            headStartNs = Math.max(headStartNs, now);
         }
-        waiting += lines;
+        queuedLines += lines;
         totalLines += lines;
-        mostWaiting = Math.max(mostWaiting, waiting);
-        Entry<M> entry = new Entry<>(proxy, message, lines, now, waiting);
+        maxQueuedLines = Math.max(maxQueuedLines, queuedLines);
+        Entry<M> entry = new Entry<>(proxy, message, lines, now, queuedLines);
         queue.add(entry);
         return entry;
     }
 
     /** The next message that has left by now, or null. */
     Entry<M> poll(long now) {
-        if (queue.isEmpty() || nextAt() > now) {
+        if (queue.isEmpty() || nextSendAt() > now) {
             return null;
         }
-        freeAt = nextAt();
+        headStartNs = nextSendAt();
         Entry<M> entry = queue.poll();
-        waiting = queue.isEmpty() ? 0 : waiting - entry.lines();
+        queuedLines = queue.isEmpty() ? 0 : queuedLines - entry.lines();
         return entry;
     }
 
     /** When the first message has left, or a very long time. */
-    long nextAt() {
+    long nextSendAt() {
         return queue.isEmpty() ? Long.MAX_VALUE
-                : freeAt + (long) (queue.peek().lines() / linesPerSecond * SECOND);
+                : headStartNs + (long) (queue.peek().lines() / linesPerSecond * NS_PER_SECOND);
     }
 
     /** A stream broke: what waits for its proxy is lost. */
-    void drop(int proxy) {
+    void discard(int proxy) {
         for (Iterator<Entry<M>> entries = queue.iterator(); entries.hasNext();) {
             Entry<M> entry = entries.next();
             if (entry.proxy() == proxy) {
                 entries.remove();
-                waiting -= entry.lines();
+                queuedLines -= entry.lines();
             }
         }
-        waiting = queue.isEmpty() ? 0 : waiting;
+        queuedLines = queue.isEmpty() ? 0 : queuedLines;
     }
 
-    double waiting() {
-        return waiting;
+    double queuedLines() {
+        return queuedLines;
     }
 
-    double mostWaiting() {
-        return mostWaiting;
+    double maxQueuedLines() {
+        return maxQueuedLines;
     }
 
     double totalLines() {
--- a/src/main/java/rowanmoor/controller/ProxyStream.java
+++ b/src/main/java/rowanmoor/controller/ProxyStream.java
@@ -22,33 +22,33 @@
     interface Owner {
 
         /** Takes a hello in; a reason to refuse it, or null. */
-        Frame.Goodbye hello(ProxyStream stream, Frame.Hello hello);
+        Frame.Goodbye onHello(ProxyStream stream, Frame.Hello hello);
 
-        void heard(ProxyStream stream, Frame frame);
+        void onFrame(ProxyStream stream, Frame frame);
 
         /** Nothing more is heard of it; told once, though its last words may still have to be written. */
-        void over(ProxyStream stream, String why);
+        void onStreamEnded(ProxyStream stream, String why);
 
         /** Its connection is closed; told once. */
-        void closed(ProxyStream stream);
+        void onStreamClosed(ProxyStream stream);
     }
 
     private final Loop loop;
     private final Owner owner;
-    private final long helloWithin;
-    private final long pingEvery;
+    private final long helloTimeoutNs;
+    private final long pingIntervalNs;
     private final FrameReader reader = new FrameReader(ChannelLimits.defaults());
     private Connection connection;
     private Timer timer;
     private Frame.Hello hello;
-    private boolean over;
-    private long pings;
+    private boolean ended;
+    private long lastPingToken;
 
     ProxyStream(Loop loop, Owner owner, long helloWithin, long pingEvery) {
         this.loop = loop;
         this.owner = owner;
-        this.helloWithin = helloWithin;
-        this.pingEvery = pingEvery;
+        this.helloTimeoutNs = helloWithin;
+        this.pingIntervalNs = pingEvery;
     }
 
     /** The proxy's hello, or null before it came. */
@@ -63,7 +63,7 @@
     @Override
     public void opened(Connection its) {
         connection = its;
-        timer = loop.after(helloWithin, () -> end(Frame.Reason.SILENT, "no hello in time"));
+        timer = loop.after(helloTimeoutNs, () -> end(Frame.Reason.SILENT, "no hello in time"));
     }
 
     @Override
@@ -72,7 +72,7 @@
             while (bytes.hasRemaining() && connection.isOpen()) {
                 Frame frame = reader.next(bytes);
                 if (frame != null) {
-                    take(frame);
+                    onFrame(frame);
                 }
             }
         } catch (ChannelException e) {
@@ -80,13 +80,13 @@
         }
     }
 
-    private void take(Frame frame) {
+    private void onFrame(Frame frame) {
         if (hello == null) {
             if (!(frame instanceof Frame.Hello first)) {
                 end(Frame.Reason.PROTOCOL, "the first frame is not a hello");
                 return;
             }
-            join(first);
+            onHello(first);
         } else if (frame instanceof Frame.Ping ping) {
             send(new Frame.Pong(ping.token()));
         } else if (frame instanceof Frame.Goodbye goodbye) {
@@ -94,28 +94,28 @@
                     + goodbye.text());
         } else if (frame instanceof Frame.Applied || frame instanceof Frame.Report
                 || frame instanceof Frame.NumberedReport || frame instanceof Frame.Resync) {
-            owner.heard(this, frame);
+            owner.onFrame(this, frame);
         } else if (!(frame instanceof Frame.Pong)) {
             end(Frame.Reason.PROTOCOL, "a frame that a proxy may not send: "
                     + frame.getClass().getSimpleName());
         }
     }
 
-    private void join(Frame.Hello first) {
+    private void onHello(Frame.Hello first) {
         timer.cancel();
         hello = first; // what the owner does with it may end this stream
-        Frame.Goodbye refusal = owner.hello(this, first);
+        Frame.Goodbye refusal = owner.onHello(this, first);
         if (refusal != null) {
             hello = null;
             end(refusal.reason(), refusal.text());
-        } else if (!over) {
+        } else if (!ended) {
             ping();
         }
     }
 
     private void ping() {
-        send(new Frame.Ping(++pings));
-        timer = loop.after(pingEvery, this::ping);
+        send(new Frame.Ping(++lastPingToken));
+        timer = loop.after(pingIntervalNs, this::ping);
     }
 
     /** Sends a frame; a stream whose queue is full is closed by the queue's bound. */
@@ -130,29 +130,29 @@
             connection.send(Codec.encode(new Frame.Goodbye(reason, cut)));
             connection.end();
         }
-        over(reason + ": " + text);
+        notifyEnded(reason + ": " + text);
     }
 
     /** The proxy has left, whether or not it still takes what waits for it. */
     @Override
     public boolean ended(Connection its) {
-        over("the proxy ended");
+        notifyEnded("the proxy ended");
         return false;
     }
 
     @Override
     public void closed(Connection its, Close why, String detail) {
-        over(why + ": " + detail);
-        owner.closed(this);
+        notifyEnded(why + ": " + detail);
+        owner.onStreamClosed(this);
     }
 
-    private void over(String why) {
-        if (!over) {
-            over = true;
+    private void notifyEnded(String why) {
+        if (!ended) {
+            ended = true;
             if (timer != null) {
                 timer.cancel();
             }
-            owner.over(this, why);
+            owner.onStreamEnded(this, why);
         }
     }
 }
--- a/src/test/java/rowanmoor/controller/DriverPartsTest.java
+++ b/src/test/java/rowanmoor/controller/DriverPartsTest.java
@@ -40,9 +40,9 @@
     @Test
     void reportsAreSummedByBackendAndZoneAndByProxyAndClass() {
         Intake intake = new Intake(100, SECOND, START);
-        intake.hear(1, 0, report(5, 7));
-        intake.hear(2, 0, report(6, 8));
-        intake.hear(3, 1, report(7, 9));
+        intake.addReport(1, 0, report(5, 7));
+        intake.addReport(2, 0, report(6, 8));
+        intake.addReport(3, 1, report(7, 9));
         List<Event> told = new ArrayList<>();
         intake.release(START + SECOND / 2, told::add);
         assertEquals(0, told.size(), "before the period is over");
@@ -58,7 +58,7 @@
         List<Event> told = new ArrayList<>();
         for (int second = 1; second <= 3; second++) {
             for (int proxy = 0; proxy < 4; proxy++) {
-                intake.hear(proxy, 0, new Frame.Report(List.of(), List.of(new Frame.Use(0, 10, 0, SECOND))));
+                intake.addReport(proxy, 0, new Frame.Report(List.of(), List.of(new Frame.Use(0, 10, 0, SECOND))));
             }
             intake.release(START + second * SECOND, told::add);
         }
@@ -66,7 +66,7 @@
         assertEquals(List.of(0, 1, 2, 3, 0, 1), told.stream().map(e -> ((Usage) e).proxy()).toList());
         assertEquals(new Usage(2, 0, 20, 0, 2 * SECOND), told.get(2), "what waited was added to");
         long requests = told.stream().mapToLong(e -> ((Usage) e).requests()).sum();
-        assertEquals(4, intake.mostWaiting());
+        assertEquals(4, intake.maxPendingLines());
         for (int second = 4; second < 8; second++) {
             intake.release(START + second * SECOND, told::add);
         }
@@ -78,18 +78,18 @@
     void theChannelSendsAtItsPaceAndCountsWhatWaits() {
         Outbox<String> outbox = new Outbox<>(10, START);
         outbox.add(START, 1, "a", 5);
-        assertEquals(15, outbox.add(START, 2, "b", 10).waitingThen());
+        assertEquals(15, outbox.add(START, 2, "b", 10).queuedLines());
         assertNull(outbox.poll(START + SECOND / 4));
         assertEquals("a", outbox.poll(START + SECOND / 2).message());
-        assertEquals(10, outbox.waiting());
-        assertEquals(START + SECOND * 3 / 2, outbox.nextAt());
-        outbox.drop(2);
-        assertEquals(0, outbox.waiting());
-        assertEquals(Long.MAX_VALUE, outbox.nextAt());
+        assertEquals(10, outbox.queuedLines());
+        assertEquals(START + SECOND * 3 / 2, outbox.nextSendAt());
+        outbox.discard(2);
+        assertEquals(0, outbox.queuedLines());
+        assertEquals(Long.MAX_VALUE, outbox.nextSendAt());
         outbox.add(START + 9 * SECOND, 1, "c", 10);
         assertNull(outbox.poll(START + 9 * SECOND), "an idle channel saves nothing up");
         assertNotNull(outbox.poll(START + 10 * SECOND));
-        assertEquals(15, outbox.mostWaiting());
+        assertEquals(15, outbox.maxQueuedLines());
     }
 
     /** Plays the same minute into a driver; answers all that it was fed, ordered and sent. */
@@ -223,7 +223,7 @@
             driver.tick(now);
             driver.tick(now + 2 * SECOND);
         }
-        assertTrue(driver.backendsKnown() < 100, driver.backendsKnown() + " known of 2000");
+        assertTrue(driver.knownBackendCount() < 100, driver.knownBackendCount() + " known of 2000");
     }
 
     @Test
@@ -248,9 +248,9 @@
     void sumsOfLatenciesNearTheirEndStayAtIt() {
         Intake intake = new Intake(100, SECOND, START);
         for (int proxy = 0; proxy < 3; proxy++) {
-            intake.hear(proxy, 0, new Frame.Report(List.of(new Frame.Tally(new Backend(1), 10, 1, Long.MAX_VALUE / 2,
+            intake.addReport(proxy, 0, new Frame.Report(List.of(new Frame.Tally(new Backend(1), 10, 1, Long.MAX_VALUE / 2,
                     SECOND, List.of())), List.of(new Frame.Use(0, 4, 0, Long.MAX_VALUE / 2))));
-            intake.hear(proxy, 0, new Frame.Report(List.of(), List.of(new Frame.Use(0, 4, 0, Long.MAX_VALUE / 2 + 9))));
+            intake.addReport(proxy, 0, new Frame.Report(List.of(), List.of(new Frame.Use(0, 4, 0, Long.MAX_VALUE / 2 + 9))));
         }
         List<Event> told = new ArrayList<>();
         intake.release(START + SECOND, told::add);
