--- a/src/main/java/rowanmoor/channel/ChannelException.java
+++ b/src/main/java/rowanmoor/channel/ChannelException.java
@@ -1,11 +1,11 @@
 package rowanmoor.channel;
 
-/** Bytes that are no frame of this protocol, or one beyond its limits. The stream ends with it. */
+/** Signals a malformed frame or one that exceeds the {@link ChannelLimits}; the stream must be closed. */
 public final class ChannelException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
-    public ChannelException(String what) {
-        super(what);
+    public ChannelException(String message) {
+        super(message);
     }
 }
--- a/src/main/java/rowanmoor/channel/Codec.java
+++ b/src/main/java/rowanmoor/channel/Codec.java
@@ -11,11 +11,17 @@
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Retry;
 
-/** Frames to bytes and back; all numbers big end first. */
+/**
+ * Encodes frames to bytes and decodes them. All numbers are big-endian; the formats of the fields are in
+ * docs/channel.md.
+ */
 public final class Codec {
 
+    /** Upper bound on the latency of one try: one day. */
     private static final long MAX_TRY_LATENCY_NS = 86_400_000_000_000L;
-    private static final int MAGIC = 0x52574d43;
+    private static final int MAGIC = 0x52574d43; // "RWMC"
+
+    // Frame types on the wire.
     private static final int HELLO = 1;
     private static final int SNAPSHOT = 2;
     private static final int UPDATE = 3;
@@ -27,25 +33,40 @@
     private static final int RESYNC = 9;
     private static final int NUMBERED_REPORT = 10;
     private static final int REPORTS_TAKEN = 11;
+
+    // Order types on the wire.
     private static final int ORDER_SET_LINE = 1;
     private static final int ORDER_CLEAR = 2;
     private static final int ORDER_WITHDRAW = 3;
     private static final int ORDER_ADMIT = 4;
     private static final int ORDER_BIND = 5;
     private static final int ORDER_MARK = 6;
+
     private static final int INITIAL_BUFFER_BYTES = 256;
+    private static final int LENGTH_PREFIX_BYTES = 4;
+    private static final int BACKEND_BYTES = 6;
+    private static final int BINDING_BYTES = 4;
+    private static final int LEVEL_BYTES = 11;
+    private static final int LINE_BYTES = 14;
+    private static final int USAGE_BYTES = 18;
+    private static final int MIN_TABLE_BYTES = 6;
+    private static final int MIN_ORDER_BYTES = 3;
+    private static final int MIN_TALLY_BYTES = 31;
+    /** Upper bound on any weight, level, rate or load value. */
+    private static final double MAX_DOUBLE_VALUE = 1e15;
 
     private Codec() { }
 
-    // ---- to bytes ------------------------------------------------------------------------------------
+    // ---- encoding ------------------------------------------------------------------------------------
 
-    /** A frame with its length before it, ready to be sent. */
+    /** Encodes a frame with its length prefix; the returned buffer is ready to be sent. */
     public static ByteBuffer encode(Frame frame) {
         FrameWriter out = new FrameWriter();
         out.u32(0);
         if (frame instanceof Frame.Hello f) {
-            out.u8(HELLO).u32(MAGIC).u16(f.protocolVersion()).u16(f.proxy()).u64(f.incarnation()).u16(f.zone())
-                    .f64(f.requestsPerSecond()).u8(f.fresh() ? 1 : 0).u64(f.epoch()).u64(f.version()).text(f.name());
+            out.u8(HELLO).u32(MAGIC).u16(f.protocolVersion()).u16(f.proxy()).u64(f.incarnation())
+                    .u16(f.zone()).f64(f.requestsPerSecond()).u8(f.fresh() ? 1 : 0).u64(f.epoch())
+                    .u64(f.version()).text(f.name());
         } else if (frame instanceof Frame.Snapshot f) {
             out.u8(SNAPSHOT).u64(f.epoch()).u64(f.version()).u64(f.orderedAtNs()).u32(f.queuedLines());
             out.list(f.tables(), out::table);
@@ -119,9 +140,9 @@
             return this;
         }
 
-        <T> void list(List<T> items, Consumer<T> each) {
+        <T> void list(List<T> items, Consumer<T> writeItem) {
             u16(items.size());
-            items.forEach(each);
+            items.forEach(writeItem);
         }
 
         FrameWriter backend(Backend backend) {
@@ -173,24 +194,28 @@
         }
 
         ByteBuffer finish() {
-            buffer.putInt(0, buffer.position() - 4);
+            buffer.putInt(0, buffer.position() - LENGTH_PREFIX_BYTES);
             return buffer.flip();
         }
     }
 
-    // ---- from bytes ----------------------------------------------------------------------------------
+    // ---- decoding ------------------------------------------------------------------------------------
 
-    /** Decodes one frame's bytes, its length already taken off. */
+    /**
+     * Decodes one frame from its bytes without the length prefix.
+     *
+     * @throws ChannelException if the bytes are not exactly one valid frame within the limits
+     */
     public static Frame decode(ByteBuffer bytes, ChannelLimits limits) throws ChannelException {
         try {
             FrameParser in = new FrameParser(bytes, limits);
             Frame frame = in.frame();
             if (bytes.hasRemaining()) {
-                throw new ChannelException("a frame has " + bytes.remaining() + " bytes after its last field");
+                throw new ChannelException("frame has " + bytes.remaining() + " trailing bytes");
             }
             return frame;
         } catch (BufferUnderflowException e) {
-            throw new ChannelException("a frame ends within its fields");
+            throw new ChannelException("frame truncated");
         }
     }
 
@@ -207,10 +232,12 @@
                     return hello();
                 case SNAPSHOT:
                     return new Frame.Snapshot(u64(), version(), u64(), u32(),
-                            list(this::table, 6), list(() -> new Frame.Binding(u16(), u16()), 4),
-                            list(this::backend, 6), list(this::level, 11));
+                            list(this::table, MIN_TABLE_BYTES),
+                            list(() -> new Frame.Binding(u16(), u16()), BINDING_BYTES),
+                            list(this::backend, BACKEND_BYTES), list(this::level, LEVEL_BYTES));
                 case UPDATE:
-                    return new Frame.Update(u64(), version(), u64(), u32(), list(this::order, 3));
+                    return new Frame.Update(u64(), version(), u64(), u32(),
+                            list(this::order, MIN_ORDER_BYTES));
                 case APPLIED:
                     return new Frame.Applied(u64(), version(), u16());
                 case REPORT:
@@ -228,44 +255,44 @@
                 case RESYNC:
                     return new Frame.Resync(u64(), u64());
                 default:
-                    throw new ChannelException("a frame of unknown type " + type);
+                    throw new ChannelException("unknown frame type " + type);
             }
         }
 
         private Frame hello() throws ChannelException {
             if (u32() != MAGIC) {
-                throw new ChannelException("a hello without the protocol's mark");
+                throw new ChannelException("hello without the protocol's magic number");
             }
             int protocol = u16();
             if (protocol < Frame.MIN_PROTOCOL_VERSION || protocol > Frame.PROTOCOL_VERSION) {
-                // Other versions may have other fields: nothing after this one is read.
+                // Other versions may have other fields, so the rest of the frame is skipped.
                 bytes.position(bytes.limit());
                 return new Frame.Hello(protocol, 0, 0, 0, 0, false, 0, 0, "");
             }
             int proxy = u16();
             if (proxy == ControlApi.ALL_TABLES) {
-                throw new ChannelException("a proxy's number is out of range: " + proxy);
+                throw new ChannelException("proxy number out of range: " + proxy);
             }
-            return new Frame.Hello(protocol, proxy, u64(), u16(), nonNegativeDouble("rate"), flag(), u64(), u64(),
-                    text());
+            return new Frame.Hello(protocol, proxy, u64(), u16(), nonNegativeDouble("rate"), flag(),
+                    u64(), u64(), text());
         }
 
         private long version() throws ChannelException {
             long version = u64();
             if (version < 0) {
-                throw new ChannelException("a version is out of range");
+                throw new ChannelException("version out of range: " + version);
             }
             return version;
         }
 
         private Frame.Report report() throws ChannelException {
-            return new Frame.Report(list(this::tally, 31), list(this::usage, 18));
+            return new Frame.Report(list(this::tally, MIN_TALLY_BYTES), list(this::usage, USAGE_BYTES));
         }
 
         private long reportNumber() throws ChannelException {
             long number = u64();
             if (number < 1) {
-                throw new ChannelException("a report's number is out of range: " + number);
+                throw new ChannelException("report number out of range: " + number);
             }
             return number;
         }
@@ -274,20 +301,20 @@
             Backend backend = backend();
             long tries = u32();
             long failed = u32();
-            long sum = durationNs();
-            long span = durationNs();
+            long latencySumNs = durationNs();
+            long spanNs = durationNs();
             if (failed > tries) {
-                throw new ChannelException("a tally has more failures than tries");
+                throw new ChannelException("tally has more failures than tries");
             }
-            if (sum / MAX_TRY_LATENCY_NS > tries - failed) {
-                throw new ChannelException("a tally has latencies beyond a day a try");
+            if (latencySumNs / MAX_TRY_LATENCY_NS > tries - failed) {
+                throw new ChannelException("tally latency sum exceeds one day per successful try");
             }
             int count = u8();
             List<Double> load = new ArrayList<>(Math.min(count, 8));
             for (int i = 0; i < count; i++) {
                 load.add(nonNegativeDouble("load"));
             }
-            return new Frame.Tally(backend, tries, failed, sum, span, List.copyOf(load));
+            return new Frame.Tally(backend, tries, failed, latencySumNs, spanNs, List.copyOf(load));
         }
 
         private Frame.Use usage() throws ChannelException {
@@ -306,16 +333,16 @@
                 case ORDER_ADMIT:
                     return new Frame.Admit(u16(), level());
                 case ORDER_BIND:
-                    return new Frame.Bind(u16(), table(), list(this::backend, 6));
+                    return new Frame.Bind(u16(), table(), list(this::backend, BACKEND_BYTES));
                 case ORDER_MARK:
                     return new Frame.Mark(u16());
                 default:
-                    throw new ChannelException("an order of unknown kind " + kind);
+                    throw new ChannelException("unknown order kind " + kind);
             }
         }
 
         private Frame.Table table() throws ChannelException {
-            return new Frame.Table(u16(), list(this::line, 14), list(this::level, 11));
+            return new Frame.Table(u16(), list(this::line, LINE_BYTES), list(this::level, LEVEL_BYTES));
         }
 
         private Frame.Line line() throws ChannelException {
@@ -323,18 +350,19 @@
         }
 
         private Frame.Level level() throws ChannelException {
-            return new Frame.Level(u16(), nonNegativeDouble("level"), enumValue(Retry.values(), "way of trying again"));
+            return new Frame.Level(u16(), nonNegativeDouble("level"),
+                    enumValue(Retry.values(), "retry policy"));
         }
 
-        /** A list is refused by its count before any of it is read: it cannot make this side allocate. */
-        private <T> List<T> list(ItemParser<T> item, int leastBytes) throws ChannelException {
+        /** Checks a list's count before reading it: a forged count cannot cause a large allocation. */
+        private <T> List<T> list(ItemParser<T> itemParser, int minItemBytes) throws ChannelException {
             int count = u16();
-            if (count > limits.maxListEntries() || (long) count * leastBytes > bytes.remaining()) {
-                throw new ChannelException("a list of " + count + " entries is over the limit or its frame");
+            if (count > limits.maxListEntries() || (long) count * minItemBytes > bytes.remaining()) {
+                throw new ChannelException("list of " + count + " entries exceeds the limit or its frame");
             }
             List<T> items = new ArrayList<>(count);
             for (int i = 0; i < count; i++) {
-                items.add(item.parse());
+                items.add(itemParser.parse());
             }
             return List.copyOf(items);
         }
@@ -343,18 +371,18 @@
             return new Backend(u32() << 16 | u16());
         }
 
-        private <T> T enumValue(T[] values, String what) throws ChannelException {
-            int place = u8();
-            if (place >= values.length) {
-                throw new ChannelException("an unknown " + what + ": " + place);
+        private <T> T enumValue(T[] values, String field) throws ChannelException {
+            int index = u8();
+            if (index >= values.length) {
+                throw new ChannelException("unknown " + field + ": " + index);
             }
-            return values[place];
+            return values[index];
         }
 
-        private double nonNegativeDouble(String what) throws ChannelException {
+        private double nonNegativeDouble(String field) throws ChannelException {
             double value = bytes.getDouble();
-            if (!(value >= 0 && value <= 1e15)) {
-                throw new ChannelException("a " + what + " is out of range: " + value);
+            if (!(value >= 0 && value <= MAX_DOUBLE_VALUE)) {
+                throw new ChannelException(field + " out of range: " + value);
             }
             return value;
         }
@@ -362,7 +390,7 @@
         private long durationNs() throws ChannelException {
             long value = u64();
             if (value < 0) {
-                throw new ChannelException("a time is out of range");
+                throw new ChannelException("duration out of range: " + value);
             }
             return value;
         }
@@ -370,7 +398,7 @@
         private boolean flag() throws ChannelException {
             int value = u8();
             if (value > 1) {
-                throw new ChannelException("a flag is neither 0 nor 1: " + value);
+                throw new ChannelException("flag is neither 0 nor 1: " + value);
             }
             return value == 1;
         }
@@ -378,14 +406,14 @@
         private String text() throws ChannelException {
             int count = u16();
             if (count > limits.maxTextBytes() || count > bytes.remaining()) {
-                throw new ChannelException("a text of " + count + " bytes is over the limit or its frame");
+                throw new ChannelException("text of " + count + " bytes exceeds the limit or its frame");
             }
             ByteBuffer data = bytes.slice(bytes.position(), count);
             bytes.position(bytes.position() + count);
             try {
                 return StandardCharsets.UTF_8.newDecoder().decode(data).toString();
             } catch (CharacterCodingException e) {
-                throw new ChannelException("a text is not UTF-8");
+                throw new ChannelException("text is not valid UTF-8");
             }
         }
 
--- a/src/main/java/rowanmoor/channel/FrameReader.java
+++ b/src/main/java/rowanmoor/channel/FrameReader.java
@@ -2,10 +2,14 @@
 
 import java.nio.ByteBuffer;
 
-/** Cuts a stream into frames, however its bytes come. After an error it is of no further use. */
+/**
+ * Splits a byte stream into frames, regardless of how the bytes are fragmented. Unusable after the first
+ * error, because the next frame boundary is then unknown.
+ */
 public final class FrameReader {
 
     private static final int INITIAL_BUFFER_BYTES = 512;
+    private static final int LENGTH_PREFIX_BYTES = 4;
 
     private final ChannelLimits limits;
     private ByteBuffer buffer = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
@@ -16,27 +20,32 @@
         this.limits = limits;
     }
 
-    /** Whether a frame has begun and is not whole. */
+    /** Returns whether part of a frame has been received and the rest is outstanding. */
     public boolean hasPartialFrame() {
         return frameLength >= 0 || buffer.position() > 0;
     }
 
-    /** The next whole frame, or null if the bytes end before it does; leaves the bytes behind it. */
+    /**
+     * Consumes bytes up to the end of the next frame.
+     *
+     * @return the frame, or null if {@code bytes} ran out before the frame was complete
+     * @throws ChannelException if the frame is malformed or too long, or if an earlier call failed
+     */
     public Frame next(ByteBuffer bytes) throws ChannelException {
         if (failed) {
-            throw new ChannelException("the stream is no longer framed");
+            throw new ChannelException("frame boundary lost after an earlier error");
         }
         if (frameLength < 0) {
-            fillBuffer(bytes, 4);
-            if (buffer.position() < 4) {
+            fillBuffer(bytes, LENGTH_PREFIX_BYTES);
+            if (buffer.position() < LENGTH_PREFIX_BYTES) {
                 return null;
             }
-            long stated = buffer.getInt(0) & 0xffffffffL;
-            if (stated < 1 || stated > limits.maxFrameBytes()) {
+            long declaredLength = buffer.getInt(0) & 0xffffffffL;
+            if (declaredLength < 1 || declaredLength > limits.maxFrameBytes()) {
                 failed = true;
-                throw new ChannelException("a frame of " + stated + " bytes");
+                throw new ChannelException("frame length out of range: " + declaredLength + " bytes");
             }
-            frameLength = (int) stated;
+            frameLength = (int) declaredLength;
             buffer.clear();
         }
         fillBuffer(bytes, frameLength);
@@ -44,9 +53,9 @@
             return null;
         }
         frameLength = -1;
-        ByteBuffer whole = buffer.flip();
+        ByteBuffer frameBytes = buffer.flip();
         try {
-            return Codec.decode(whole, limits);
+            return Codec.decode(frameBytes, limits);
         } catch (ChannelException e) {
             failed = true;
             throw e;
@@ -55,12 +64,15 @@
         }
     }
 
-    /** Holds bytes up to a count. Room grows with what has come, never ahead of it. */
-    private void fillBuffer(ByteBuffer bytes, int upTo) {
-        int count = Math.min(upTo - buffer.position(), bytes.remaining());
+    /**
+     * Moves bytes into the buffer until it holds {@code targetBytes}. The buffer grows with the bytes
+     * received, never with the declared frame length alone.
+     */
+    private void fillBuffer(ByteBuffer bytes, int targetBytes) {
+        int count = Math.min(targetBytes - buffer.position(), bytes.remaining());
         if (count > buffer.remaining()) {
-            int room = Math.min(upTo, Math.max(buffer.capacity() * 2, buffer.position() + count));
-            buffer = ByteBuffer.allocate(room).put(buffer.flip());
+            int capacity = Math.min(targetBytes, Math.max(buffer.capacity() * 2, buffer.position() + count));
+            buffer = ByteBuffer.allocate(capacity).put(buffer.flip());
         }
         buffer.put(bytes.slice(bytes.position(), count));
         bytes.position(bytes.position() + count);
--- a/src/main/java/rowanmoor/channel/ReportReceiver.java
+++ b/src/main/java/rowanmoor/channel/ReportReceiver.java
@@ -4,18 +4,18 @@
 import java.util.Map;
 
 /**
- * A controller's half of report acknowledgement: takes each numbered report of a proxy's process once,
- * however often it is sent. It keeps one entry a proxy number. No I/O.
+ * The receiving side of report acknowledgement: accepts each numbered report of a proxy process exactly
+ * once, however often it is sent. Keeps one entry per proxy number. Does no I/O.
  */
 public final class ReportReceiver {
 
-    /** What becomes of a numbered report. */
+    /** What to do with a numbered report. */
     public enum Verdict {
-        /** It is new: it counts, and is acknowledged. */
+        /** New: count it and acknowledge it. */
         ACCEPTED,
-        /** It was taken before: it does not count, and is acknowledged again. */
+        /** Accepted before: do not count it, but acknowledge it again. */
         DUPLICATE,
-        /** Reports between the last one and this are missing, which no stream can bring about. */
+        /** Reports are missing before this one, which an ordered stream rules out: a protocol error. */
         GAP
     }
 
@@ -32,34 +32,38 @@
     private final Map<Integer, ProxyState> stateByProxy = new HashMap<>();
 
     /**
-     * A stream of a proxy begins. Its first new report may leave numbers out: another controller took those.
+     * Starts a new stream of a proxy. The first new report on it may skip numbers, since another controller
+     * may have accepted the reports in between.
      *
-     * @param incarnation names the proxy's process; reports of another one are numbered anew
+     * @param incarnation identifies the proxy process; a new process numbers its reports from 1 again
      */
     public void streamOpened(int proxy, long incarnation) {
-        ProxyState taken = stateByProxy.get(proxy);
-        if (taken == null || taken.incarnation != incarnation) {
-            taken = new ProxyState(incarnation);
-            stateByProxy.put(proxy, taken);
+        ProxyState state = stateByProxy.get(proxy);
+        if (state == null || state.incarnation != incarnation) {
+            state = new ProxyState(incarnation);
+            stateByProxy.put(proxy, state);
         }
-        taken.gapAllowed = true;
+        state.gapAllowed = true;
     }
 
-    /** Judges a report of a proxy whose stream has begun. */
+    /** Classifies a report of a proxy for which {@link #streamOpened} was called, and records it if new. */
     public Verdict receive(int proxy, long number) {
-        ProxyState taken = stateByProxy.get(proxy);
-        if (number <= taken.lastAccepted) {
+        ProxyState state = stateByProxy.get(proxy);
+        if (number <= state.lastAccepted) {
             return Verdict.DUPLICATE;
         }
-        if (number != taken.lastAccepted + 1 && !taken.gapAllowed) {
+        if (number != state.lastAccepted + 1 && !state.gapAllowed) {
             return Verdict.GAP;
         }
-        taken.lastAccepted = number;
-        taken.gapAllowed = false;
+        state.lastAccepted = number;
+        state.gapAllowed = false;
         return Verdict.ACCEPTED;
     }
 
-    /** The number up to which all reports of a proxy were taken, here or elsewhere; 0 for none. */
+    /**
+     * Returns the number up to which all reports of a proxy have been accepted, by this controller or
+     * another; 0 for none.
+     */
     public long lastAccepted(int proxy) {
         return stateByProxy.get(proxy).lastAccepted;
     }
--- a/src/main/java/rowanmoor/channel/package-info.java
+++ b/src/main/java/rowanmoor/channel/package-info.java
@@ -1,6 +1,8 @@
 /**
- * The protocol between controllers and proxies, laid out in docs/channel.md. Job: frames to bytes and
- * back, strict and bounded. Thread rule: frames do not change; a {@link rowanmoor.channel.FrameReader}
- * belongs to its connection's loop.
+ * The binary protocol between controllers and proxies, specified in docs/channel.md. Encodes and decodes
+ * frames with strict validation and bounded memory.
+ *
+ * <p>Threading: frames are immutable; a {@link rowanmoor.channel.FrameReader} is confined to the event loop
+ * of its connection.
  */
 package rowanmoor.channel;
--- a/src/main/java/rowanmoor/controller/AsyncLineWriter.java
+++ b/src/main/java/rowanmoor/controller/AsyncLineWriter.java
@@ -10,14 +10,15 @@
 import java.util.function.Consumer;
 
 /**
- * Lines written by a thread of its own. {@link #offer} never waits and never throws: with the first line that
- * cannot be written, or that does not fit into what may wait, the file ends for good, which is told once. A
- * file with a gap would be worse than a short one.
+ * Writes lines on a thread of its own. {@link #offer} never blocks and never throws: after the first line
+ * that cannot be written, or that does not fit into the queue, no more lines are accepted, which is reported
+ * once. A file that ends early is preferred to one with a gap.
  */
 final class AsyncLineWriter implements Closeable {
 
-    private static final String END_MARKER = "\0"; // no line: offered lines are JSON
+    private static final String END_MARKER = "\0"; // cannot be a line: offered lines are JSON
     private static final long CLOSE_TIMEOUT_MS = 2000;
+    private static final int BUFFER_CHARS = 1 << 16;
 
     private final BufferedWriter out;
     private final long maxQueuedChars;
@@ -29,37 +30,38 @@
     private volatile boolean closing;
 
     /**
-     * @param charsMost characters that may wait to be written
-     * @param lost hears once why no more is written, on any thread
+     * @param maxQueuedChars capacity of the queue in characters
+     * @param onFailure called at most once, on any thread, with the reason why writing has stopped
      */
-    AsyncLineWriter(Writer to, long charsMost, Consumer<String> lost) {
-        this.out = new BufferedWriter(to, 1 << 16);
-        this.maxQueuedChars = charsMost;
-        this.onFailure = lost;
+    AsyncLineWriter(Writer target, long maxQueuedChars, Consumer<String> onFailure) {
+        this.out = new BufferedWriter(target, BUFFER_CHARS);
+        this.maxQueuedChars = maxQueuedChars;
+        this.onFailure = onFailure;
         this.thread = new Thread(this::writeLoop, "lines");
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Whether lines are still taken. */
+    /** Returns whether lines are still accepted. */
     boolean isOpen() {
         return !failed.get() && !closing;
     }
 
+    /** Queues a line; discards it if the writer is closed or has failed. */
     void offer(String line) {
         if (!isOpen()) {
             return;
         }
         if (queuedChars.addAndGet(line.length()) > maxQueuedChars) {
-            fail("more than " + maxQueuedChars + " characters wait to be written");
+            fail("write queue full: more than " + maxQueuedChars + " characters");
         } else {
             queue.add(line);
         }
     }
 
-    private void fail(String why) {
+    private void fail(String reason) {
         if (!failed.getAndSet(true)) {
-            onFailure.accept(why);
+            onFailure.accept(reason);
         }
     }
 
@@ -81,7 +83,7 @@
         }
     }
 
-    /** Writes what waits, for two seconds at the most. */
+    /** Stops accepting lines and waits up to 2 s for the queued ones to be written. */
     @Override
     public void close() {
         closing = true;
--- a/src/main/java/rowanmoor/controller/Controller.java
+++ b/src/main/java/rowanmoor/controller/Controller.java
@@ -32,7 +32,7 @@
 import rowanmoor.net.Loop;
 import rowanmoor.net.Ticks;
 
-/** The daemon: one {@link Driver} on one loop, with its streams, its roster and its probes. */
+/** The controller process: a {@link Driver} on an event loop, with the proxy streams, roster and prober. */
 public final class Controller implements Driver.Environment, ProxyStream.Owner {
 
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
@@ -54,11 +54,12 @@
     private int openStreams;
 
     /**
-     * Listens at once.
+     * Starts listening.
      *
-     * @param seed seeds the module
-     * @param epoch names this start; another at every start
-     * @param wall milliseconds since 1970, by which the roster states when backends started
+     * @param seed seed of the policy's random numbers
+     * @param epoch identifies this start; must differ at every start
+     * @param wall wall clock in milliseconds since 1970, used for the start times of backends in the roster
+     * @throws IOException if the address cannot be bound or an output file cannot be opened
      */
     public Controller(ControllerConfig config, Loop loop, long seed, long epoch, LongSupplier wall)
             throws IOException {
@@ -69,21 +70,21 @@
                 why -> LOG.error("trace ended {}", kv("why", why)));
         this.capture = config.capture() == null ? null : new CaptureWriter(config.capture(),
                 new LoadRecord.Start(loop.now(), wall.getAsLong(), config.rank(), epoch,
-                        config.site().zones(),
-                        config.site().kinds(), config.site().classNames()), text -> LOG.error("capture {}",
-                                kv("what", text)));
+                        config.site().zones(), config.site().kinds(), config.site().classNames()),
+                text -> LOG.error("capture {}", kv("what", text)));
         this.ticks = new Ticks(loop, config.tick(), now -> driver().tick(now), () -> driver().nextTickAt());
         this.driver = new Driver(settings, seed, epoch, loop.now(), this, System::nanoTime);
         this.roster = new RosterClient(loop, config.roster(), config.service(), "rowanmoor-" + config.rank(),
-                config.rosterWait(),
-                config.emptyHold(), config.site().zones(), config.site().kinds(), wall, members -> {
+                config.rosterWait(), config.emptyHold(), config.site().zones(), config.site().kinds(), wall,
+                members -> {
                     driver.onMembers(members);
                     members.entries().forEach(this::captureMember);
                     ticks.soon();
                 }, text -> LOG.warn("roster {}", kv("what", text)));
         LoadColumns columns = new LoadColumns(config.site().columns());
         this.prober = new Prober(loop, config.probePath(), config.probeWithin(), config.probesAtOnce(),
-                Addresses::toSocketAddress, answer -> columns.parse(answer.fields().get(Orca.FIELD)), probed -> {
+                Addresses::toSocketAddress, answer -> columns.parse(answer.fields().get(Orca.FIELD)),
+                probed -> {
                     driver.onProbeResult(probed);
                     ticks.soon();
                 });
@@ -96,15 +97,17 @@
     }
 
     private Connection.Options connectionOptions() {
-        // A proxy that does not read is let go: it joins again and gets what it needs in one message.
+        // A proxy that does not read is disconnected: when it joins again, one message restores its state.
         return Connection.Options.usual().idleAfter(config.silentAfter())
                 .bound(new Bound(config.queueBytes(), MAX_QUEUED_FRAMES, Bound.Policy.CLOSE));
     }
 
+    /** Returns the address on which proxies connect. */
     public InetSocketAddress address() {
         return listener.address();
     }
 
+    /** Returns the driver, for tests and statistics. */
     public Driver driver() {
         return driver;
     }
@@ -122,22 +125,24 @@
 
     @Override
     public Frame.Goodbye onHello(ProxyStream stream, Frame.Hello hello) {
-        if (hello.protocolVersion() < Frame.MIN_PROTOCOL_VERSION || hello.protocolVersion() > Frame.PROTOCOL_VERSION) {
-            return new Frame.Goodbye(Frame.Reason.VERSION, "this side speaks versions "
-                    + Frame.MIN_PROTOCOL_VERSION + " to " + Frame.PROTOCOL_VERSION + ", not " + hello.protocolVersion());
+        if (hello.protocolVersion() < Frame.MIN_PROTOCOL_VERSION
+                || hello.protocolVersion() > Frame.PROTOCOL_VERSION) {
+            return new Frame.Goodbye(Frame.Reason.VERSION, "supported protocol versions are "
+                    + Frame.MIN_PROTOCOL_VERSION + " to " + Frame.PROTOCOL_VERSION + ", got "
+                    + hello.protocolVersion());
         }
         if (hello.zone() >= config.site().zones().size()) {
             return new Frame.Goodbye(Frame.Reason.PROTOCOL, "zone " + hello.zone() + " does not exist");
         }
-        ProxyStream other = streams.get(hello.proxy());
-        if (other != null && other.hello().incarnation() != hello.incarnation()) {
-            // Two processes claim one number. The one that is here stays: if it is dead, its silence will
-            // end its stream, and the newcomer's next call is taken.
-            return new Frame.Goodbye(Frame.Reason.ID_IN_USE, "proxy " + hello.proxy() + " is joined from "
-                    + other.connection().remote());
+        ProxyStream existing = streams.get(hello.proxy());
+        if (existing != null && existing.hello().incarnation() != hello.incarnation()) {
+            // Two processes claim the same number. The existing stream stays: if its process is dead, the
+            // idle timeout ends the stream and the new process succeeds when it connects again.
+            return new Frame.Goodbye(Frame.Reason.ID_IN_USE, "proxy number " + hello.proxy()
+                    + " is in use by " + existing.connection().remote());
         }
-        if (other != null) {
-            other.end(Frame.Reason.MOVING, "the same proxy has joined again");
+        if (existing != null) {
+            existing.end(Frame.Reason.MOVING, "replaced by a newer stream of the same proxy process");
         }
         streams.put(hello.proxy(), stream);
         reportReceiver.streamOpened(hello.proxy(), hello.incarnation());
@@ -173,7 +178,7 @@
         int proxy = stream.hello().proxy();
         ReportReceiver.Verdict verdict = reportReceiver.receive(proxy, numbered.number());
         if (verdict == ReportReceiver.Verdict.GAP) {
-            stream.end(Frame.Reason.PROTOCOL, "report " + numbered.number() + " does not follow on "
+            stream.end(Frame.Reason.PROTOCOL, "gap in report numbers: got " + numbered.number() + " after "
                     + reportReceiver.lastAccepted(proxy));
             return;
         }
@@ -189,15 +194,15 @@
     }
 
     @Override
-    public void onStreamEnded(ProxyStream stream, String why) {
+    public void onStreamEnded(ProxyStream stream, String reason) {
         Frame.Hello hello = stream.hello();
         if (hello == null) {
             LOG.warn("stream over before it joined {} {}", kv("from", String.valueOf(
-                    stream.connection() == null ? null : stream.connection().remote())), kv("why", why));
+                    stream.connection() == null ? null : stream.connection().remote())), kv("why", reason));
         } else if (streams.remove(hello.proxy(), stream)) {
             driver.onProxyLeft(hello.proxy());
             capture(new LoadRecord.Left(loop.now(), hello.proxy()));
-            LOG.info("proxy left {} {}", kv("proxy", hello.proxy()), kv("why", why));
+            LOG.info("proxy left {} {}", kv("proxy", hello.proxy()), kv("why", reason));
             ticks.soon();
         }
     }
@@ -207,7 +212,7 @@
         openStreams--;
     }
 
-    // ---- captured load -------------------------------------------------------------------------------
+    // ---- load capture --------------------------------------------------------------------------------
 
     private void capture(LoadRecord record) {
         if (capture != null) {
@@ -229,7 +234,7 @@
                 t.backend().toString(), t.tries(), t.failed(), t.latencySum(), t.span())));
     }
 
-    // ---- what the driver asks ------------------------------------------------------------------------
+    // ---- side effects of the driver ------------------------------------------------------------------
 
     @Override
     public void watch(boolean on) {
@@ -255,8 +260,8 @@
     }
 
     @Override
-    public void onDecision(long now, List<Event> events, List<Action> actions, long took) {
-        decisionTimesNs.recordValue(Math.min(took, MAX_RECORDED_DECISION_NS));
+    public void onDecision(long now, List<Event> events, List<Action> actions, long durationNs) {
+        decisionTimesNs.recordValue(Math.min(durationNs, MAX_RECORDED_DECISION_NS));
         if (trace != null) {
             trace.write(now, events, actions);
         }
@@ -284,13 +289,14 @@
                 ? system.getProcessCpuTime() / 1_000_000 : -1;
     }
 
-    /** Says goodbye to every proxy and takes no more; its loop may then be stopped. */
+    /** Stops listening and ends all streams with a goodbye. The event loop may be stopped afterwards. */
     public void stop() {
         listener.close();
-        List.copyOf(streams.values()).forEach(s -> s.end(Frame.Reason.STOPPING, "the controller stops"));
+        List.copyOf(streams.values()).forEach(s ->
+                s.end(Frame.Reason.STOPPING, "controller is shutting down"));
     }
 
-    /** Ends trace and capture; once the loop has ended. */
+    /** Closes the trace and capture files; must be called after the event loop has ended. */
     public void closeFiles() throws IOException {
         if (capture != null) {
             capture.close();
--- a/src/main/java/rowanmoor/controller/Driver.java
+++ b/src/main/java/rowanmoor/controller/Driver.java
@@ -24,34 +24,41 @@
 import rowanmoor.host.Turns;
 
 /**
- * One {@link RoutingPolicy} and all that stands between it and the sockets, without any I/O: feeds it what was
- * heard, in one order; turns what it orders into one message for each proxy concerned; paces the channel.
- * Its caller passes the time and carries out what {@link Environment} asks.
+ * Drives one {@link RoutingPolicy} without doing any I/O. It feeds the policy its events in a fixed order,
+ * turns its actions into one message per affected proxy, and paces the messages at the channel's line rate.
+ * The caller passes in the time and implements {@link Environment}.
  *
- * <p>The order within a tick is that of {@link Turns}.
+ * <p>{@link Turns} defines the order of events within a tick.
  */
 public final class Driver {
 
-    /** What a tick asks of the world outside. */
+    /** The side effects of a driver, implemented by its caller. */
     public interface Environment {
 
+        /** Starts or stops watching the roster. */
         void watch(boolean on);
 
+        /** Probes a backend; the answer is passed to {@link Driver#onProbeResult}. */
         void probe(Backend backend);
 
-        /** A message that has left the channel, for the stream of this proxy. */
+        /** Sends a message on the stream of a proxy. */
         void send(int proxy, Frame frame);
 
+        /** Logs a line of the policy. */
         void log(String text);
 
-        /** What was fed and what was ordered in one tick. */
-        default void onDecision(long now, List<Event> events, List<Action> actions, long took) { }
+        /**
+         * Called after each decision with the policy's input and output.
+         *
+         * @param durationNs time that the policy took
+         */
+        default void onDecision(long now, List<Event> events, List<Action> actions, long durationNs) { }
     }
 
-    /** A message before it has a version: an update's orders, or null for a snapshot. */
+    /** A message without a version yet. Exactly one of the two components is null. */
     private record PendingMessage(List<Frame.Order> orders, Frame.Snapshot snapshot) { }
 
-    /** A joined proxy: its zone, its stream's version. */
+    /** The state of a joined proxy; {@code version} is that of the last message on its stream. */
     private static final class JoinedProxy {
         private final int zone;
         private long version;
@@ -62,6 +69,8 @@
         }
     }
 
+    private static final int MAX_TRACKED_MARKS = 4096;
+
     private final Settings settings;
     private final long epoch;
     private final Environment environment;
@@ -74,40 +83,45 @@
     private long ignoredReportLines;
 
     /**
-     * @param epoch names this start of this controller; never the same twice
-     * @param stopwatch a clock for measuring how long the module takes, and for nothing else
+     * @param seed seed of the policy's random numbers
+     * @param epoch identifies this start of this controller; must never repeat
+     * @param stopwatch clock in ns, used only to measure how long the policy takes
      */
-    public Driver(Settings settings, long seed, long epoch, long now, Environment outside,
+    public Driver(Settings settings, long seed, long epoch, long now, Environment environment,
             LongSupplier stopwatch) {
         this.settings = settings;
         this.turns = new Turns(settings, seed, stopwatch);
         this.fanout = new Fanout(settings.classes().size());
         this.epoch = epoch;
-        this.environment = outside;
+        this.environment = environment;
         this.intake = new Intake(settings.hearsPerSecond(), settings.period(), now);
         this.outbox = new Outbox<>(settings.channel().linesPerSecond(), now);
     }
 
-    // ---- what is heard -------------------------------------------------------------------------------
+    // ---- input ---------------------------------------------------------------------------------------
 
+    /** Handles an update of the roster's list of backends. */
     public void onMembers(Members members) {
         fanout.hearList(members);
         turns.hearList(members);
     }
 
+    /** Handles the result of a probe. */
     public void onProbeResult(ControlApi.Probed probed) {
         turns.hearProbe(probed);
     }
 
-    /** A proxy's stream is up. It gets a snapshot without bindings, which it answers by keeping its own. */
+    /** Handles a new stream. Sends a snapshot without bindings, on which the proxy keeps its state. */
     public void onProxyJoined(long now, Frame.Hello hello) {
         fanout.join(hello.proxy());
-        JoinedProxy peer = new JoinedProxy(hello.zone());
-        proxies.put(hello.proxy(), peer);
-        turns.hearStream(new ProxyJoined(hello.proxy(), hello.zone(), hello.requestsPerSecond(), hello.fresh()));
-        environment.send(hello.proxy(), snapshot(hello.proxy(), peer, now));
+        JoinedProxy joined = new JoinedProxy(hello.zone());
+        proxies.put(hello.proxy(), joined);
+        turns.hearStream(new ProxyJoined(hello.proxy(), hello.zone(), hello.requestsPerSecond(),
+                hello.fresh()));
+        environment.send(hello.proxy(), snapshot(hello.proxy(), joined, now));
     }
 
+    /** Handles the end of a proxy's stream; messages queued for it are discarded. */
     public void onProxyLeft(int proxy) {
         if (proxies.remove(proxy) != null) {
             fanout.leave(proxy);
@@ -116,52 +130,53 @@
         }
     }
 
-    /** A mark was answered; one of another epoch, or one never set, is not passed on. */
+    /** Handles a confirmed mark. Marks of another epoch and marks never issued are ignored. */
     public void onApplied(long now, int proxy, Frame.Applied applied) {
-        Long since = applied.epoch() == epoch ? markTimesNs.get(applied.mark()) : null;
-        if (since != null && proxies.containsKey(proxy)) {
-            turns.hearStream(new Applied(proxy, applied.mark(), now - since));
+        Long issuedAt = applied.epoch() == epoch ? markTimesNs.get(applied.mark()) : null;
+        if (issuedAt != null && proxies.containsKey(proxy)) {
+            turns.hearStream(new Applied(proxy, applied.mark(), now - issuedAt));
         }
     }
 
-    /** Takes a report in; what it says of backends never listed is counted and left out. */
+    /** Handles a report. Lines on unknown backends or classes are counted and otherwise ignored. */
     public void onReport(int proxy, Frame.Report report) {
-        JoinedProxy peer = proxies.get(proxy);
-        if (peer == null) {
+        JoinedProxy joined = proxies.get(proxy);
+        if (joined == null) {
             return;
         }
-        List<Frame.Tally> known = report.tallies().stream().filter(t -> fanout.knows(t.backend()))
-                .toList();
-        List<Frame.Use> uses = report.usages().stream().filter(u -> u.cls() < settings.classes().size())
+        List<Frame.Tally> knownTallies = report.tallies().stream().filter(t -> fanout.knows(t.backend()))
                 .toList();
-        ignoredReportLines += report.tallies().size() - known.size() + report.usages().size() - uses.size();
-        intake.addReport(proxy, peer.zone, new Frame.Report(known, uses));
+        List<Frame.Use> knownUsages = report.usages().stream()
+                .filter(u -> u.cls() < settings.classes().size()).toList();
+        ignoredReportLines += report.tallies().size() - knownTallies.size() + report.usages().size()
+                - knownUsages.size();
+        intake.addReport(proxy, joined.zone, new Frame.Report(knownTallies, knownUsages));
     }
 
-    /** A proxy has lost the thread: all that is ordered for it is sent anew, through the channel. */
+    /** Handles a resync request: queues a snapshot of everything ordered for the proxy. */
     public void onResync(long now, int proxy) {
-        JoinedProxy peer = proxies.get(proxy);
-        if (peer != null && !peer.snapshotQueued) {
-            peer.snapshotQueued = true; // however often it asks, one at a time waits in the channel
-            Frame.Snapshot whole = snapshot(proxy, peer, now);
-            double lines = settings.channel().head() + whole.withdrawn().size() + whole.tables().stream()
+        JoinedProxy joined = proxies.get(proxy);
+        if (joined != null && !joined.snapshotQueued) {
+            joined.snapshotQueued = true; // at most one snapshot per proxy is queued, however often it asks
+            Frame.Snapshot full = snapshot(proxy, joined, now);
+            double lines = settings.channel().head() + full.withdrawn().size() + full.tables().stream()
                     .mapToInt(t -> 1 + t.lines().size() + t.levels().size()).sum();
-            outbox.add(now, proxy, new PendingMessage(null, whole), lines);
+            outbox.add(now, proxy, new PendingMessage(null, full), lines);
         }
     }
 
-    private Frame.Snapshot snapshot(int proxy, JoinedProxy peer, long now) {
+    private Frame.Snapshot snapshot(int proxy, JoinedProxy joined, long now) {
         TreeMap<Integer, Integer> bindings = fanout.bindings(proxy);
         List<Frame.Binding> bound = new ArrayList<>();
         bindings.forEach((table, classes) -> bound.add(new Frame.Binding(table, classes)));
-        return new Frame.Snapshot(epoch, peer.version, now, Math.round(outbox.queuedLines()),
+        return new Frame.Snapshot(epoch, joined.version, now, Math.round(outbox.queuedLines()),
                 bindings.keySet().stream().map(fanout.store()::whole).toList(), bound,
                 List.copyOf(fanout.withdrawnOf(bindings.keySet())), List.of());
     }
 
     // ---- a tick --------------------------------------------------------------------------------------
 
-    /** Feeds what was heard, lets the module decide if there was anything, sends what may leave. */
+    /** Feeds pending events, lets the policy decide if there were any, and sends due messages. */
     public void tick(long now) {
         if (turns.knowsBackends()) {
             intake.release(now, turns::hearReport);
@@ -174,10 +189,10 @@
         sendDueMessages(now);
     }
 
-    /** When a tick is next due, if nothing more is heard. */
+    /** Returns when the next tick is due if no further event arrives. */
     public long nextTickAt() {
-        long told = turns.knowsBackends() ? intake.nextReleaseAt() : Long.MAX_VALUE;
-        return Math.min(turns.nextAt(), Math.min(told, outbox.nextSendAt()));
+        long nextReportLine = turns.knowsBackends() ? intake.nextReleaseAt() : Long.MAX_VALUE;
+        return Math.min(turns.nextAt(), Math.min(nextReportLine, outbox.nextSendAt()));
     }
 
     private void execute(long now, List<Action> actions) {
@@ -200,64 +215,68 @@
         }
     }
 
-    private static final int MAX_TRACKED_MARKS = 4096;
-
-    /** Lets messages leave; each gets its version now, so that what was dropped leaves no gap. */
+    /** Sends due messages. The version is assigned only now, so that discarded messages leave no gap. */
     private void sendDueMessages(long now) {
         for (var entry = outbox.poll(now); entry != null; entry = outbox.poll(now)) {
-            JoinedProxy peer = proxies.get(entry.proxy());
-            PendingMessage draft = entry.message();
-            long waiting = Math.round(entry.queuedLines());
-            if (draft.snapshot() == null) {
-                environment.send(entry.proxy(), new Frame.Update(epoch, ++peer.version, entry.orderedAtNs(),
-                        waiting,
-                        draft.orders()));
+            JoinedProxy joined = proxies.get(entry.proxy());
+            PendingMessage message = entry.message();
+            long queuedLines = Math.round(entry.queuedLines());
+            if (message.snapshot() == null) {
+                environment.send(entry.proxy(), new Frame.Update(epoch, ++joined.version,
+                        entry.orderedAtNs(), queuedLines, message.orders()));
             } else {
-                Frame.Snapshot s = draft.snapshot();
-                peer.snapshotQueued = false;
-                environment.send(entry.proxy(), new Frame.Snapshot(epoch, ++peer.version, entry.orderedAtNs(),
-                        waiting, s.tables(), s.bindings(), s.withdrawn(), s.globalLevels()));
+                Frame.Snapshot s = message.snapshot();
+                joined.snapshotQueued = false;
+                environment.send(entry.proxy(), new Frame.Snapshot(epoch, ++joined.version,
+                        entry.orderedAtNs(), queuedLines, s.tables(), s.bindings(), s.withdrawn(),
+                        s.globalLevels()));
             }
         }
     }
 
-    // ---- figures -------------------------------------------------------------------------------------
+    // ---- statistics ----------------------------------------------------------------------------------
 
+    /** Returns the epoch of this start. */
     public long epoch() {
         return epoch;
     }
 
+    /** Returns the number of joined proxies. */
     public int joinedProxyCount() {
         return proxies.size();
     }
 
+    /** Returns whether a proxy is joined. */
     public boolean hasJoined(int proxy) {
         return proxies.containsKey(proxy);
     }
 
-    /** Lines that wait in the channel, heads among them. */
+    /** Returns the lines queued in the channel, including the heads of messages. */
     public double queuedLines() {
         return outbox.queuedLines();
     }
 
+    /** Returns the largest number of lines that were ever queued. */
     public double maxQueuedLines() {
         return outbox.maxQueuedLines();
     }
 
+    /** Returns all lines that were ever queued. */
     public double totalQueuedLines() {
         return outbox.totalLines();
     }
 
+    /** Returns the largest number of aggregated report lines that were ever pending. */
     public int maxPendingReportLines() {
         return intake.maxPendingLines();
     }
 
-    /** Backends that reports are taken of: listed, or gone but not yet let go by the module. */
+    /** Returns the number of backends whose tallies count: listed, or gone but still held by the policy. */
     int knownBackendCount() {
         return fanout.backendsKnown();
     }
 
-    /** Report lines of backends never listed, or of classes that do not exist. */
+    /** Returns the number of report lines on backends never listed or on classes that do not exist. */
     public long ignoredReportLines() {
         return ignoredReportLines;
     }
--- a/src/main/java/rowanmoor/controller/Intake.java
+++ b/src/main/java/rowanmoor/controller/Intake.java
@@ -14,13 +14,21 @@
 import rowanmoor.channel.Frame;
 
 /**
- * Sums up proxies' reports: by backend and zone, and by proxy and class. Each period's sums are told as
- * lines, at most so many a second, the oldest first; what has to wait is added to by what comes after.
+ * Aggregates the reports of proxies, by backend and zone and by proxy and class. The totals of each period
+ * are released as events at a limited rate, the oldest first; the totals of later periods are added to those
+ * still pending.
  */
 final class Intake {
 
     private static final double NS_PER_SECOND = 1e9;
 
+    /**
+     * What a line of totals is about.
+     *
+     * @param usage true for a proxy and a class, false for a backend and a zone
+     * @param id number of the proxy, or id of the backend
+     * @param part index of the class, or of the zone
+     */
     private record LineKey(boolean usage, long id, int part) implements Comparable<LineKey> {
         @Override
         public int compareTo(LineKey other) {
@@ -55,40 +63,46 @@
     private double lineCredit;
     private int maxPendingLines;
 
-    Intake(double linesPerSecond, long period, long now) {
+    /**
+     * @param linesPerSecond the most events released per second
+     * @param periodNs length of an aggregation period
+     */
+    Intake(double linesPerSecond, long periodNs, long now) {
         this.linesPerSecond = linesPerSecond;
-        this.periodNs = period;
+        this.periodNs = periodNs;
         this.periodStartNs = now;
         this.lastReleaseNs = now;
     }
 
-    /** A sum of times, neither below 0, that stays at its end: past it, it would turn negative. */
+    /** Adds two non-negative durations and saturates at {@link Long#MAX_VALUE} instead of overflowing. */
     private static long saturatingAdd(long a, long b) {
         return a + b < 0 ? Long.MAX_VALUE : a + b;
     }
 
-    /** Takes one proxy's report in. */
+    /** Adds a proxy's report to the current period. */
     void addReport(int proxy, int zone, Frame.Report report) {
         for (Frame.Tally tally : report.tallies()) {
-            Totals sum = currentPeriod.computeIfAbsent(new LineKey(false, tally.backend().id(), zone), p -> new Totals());
-            sum.count += tally.tries();
-            sum.failed += tally.failed();
-            sum.latencySumNs = saturatingAdd(sum.latencySumNs, tally.latencySum());
-            sum.load = tally.load().isEmpty() ? sum.load : tally.load();
+            Totals totals = currentPeriod.computeIfAbsent(new LineKey(false, tally.backend().id(), zone),
+                    k -> new Totals());
+            totals.count += tally.tries();
+            totals.failed += tally.failed();
+            totals.latencySumNs = saturatingAdd(totals.latencySumNs, tally.latencySum());
+            totals.load = tally.load().isEmpty() ? totals.load : tally.load();
         }
         for (Frame.Use use : report.usages()) {
-            Totals sum = currentPeriod.computeIfAbsent(new LineKey(true, proxy, use.cls()), p -> new Totals());
-            sum.count += use.requests();
-            sum.failed += use.failed();
-            sum.spanNs = saturatingAdd(sum.spanNs, use.span());
+            Totals totals = currentPeriod.computeIfAbsent(new LineKey(true, proxy, use.cls()),
+                    k -> new Totals());
+            totals.count += use.requests();
+            totals.failed += use.failed();
+            totals.spanNs = saturatingAdd(totals.spanNs, use.span());
         }
     }
 
-    /** Tells what may be told by now. */
-    void release(long now, Consumer<Event> told) {
-        // At most one period's lines are saved up: after a stall they do not come all at once.
-        double saved = linesPerSecond * periodNs / NS_PER_SECOND;
-        lineCredit = Math.min(saved, lineCredit + linesPerSecond * (now - lastReleaseNs) / NS_PER_SECOND);
+    /** Passes on the events that are due by {@code now}. */
+    void release(long now, Consumer<Event> consumer) {
+        // The credit is capped at one period, so that a stall is not followed by a burst.
+        double maxCredit = linesPerSecond * periodNs / NS_PER_SECOND;
+        lineCredit = Math.min(maxCredit, lineCredit + linesPerSecond * (now - lastReleaseNs) / NS_PER_SECOND);
         lastReleaseNs = now;
         if (now - periodStartNs >= periodNs) {
             closePeriod(now);
@@ -100,41 +114,42 @@
             }
             lineCredit--;
             released.add(entry.getKey());
-            told.accept(toEvent(entry.getKey(), entry.getValue()));
+            consumer.accept(toEvent(entry.getKey(), entry.getValue()));
         }
         pending.keySet().removeAll(released);
     }
 
     private void closePeriod(long now) {
-        long span = now - periodStartNs;
+        long elapsedNs = now - periodStartNs;
         periodStartNs = now;
-        currentPeriod.forEach((place, sum) -> {
-            if (!place.usage()) {
-                sum.spanNs = span;
+        currentPeriod.forEach((key, totals) -> {
+            if (!key.usage()) {
+                totals.spanNs = elapsedNs;
             }
-            pending.computeIfAbsent(place, p -> new Totals()).add(sum);
+            pending.computeIfAbsent(key, k -> new Totals()).add(totals);
         });
         currentPeriod.clear();
         maxPendingLines = Math.max(maxPendingLines, pending.size());
     }
 
-    private static Event toEvent(LineKey place, Totals sum) {
-        if (place.usage()) {
-            return new Usage((int) place.id(), place.part(), sum.count, sum.failed, sum.spanNs);
+    private static Event toEvent(LineKey key, Totals totals) {
+        if (key.usage()) {
+            return new Usage((int) key.id(), key.part(), totals.count, totals.failed, totals.spanNs);
         }
-        long good = sum.count - sum.failed;
-        return new Tally(new Backend(place.id()), place.part(), sum.count, sum.failed,
-                good == 0 ? 0 : sum.latencySumNs / good, sum.spanNs, Collections.unmodifiableList(sum.load));
+        long succeeded = totals.count - totals.failed;
+        return new Tally(new Backend(key.id()), key.part(), totals.count, totals.failed,
+                succeeded == 0 ? 0 : totals.latencySumNs / succeeded, totals.spanNs,
+                Collections.unmodifiableList(totals.load));
     }
 
-    /** When there is next something to tell, going by the clock alone. */
+    /** Returns when the next event is due if no further report arrives. */
     long nextReleaseAt() {
-        long tick = (long) (NS_PER_SECOND / linesPerSecond) + 1;
-        long lines = pending.isEmpty() ? Long.MAX_VALUE : lastReleaseNs + tick;
-        return Math.min(lines, currentPeriod.isEmpty() ? Long.MAX_VALUE : periodStartNs + periodNs);
+        long lineIntervalNs = (long) (NS_PER_SECOND / linesPerSecond) + 1;
+        long nextLine = pending.isEmpty() ? Long.MAX_VALUE : lastReleaseNs + lineIntervalNs;
+        return Math.min(nextLine, currentPeriod.isEmpty() ? Long.MAX_VALUE : periodStartNs + periodNs);
     }
 
-    /** The most lines that ever waited to be told. */
+    /** Returns the largest number of lines that were ever pending. */
     int maxPendingLines() {
         return maxPendingLines;
     }
--- a/src/main/java/rowanmoor/controller/Outbox.java
+++ b/src/main/java/rowanmoor/controller/Outbox.java
@@ -4,14 +4,19 @@
 import java.util.Iterator;
 
 /**
- * The channel's queue: messages leave one after the other, each taking as long as its lines take at the
- * stated pace. What has not left counts as waiting.
+ * The send queue of the channel, limited to a rate of lines per second. Messages leave in order; each
+ * occupies the channel for as long as its lines take at that rate. Lines that have not left count as queued.
  */
 final class Outbox<M> {
 
     private static final double NS_PER_SECOND = 1e9;
 
-    /** A message under way to a proxy. {@code lines} has the head in it. */
+    /**
+     * A queued message.
+     *
+     * @param lines size of the message, including its head
+     * @param queuedLines lines in the queue just after this message was added
+     */
     record Entry<M>(int proxy, M message, double lines, long orderedAtNs, double queuedLines) { }
 
     private final double linesPerSecond;
@@ -19,6 +24,7 @@
     private double queuedLines;
     private double maxQueuedLines;
     private double totalLines;
+    /** When the first message in the queue began to occupy the channel. */
     private long headStartNs;
 
     Outbox(double linesPerSecond, long now) {
@@ -26,7 +32,7 @@
         this.headStartNs = now;
     }
 
-    /** Puts a message at the end; answers the lines that wait with it. */
+    /** Appends a message. */
     Entry<M> add(long now, int proxy, M message, double lines) {
         if (queue.isEmpty()) {
             headStartNs = Math.max(headStartNs, now);
@@ -39,7 +45,7 @@
         return entry;
     }
 
-    /** The next message that has left by now, or null. */
+    /** Removes and returns the next message that has left by {@code now}, or null if there is none. */
     Entry<M> poll(long now) {
         if (queue.isEmpty() || nextSendAt() > now) {
             return null;
@@ -50,13 +56,13 @@
         return entry;
     }
 
-    /** When the first message has left, or a very long time. */
+    /** Returns when the first message leaves, or {@link Long#MAX_VALUE} if the queue is empty. */
     long nextSendAt() {
         return queue.isEmpty() ? Long.MAX_VALUE
                 : headStartNs + (long) (queue.peek().lines() / linesPerSecond * NS_PER_SECOND);
     }
 
-    /** A stream broke: what waits for its proxy is lost. */
+    /** Removes all messages to a proxy, whose stream has ended. */
     void discard(int proxy) {
         for (Iterator<Entry<M>> entries = queue.iterator(); entries.hasNext();) {
             Entry<M> entry = entries.next();
@@ -68,18 +74,22 @@
         queuedLines = queue.isEmpty() ? 0 : queuedLines;
     }
 
+    /** Returns the lines in the queue. */
     double queuedLines() {
         return queuedLines;
     }
 
+    /** Returns the largest number of lines that were ever in the queue. */
     double maxQueuedLines() {
         return maxQueuedLines;
     }
 
+    /** Returns all lines that were ever added. */
     double totalLines() {
         return totalLines;
     }
 
+    /** Returns the number of messages in the queue. */
     int messages() {
         return queue.size();
     }
--- a/src/main/java/rowanmoor/controller/ProxyStream.java
+++ b/src/main/java/rowanmoor/controller/ProxyStream.java
@@ -13,26 +13,29 @@
 import rowanmoor.net.Timer;
 
 /**
- * The controller's end of one stream. States: silent (no hello yet), joined, over. Whatever its peer does
- * wrong ends this stream alone, with a reason.
+ * The controller's side of one proxy stream. States: waiting for the hello, joined, ended. A protocol error
+ * of the peer ends this stream only, with a reason.
  */
 final class ProxyStream implements Handler {
 
-    /** What the controller does with what streams bring. */
+    /** Receives the events of streams. */
     interface Owner {
 
-        /** Takes a hello in; a reason to refuse it, or null. */
+        /** Handles the hello; returns the reason to refuse the stream, or null to accept it. */
         Frame.Goodbye onHello(ProxyStream stream, Frame.Hello hello);
 
+        /** Handles an applied mark, a report or a resync request. */
         void onFrame(ProxyStream stream, Frame frame);
 
-        /** Nothing more is heard of it; told once, though its last words may still have to be written. */
-        void onStreamEnded(ProxyStream stream, String why);
+        /** Called once when no more frames are read; frames may still be waiting to be written. */
+        void onStreamEnded(ProxyStream stream, String reason);
 
-        /** Its connection is closed; told once. */
+        /** Called once when the connection is closed. */
         void onStreamClosed(ProxyStream stream);
     }
 
+    private static final int MAX_GOODBYE_CHARS = 200;
+
     private final Loop loop;
     private final Owner owner;
     private final long helloTimeoutNs;
@@ -44,30 +47,31 @@
     private boolean ended;
     private long lastPingToken;
 
-    ProxyStream(Loop loop, Owner owner, long helloWithin, long pingEvery) {
+    ProxyStream(Loop loop, Owner owner, long helloTimeoutNs, long pingIntervalNs) {
         this.loop = loop;
         this.owner = owner;
-        this.helloTimeoutNs = helloWithin;
-        this.pingIntervalNs = pingEvery;
+        this.helloTimeoutNs = helloTimeoutNs;
+        this.pingIntervalNs = pingIntervalNs;
     }
 
-    /** The proxy's hello, or null before it came. */
+    /** Returns the proxy's hello, or null if none was accepted. */
     Frame.Hello hello() {
         return hello;
     }
 
+    /** Returns the connection, or null if it is not open yet. */
     Connection connection() {
         return connection;
     }
 
     @Override
-    public void opened(Connection its) {
-        connection = its;
-        timer = loop.after(helloTimeoutNs, () -> end(Frame.Reason.SILENT, "no hello in time"));
+    public void opened(Connection newConnection) {
+        connection = newConnection;
+        timer = loop.after(helloTimeoutNs, () -> end(Frame.Reason.SILENT, "no hello within the time limit"));
     }
 
     @Override
-    public void received(Connection its, ByteBuffer bytes) {
+    public void received(Connection source, ByteBuffer bytes) {
         try {
             while (bytes.hasRemaining() && connection.isOpen()) {
                 Frame frame = reader.next(bytes);
@@ -83,27 +87,27 @@
     private void onFrame(Frame frame) {
         if (hello == null) {
             if (!(frame instanceof Frame.Hello first)) {
-                end(Frame.Reason.PROTOCOL, "the first frame is not a hello");
+                end(Frame.Reason.PROTOCOL, "first frame is not a hello");
                 return;
             }
             onHello(first);
         } else if (frame instanceof Frame.Ping ping) {
             send(new Frame.Pong(ping.token()));
         } else if (frame instanceof Frame.Goodbye goodbye) {
-            connection.close(Close.LOCAL, "the proxy says goodbye: " + goodbye.reason() + " "
+            connection.close(Close.LOCAL, "goodbye from the proxy: " + goodbye.reason() + " "
                     + goodbye.text());
         } else if (frame instanceof Frame.Applied || frame instanceof Frame.Report
                 || frame instanceof Frame.NumberedReport || frame instanceof Frame.Resync) {
             owner.onFrame(this, frame);
         } else if (!(frame instanceof Frame.Pong)) {
-            end(Frame.Reason.PROTOCOL, "a frame that a proxy may not send: "
+            end(Frame.Reason.PROTOCOL, "frame not allowed from a proxy: "
                     + frame.getClass().getSimpleName());
         }
     }
 
     private void onHello(Frame.Hello first) {
         timer.cancel();
-        hello = first; // what the owner does with it may end this stream
+        hello = first; // the owner may end this stream in its callback and then needs the hello
         Frame.Goodbye refusal = owner.onHello(this, first);
         if (refusal != null) {
             hello = null;
@@ -118,41 +122,42 @@
         timer = loop.after(pingIntervalNs, this::ping);
     }
 
-    /** Sends a frame; a stream whose queue is full is closed by the queue's bound. */
+    /** Sends a frame. If the connection's send queue is full, the connection closes. */
     void send(Frame frame) {
         connection.send(Codec.encode(frame));
     }
 
-    /** Says why, and ends. */
+    /** Sends a goodbye with the reason and ends the stream. */
     void end(Frame.Reason reason, String text) {
         if (connection.isOpen()) {
-            String cut = text.length() > 200 ? text.substring(0, 200) : text;
-            connection.send(Codec.encode(new Frame.Goodbye(reason, cut)));
+            String shortText = text.length() > MAX_GOODBYE_CHARS
+                    ? text.substring(0, MAX_GOODBYE_CHARS) : text;
+            connection.send(Codec.encode(new Frame.Goodbye(reason, shortText)));
             connection.end();
         }
         notifyEnded(reason + ": " + text);
     }
 
-    /** The proxy has left, whether or not it still takes what waits for it. */
+    /** Treats the proxy as gone, even if it still reads the frames that are waiting to be written. */
     @Override
-    public boolean ended(Connection its) {
-        notifyEnded("the proxy ended");
+    public boolean ended(Connection halfClosed) {
+        notifyEnded("the proxy closed its side of the stream");
         return false;
     }
 
     @Override
-    public void closed(Connection its, Close why, String detail) {
-        notifyEnded(why + ": " + detail);
+    public void closed(Connection closedConnection, Close cause, String detail) {
+        notifyEnded(cause + ": " + detail);
         owner.onStreamClosed(this);
     }
 
-    private void notifyEnded(String why) {
+    private void notifyEnded(String reason) {
         if (!ended) {
             ended = true;
             if (timer != null) {
                 timer.cancel();
             }
-            owner.onStreamEnded(this, why);
+            owner.onStreamEnded(this, reason);
         }
     }
 }
--- a/src/main/java/rowanmoor/controller/package-info.java
+++ b/src/main/java/rowanmoor/controller/package-info.java
@@ -1,7 +1,9 @@
 /**
- * The controller. Job: host one {@link rowanmoor.RoutingPolicy}, tell it what happens, carry out what it orders.
- * {@code Driver} and what it uses do no I/O and take their clock as arguments; {@code Controller} joins
- * them to sockets. Thread rule: everything belongs to the controller's one loop, but that {@code AsyncLineWriter}
- * writes the trace on a thread of its own.
+ * The controller process. It hosts one {@link rowanmoor.RoutingPolicy}, feeds it the events from the roster,
+ * the probes and the proxies' streams, and executes its actions.
+ *
+ * <p>{@code Driver} and its parts do no I/O and take the time as an argument; {@code Controller} connects
+ * them to sockets. Threading: all classes are confined to the controller's event loop, except that
+ * {@code AsyncLineWriter} writes the trace on a thread of its own.
  */
 package rowanmoor.controller;
--- a/src/test/java/rowanmoor/channel/ChannelDocTest.java
+++ b/src/test/java/rowanmoor/channel/ChannelDocTest.java
@@ -14,11 +14,11 @@
 import org.junit.jupiter.api.Test;
 import rowanmoor.ControlApi.Backend;
 
-/** The bytes in docs/channel.md are those of the code, both ways. */
+/** Checks that the example frames in docs/channel.md match the codec, in both directions. */
 class ChannelDocTest {
 
     @Test
-    void theDocumentsBytesAreTheCodes() throws IOException, ChannelException {
+    void exampleBytesInTheDocumentMatchTheCodec() throws IOException, ChannelException {
         List<Frame> frames = List.of(
                 new Frame.Hello(1, 41, 0x1122334455667788L, 1, 12.5, true, 0, 0, "relay-41"),
                 new Frame.Update(77, 3, 1000, 9, List.of(new Frame.SetLine(2, new Frame.Line(
@@ -31,12 +31,12 @@
         }
         assertEquals(frames.size(), blocks.size());
         for (int i = 0; i < frames.size(); i++) {
-            ByteBuffer bytes = Codec.encode(frames.get(i));
-            byte[] copy = new byte[bytes.remaining()];
-            bytes.get(copy);
-            assertEquals(HexFormat.of().formatHex(copy), blocks.get(i));
-            ByteBuffer read = ByteBuffer.wrap(HexFormat.of().parseHex(blocks.get(i)));
-            assertEquals(frames.get(i), new FrameReader(ChannelLimits.defaults()).next(read));
+            ByteBuffer encoded = Codec.encode(frames.get(i));
+            byte[] actual = new byte[encoded.remaining()];
+            encoded.get(actual);
+            assertEquals(HexFormat.of().formatHex(actual), blocks.get(i));
+            ByteBuffer documented = ByteBuffer.wrap(HexFormat.of().parseHex(blocks.get(i)));
+            assertEquals(frames.get(i), new FrameReader(ChannelLimits.defaults()).next(documented));
         }
     }
 }
--- a/src/test/java/rowanmoor/channel/CodecTest.java
+++ b/src/test/java/rowanmoor/channel/CodecTest.java
@@ -15,11 +15,12 @@
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Retry;
 
+/** Round trips of all frames, and the rejection of malformed, truncated and oversized input. */
 class CodecTest {
 
     private static final ChannelLimits LIMITS = new ChannelLimits(4096, 50, 40);
 
-    static List<Frame> samples(Random random) {
+    static List<Frame> sampleFrames(Random random) {
         Backend backend = new Backend(random.nextLong() >>> 16);
         Frame.Level level = new Frame.Level(random.nextInt(65536), random.nextDouble() * 1e6, Retry.ONCE);
         Frame.Table table = new Frame.Table(random.nextInt(65535), List.of(new Frame.Line(backend, 2.5)),
@@ -36,42 +37,44 @@
                 new Frame.Applied(random.nextLong(), 9, 65535),
                 new Frame.Report(List.of(new Frame.Tally(backend, 4294967295L, 7, 8, 9, List.of(0.5, 3.0))),
                         List.of(new Frame.Use(2, 3, 1, 5))),
-                new Frame.NumberedReport(1 + random.nextInt(99), new Frame.Report(List.of(), List.of(new Frame.Use(2, 3, 1, 5)))),
-                new Frame.ReportsTaken(Long.MAX_VALUE), new Frame.Ping(random.nextLong()), new Frame.Pong(random.nextLong()),
+                new Frame.NumberedReport(1 + random.nextInt(99), new Frame.Report(List.of(),
+                        List.of(new Frame.Use(2, 3, 1, 5)))),
+                new Frame.ReportsTaken(Long.MAX_VALUE), new Frame.Ping(random.nextLong()),
+                new Frame.Pong(random.nextLong()),
                 new Frame.Goodbye(Frame.Reason.SLOW, "too slow"), new Frame.Resync(random.nextLong(), 3));
     }
 
     @Property(seed = "31", tries = 100)
-    void framesComeBackAsTheyWentHoweverTheyAreSplit(@ForAll long seed) throws ChannelException {
+    void framesSurviveARoundTripHoweverTheyAreFragmented(@ForAll long seed) throws ChannelException {
         Random random = new Random(seed);
-        List<Frame> frames = samples(random);
+        List<Frame> frames = sampleFrames(random);
         FrameReader reader = new FrameReader(LIMITS);
-        List<Frame> read = new ArrayList<>();
+        List<Frame> decoded = new ArrayList<>();
         for (Frame frame : frames) {
             ByteBuffer bytes = Codec.encode(frame);
             while (bytes.hasRemaining()) {
                 int count = Math.min(bytes.remaining(), 1 + random.nextInt(20));
-                ByteBuffer piece = bytes.slice(bytes.position(), count);
+                ByteBuffer fragment = bytes.slice(bytes.position(), count);
                 bytes.position(bytes.position() + count);
-                while (piece.hasRemaining()) {
-                    Frame next = reader.next(piece);
+                while (fragment.hasRemaining()) {
+                    Frame next = reader.next(fragment);
                     if (next != null) {
-                        read.add(next);
+                        decoded.add(next);
                     }
                 }
             }
         }
-        assertEquals(frames, read);
+        assertEquals(frames, decoded);
     }
 
     /**
-     * Whatever bits are flipped: the codec's own error or a frame, and no more memory than a frame may
-     * have.
+     * Flipped bits lead to a frame or to a {@link ChannelException}, and to no allocation beyond the size of
+     * a frame.
      */
     @Property(seed = "37", tries = 2000)
-    void corruptedFramesAreRefusedOrRead(@ForAll long seed) {
+    void corruptedFramesAreDecodedOrRejected(@ForAll long seed) {
         Random random = new Random(seed);
-        List<Frame> frames = samples(random);
+        List<Frame> frames = sampleFrames(random);
         byte[] bytes = Codec.encode(frames.get(random.nextInt(frames.size()))).array();
         for (int i = 0; i < 1 + random.nextInt(4); i++) {
             bytes[4 + random.nextInt(bytes.length - 4)] ^= (byte) (1 << random.nextInt(8));
@@ -84,7 +87,7 @@
     }
 
     @Test
-    void aLengthOf4GiBIsRefusedBeforeAnythingIsAllocated() {
+    void lengthOf4GiBIsRejectedBeforeAllocation() {
         FrameReader reader = new FrameReader(LIMITS);
         ByteBuffer length = ByteBuffer.allocate(4).putInt(0xffffffff).flip();
         assertThrows(ChannelException.class, () -> reader.next(length));
@@ -92,30 +95,30 @@
     }
 
     @Test
-    void aListLongerThanItsFrameIsRefusedByItsCount() {
+    void listCountBeyondTheFrameIsRejected() {
         ByteBuffer frame = ByteBuffer.allocate(64).put((byte) 5).putShort((short) 49).put(new byte[40]).flip();
         assertThrows(ChannelException.class, () -> Codec.decode(frame, LIMITS));
     }
 
     @Test
-    void aHelloFromAnUnknownVersionIsReadAsFarAsItsVersion() throws ChannelException {
+    void helloOfAnUnknownVersionIsDecodedUpToItsVersion() throws ChannelException {
         ByteBuffer frame = ByteBuffer.allocate(16).put((byte) 1).putInt(0x52574d43).putShort((short) 900)
                 .put(new byte[] {1, 2, 3}).flip();
         assertEquals(900, ((Frame.Hello) Codec.decode(frame, LIMITS)).protocolVersion());
     }
 
     @Test
-    void bytesBehindTheLastFieldAndNegativeWeightsAreRefused() {
+    void trailingBytesAndNegativeWeightsAreRejected() {
         byte[] ping = Codec.encode(new Frame.Ping(1)).array();
-        ByteBuffer more = ByteBuffer.allocate(20).put(ping, 4, 9).put((byte) 0).flip();
-        assertThrows(ChannelException.class, () -> Codec.decode(more, LIMITS));
+        ByteBuffer withTrailingByte = ByteBuffer.allocate(20).put(ping, 4, 9).put((byte) 0).flip();
+        assertThrows(ChannelException.class, () -> Codec.decode(withTrailingByte, LIMITS));
         ByteBuffer negative = Codec.encode(new Frame.Update(1, 1, 1, 1, List.of(new Frame.SetLine(1,
                 new Frame.Line(new Backend(1), -1))))).position(4).slice();
         assertThrows(ChannelException.class, () -> Codec.decode(negative, LIMITS));
     }
 
     @Test
-    void aFrameCutInTheMiddleIsNotYetOne() throws ChannelException {
+    void incompleteFrameIsNotDecoded() throws ChannelException {
         FrameReader reader = new FrameReader(LIMITS);
         ByteBuffer bytes = Codec.encode(new Frame.Ping(5));
         bytes.limit(7);
@@ -124,18 +127,20 @@
     }
 
     @Test
-    void aTallyWhoseLatenciesCannotBeIsRefused() throws ChannelException {
-        for (long good : new long[] {0, 10}) {
-            for (int over = 0; over < 2; over++) {
-                long sum = good * 86_400_000_000_000L + over * 86_400_000_000_000L;
-                ByteBuffer bytes = Codec.encode(new Frame.Report(List.of(new Frame.Tally(new Backend(1), good + 2, 2, sum,
+    void tallyWithAnImpossibleLatencySumIsRejected() throws ChannelException {
+        for (long succeeded : new long[] {0, 10}) {
+            for (int excessDays = 0; excessDays < 2; excessDays++) {
+                long latencySumNs = succeeded * 86_400_000_000_000L + excessDays * 86_400_000_000_000L;
+                ByteBuffer bytes = Codec.encode(new Frame.Report(List.of(new Frame.Tally(new Backend(1),
+                        succeeded + 2, 2, latencySumNs,
                         5, List.of())), List.of()));
                 FrameReader reader = new FrameReader(LIMITS);
-                if (over == 0) {
+                if (excessDays == 0) {
                     assertTrue(reader.next(bytes) instanceof Frame.Report);
                 } else {
                     ChannelException e = assertThrows(ChannelException.class, () -> reader.next(bytes));
-                    assertTrue(e.getMessage().contains("beyond a day a try"), e.getMessage());
+                    assertTrue(e.getMessage().contains("tally latency sum exceeds one day per successful try"),
+                            e.getMessage());
                 }
             }
         }
--- a/src/test/java/rowanmoor/controller/DriverPartsTest.java
+++ b/src/test/java/rowanmoor/controller/DriverPartsTest.java
@@ -26,99 +26,100 @@
 import rowanmoor.config.ConfigError;
 import rowanmoor.config.ControllerConfig;
 
-/** The driver's parts, and the driver whole, on a clock that the test moves. */
+/** The driver and its parts, on a clock that the test advances. */
 class DriverPartsTest {
 
-    private static final long SECOND = 1_000_000_000L;
-    private static final long START = 1_000_000 * SECOND;
+    private static final long NS_PER_SECOND = 1_000_000_000L;
+    private static final long START_NS = 1_000_000 * NS_PER_SECOND;
 
     private static Frame.Report report(int tries, int requests) {
-        return new Frame.Report(List.of(new Frame.Tally(new Backend(1), tries, 1, (tries - 1) * 10L, SECOND,
-                List.of(0.5))), List.of(new Frame.Use(0, requests, 0, SECOND)));
+        return new Frame.Report(List.of(new Frame.Tally(new Backend(1), tries, 1, (tries - 1) * 10L, NS_PER_SECOND,
+                List.of(0.5))), List.of(new Frame.Use(0, requests, 0, NS_PER_SECOND)));
     }
 
     @Test
     void reportsAreSummedByBackendAndZoneAndByProxyAndClass() {
-        Intake intake = new Intake(100, SECOND, START);
+        Intake intake = new Intake(100, NS_PER_SECOND, START_NS);
         intake.addReport(1, 0, report(5, 7));
         intake.addReport(2, 0, report(6, 8));
         intake.addReport(3, 1, report(7, 9));
-        List<Event> told = new ArrayList<>();
-        intake.release(START + SECOND / 2, told::add);
-        assertEquals(0, told.size(), "before the period is over");
-        intake.release(START + SECOND, told::add);
-        assertEquals(5, told.size());
-        assertEquals(new Tally(new Backend(1), 0, 11, 2, 10, SECOND, List.of(0.5)), told.get(0));
-        assertEquals(new Usage(2, 0, 8, 0, SECOND), told.get(3));
+        List<Event> released = new ArrayList<>();
+        intake.release(START_NS + NS_PER_SECOND / 2, released::add);
+        assertEquals(0, released.size(), "released before the end of the period");
+        intake.release(START_NS + NS_PER_SECOND, released::add);
+        assertEquals(5, released.size());
+        assertEquals(new Tally(new Backend(1), 0, 11, 2, 10, NS_PER_SECOND, List.of(0.5)), released.get(0));
+        assertEquals(new Usage(2, 0, 8, 0, NS_PER_SECOND), released.get(3));
     }
 
     @Test
-    void intakeIsBoundedTakesTheOldestFirstAndTheRestAddsUp() {
-        Intake intake = new Intake(2, SECOND, START);
-        List<Event> told = new ArrayList<>();
+    void intakeReleasesTheOldestLinesFirstAtItsRateAndAggregatesTheRest() {
+        Intake intake = new Intake(2, NS_PER_SECOND, START_NS);
+        List<Event> released = new ArrayList<>();
         for (int second = 1; second <= 3; second++) {
             for (int proxy = 0; proxy < 4; proxy++) {
-                intake.addReport(proxy, 0, new Frame.Report(List.of(), List.of(new Frame.Use(0, 10, 0, SECOND))));
+                intake.addReport(proxy, 0, new Frame.Report(List.of(),
+                        List.of(new Frame.Use(0, 10, 0, NS_PER_SECOND))));
             }
-            intake.release(START + second * SECOND, told::add);
+            intake.release(START_NS + second * NS_PER_SECOND, released::add);
         }
-        assertEquals(6, told.size(), "two lines a second");
-        assertEquals(List.of(0, 1, 2, 3, 0, 1), told.stream().map(e -> ((Usage) e).proxy()).toList());
-        assertEquals(new Usage(2, 0, 20, 0, 2 * SECOND), told.get(2), "what waited was added to");
-        long requests = told.stream().mapToLong(e -> ((Usage) e).requests()).sum();
+        assertEquals(6, released.size(), "2 lines per second");
+        assertEquals(List.of(0, 1, 2, 3, 0, 1), released.stream().map(e -> ((Usage) e).proxy()).toList());
+        assertEquals(new Usage(2, 0, 20, 0, 2 * NS_PER_SECOND), released.get(2), "pending lines must be aggregated");
+        long requests = released.stream().mapToLong(e -> ((Usage) e).requests()).sum();
         assertEquals(4, intake.maxPendingLines());
         for (int second = 4; second < 8; second++) {
-            intake.release(START + second * SECOND, told::add);
+            intake.release(START_NS + second * NS_PER_SECOND, released::add);
         }
-        requests = told.stream().mapToLong(e -> ((Usage) e).requests()).sum();
-        assertEquals(120, requests, "nothing is lost");
+        requests = released.stream().mapToLong(e -> ((Usage) e).requests()).sum();
+        assertEquals(120, requests, "no request may be lost");
     }
 
     @Test
-    void theChannelSendsAtItsPaceAndCountsWhatWaits() {
-        Outbox<String> outbox = new Outbox<>(10, START);
-        outbox.add(START, 1, "a", 5);
-        assertEquals(15, outbox.add(START, 2, "b", 10).queuedLines());
-        assertNull(outbox.poll(START + SECOND / 4));
-        assertEquals("a", outbox.poll(START + SECOND / 2).message());
+    void outboxSendsAtTheLineRateAndCountsQueuedLines() {
+        Outbox<String> outbox = new Outbox<>(10, START_NS);
+        outbox.add(START_NS, 1, "a", 5);
+        assertEquals(15, outbox.add(START_NS, 2, "b", 10).queuedLines());
+        assertNull(outbox.poll(START_NS + NS_PER_SECOND / 4));
+        assertEquals("a", outbox.poll(START_NS + NS_PER_SECOND / 2).message());
         assertEquals(10, outbox.queuedLines());
-        assertEquals(START + SECOND * 3 / 2, outbox.nextSendAt());
+        assertEquals(START_NS + NS_PER_SECOND * 3 / 2, outbox.nextSendAt());
         outbox.discard(2);
         assertEquals(0, outbox.queuedLines());
         assertEquals(Long.MAX_VALUE, outbox.nextSendAt());
-        outbox.add(START + 9 * SECOND, 1, "c", 10);
-        assertNull(outbox.poll(START + 9 * SECOND), "an idle channel saves nothing up");
-        assertNotNull(outbox.poll(START + 10 * SECOND));
+        outbox.add(START_NS + 9 * NS_PER_SECOND, 1, "c", 10);
+        assertNull(outbox.poll(START_NS + 9 * NS_PER_SECOND), "an idle channel must not accumulate credit");
+        assertNotNull(outbox.poll(START_NS + 10 * NS_PER_SECOND));
         assertEquals(15, outbox.maxQueuedLines());
     }
 
-    /** Plays the same minute into a driver; answers all that it was fed, ordered and sent. */
-    private static List<String> minute(long seed, Trace trace) throws ConfigError {
+    /** Feeds 20 s of scripted events to a driver; returns all of its side effects in order. */
+    private static List<String> runScenario(long seed, Trace trace) throws ConfigError {
         Settings settings = ControllerConfig.read(Path.of("conf/controller.kdl")).site().settings(1);
-        List<String> story = new ArrayList<>();
-        Driver driver = new Driver(settings, seed, 5, START, new Driver.Environment() {
+        List<String> effects = new ArrayList<>();
+        Driver driver = new Driver(settings, seed, 5, START_NS, new Driver.Environment() {
             @Override
             public void watch(boolean on) {
-                story.add("watch " + on);
+                effects.add("watch " + on);
             }
 
             @Override
             public void probe(Backend backend) {
-                story.add("probe " + backend);
+                effects.add("probe " + backend);
             }
 
             @Override
             public void send(int proxy, Frame frame) {
-                story.add(proxy + " " + frame);
+                effects.add(proxy + " " + frame);
             }
 
             @Override
             public void log(String text) {
-                story.add(text);
+                effects.add(text);
             }
 
             @Override
-            public void onDecision(long now, List<Event> events, List<Action> actions, long took) {
+            public void onDecision(long now, List<Event> events, List<Action> actions, long durationNs) {
                 if (trace != null) {
                     trace.write(now, events, actions);
                 }
@@ -130,38 +131,39 @@
         }
         driver.onMembers(new Members(ListKind.FULL, 1, members));
         for (int p = 0; p < 10; p++) {
-            driver.onProxyJoined(START, new Frame.Hello(1, p, p, p % 2, 5, true, 0, 0, "p"));
+            driver.onProxyJoined(START_NS, new Frame.Hello(1, p, p, p % 2, 5, true, 0, 0, "p"));
         }
-        for (long now = START; now < START + 20 * SECOND; now += SECOND / 10) {
-            if ((now - START) % SECOND == 0) {
+        for (long now = START_NS; now < START_NS + 20 * NS_PER_SECOND; now += NS_PER_SECOND / 10) {
+            if ((now - START_NS) % NS_PER_SECOND == 0) {
                 for (int p = 0; p < 10; p++) {
                     driver.onReport(p, new Frame.Report(List.of(new Frame.Tally(new Backend(100 + p % 8), 20, p,
-                            30 * SECOND / 10, SECOND, List.of())), List.of(new Frame.Use(0, 20, 0, SECOND))));
+                            30 * NS_PER_SECOND / 10, NS_PER_SECOND, List.of())),
+                            List.of(new Frame.Use(0, 20, 0, NS_PER_SECOND))));
                 }
             }
-            if (now == START + 5 * SECOND) {
+            if (now == START_NS + 5 * NS_PER_SECOND) {
                 driver.onProxyLeft(3);
                 driver.onMembers(new Members(ListKind.DELTA, 2, List.of(members.get(2).gone())));
             }
             driver.tick(now);
         }
-        return story;
+        return effects;
     }
 
     @Test
-    void theSameEventsGiveTheSameOrders() throws ConfigError {
-        List<String> first = minute(3, null);
+    void sameEventsGiveTheSameEffects() throws ConfigError {
+        List<String> first = runScenario(3, null);
         assertTrue(first.size() > 50, first.size() + " lines");
-        assertEquals(first, minute(3, null));
+        assertEquals(first, runScenario(3, null));
     }
 
     @Test
-    void aTraceIsReplayedToTheSameOrdersAndACutOrChangedOneIsTold(@TempDir Path dir)
+    void replayDetectsTruncatedAndModifiedTraces(@TempDir Path dir)
             throws IOException, ConfigError {
         Path file = dir.resolve("t.trace");
         Settings settings = ControllerConfig.read(Path.of("conf/controller.kdl")).site().settings(1);
         try (Trace trace = new Trace(file, settings, 3, why -> { })) {
-            minute(3, trace);
+            runScenario(3, trace);
         }
         Trace.Replay replay = Trace.replay(file);
         assertNull(replay.difference());
@@ -175,24 +177,24 @@
     }
 
     @Test
-    void marksOfAnotherEpochAreNotPassedOn() throws ConfigError {
+    void marksOfAnotherEpochAndUnknownMarksAreIgnored() throws ConfigError {
         Settings settings = ControllerConfig.read(Path.of("conf/controller.kdl")).site().settings(1);
-        List<Event> fed = new ArrayList<>();
-        Driver driver = new Driver(settings, 1, 5, START, new Silent() {
+        List<Event> fedEvents = new ArrayList<>();
+        Driver driver = new Driver(settings, 1, 5, START_NS, new NoEffects() {
             @Override
-            public void onDecision(long now, List<Event> events, List<Action> actions, long took) {
-                fed.addAll(events);
+            public void onDecision(long now, List<Event> events, List<Action> actions, long durationNs) {
+                fedEvents.addAll(events);
             }
         }, () -> 0);
-        driver.onProxyJoined(START, new Frame.Hello(1, 1, 1, 0, 5, true, 0, 0, "p"));
-        driver.tick(START);
-        driver.onApplied(START, 1, new Frame.Applied(4, 1, 1));
-        driver.onApplied(START, 1, new Frame.Applied(5, 1, 60000));
-        driver.tick(START + SECOND);
-        assertTrue(fed.stream().noneMatch(e -> e instanceof rowanmoor.ControlApi.Applied), fed.toString());
+        driver.onProxyJoined(START_NS, new Frame.Hello(1, 1, 1, 0, 5, true, 0, 0, "p"));
+        driver.tick(START_NS);
+        driver.onApplied(START_NS, 1, new Frame.Applied(4, 1, 1));
+        driver.onApplied(START_NS, 1, new Frame.Applied(5, 1, 60000));
+        driver.tick(START_NS + NS_PER_SECOND);
+        assertTrue(fedEvents.stream().noneMatch(e -> e instanceof rowanmoor.ControlApi.Applied), fedEvents.toString());
     }
 
-    private static class Silent implements Driver.Environment {
+    private static class NoEffects implements Driver.Environment {
         @Override
         public void watch(boolean on) { }
 
@@ -206,55 +208,57 @@
         public void log(String text) { }
     }
 
-    private static Driver driver() throws ConfigError {
+    private static Driver newDriver() throws ConfigError {
         Settings settings = ControllerConfig.read(Path.of("conf/controller.kdl")).site().settings(1);
-        return new Driver(settings, 1, 5, START, new Silent(), () -> 0);
+        return new Driver(settings, 1, 5, START_NS, new NoEffects(), () -> 0);
     }
 
     @Test
-    void machinesReplacedForYearsAreNotRememberedForGood() throws ConfigError {
-        Driver driver = driver();
-        long now = START;
+    void replacedBackendsAreEventuallyForgotten() throws ConfigError {
+        Driver driver = newDriver();
+        long now = START_NS;
         for (int i = 0; i < 2000; i++) {
-            now += 10 * SECOND;
+            now += 10 * NS_PER_SECOND;
             driver.onMembers(new Members(i == 0 ? ListKind.FULL : ListKind.DELTA, i, List.of(
                     new Member(new Backend(100 + i), 0, 0, 0, Listed.READY, 1, 0),
                     new Member(new Backend(99 + i), 0, 0, 0, Listed.GONE, 1, 0))));
             driver.tick(now);
-            driver.tick(now + 2 * SECOND);
+            driver.tick(now + 2 * NS_PER_SECOND);
         }
-        assertTrue(driver.knownBackendCount() < 100, driver.knownBackendCount() + " known of 2000");
+        assertTrue(driver.knownBackendCount() < 100, driver.knownBackendCount() + " of 2000 backends still known");
     }
 
     @Test
-    void aProxyThatAsksForSnapshotsWithoutEndHasOneWaiting() throws ConfigError {
-        Driver driver = driver();
+    void repeatedResyncsQueueOneSnapshot() throws ConfigError {
+        Driver driver = newDriver();
         driver.onMembers(new Members(ListKind.FULL, 1, List.of(
                 new Member(new Backend(100), 0, 0, 0, Listed.READY, 1, 0))));
-        driver.onProxyJoined(START, new Frame.Hello(1, 1, 1, 0, 5, true, 0, 0, "p"));
-        driver.tick(START);
-        double before = driver.queuedLines();
+        driver.onProxyJoined(START_NS, new Frame.Hello(1, 1, 1, 0, 5, true, 0, 0, "p"));
+        driver.tick(START_NS);
+        double linesBefore = driver.queuedLines();
         for (int i = 0; i < 1000; i++) {
-            driver.onResync(START, 1);
+            driver.onResync(START_NS, 1);
         }
-        assertTrue(driver.queuedLines() < before + 50, driver.queuedLines() + " lines wait, " + before + " before");
-        driver.tick(START + 60 * SECOND);
-        double sent = driver.totalQueuedLines();
-        driver.onResync(START + 60 * SECOND, 1);
-        assertTrue(driver.totalQueuedLines() > sent, "once it has left, another may be asked for");
+        assertTrue(driver.queuedLines() < linesBefore + 50,
+                driver.queuedLines() + " lines queued, " + linesBefore + " before");
+        driver.tick(START_NS + 60 * NS_PER_SECOND);
+        double totalBefore = driver.totalQueuedLines();
+        driver.onResync(START_NS + 60 * NS_PER_SECOND, 1);
+        assertTrue(driver.totalQueuedLines() > totalBefore, "after the first snapshot has left, another is queued");
     }
 
     @Test
-    void sumsOfLatenciesNearTheirEndStayAtIt() {
-        Intake intake = new Intake(100, SECOND, START);
+    void sumsOfDurationsSaturate() {
+        Intake intake = new Intake(100, NS_PER_SECOND, START_NS);
         for (int proxy = 0; proxy < 3; proxy++) {
-            intake.addReport(proxy, 0, new Frame.Report(List.of(new Frame.Tally(new Backend(1), 10, 1, Long.MAX_VALUE / 2,
-                    SECOND, List.of())), List.of(new Frame.Use(0, 4, 0, Long.MAX_VALUE / 2))));
-            intake.addReport(proxy, 0, new Frame.Report(List.of(), List.of(new Frame.Use(0, 4, 0, Long.MAX_VALUE / 2 + 9))));
+            intake.addReport(proxy, 0, new Frame.Report(List.of(new Frame.Tally(new Backend(1), 10, 1,
+                    Long.MAX_VALUE / 2, NS_PER_SECOND, List.of())), List.of(new Frame.Use(0, 4, 0, Long.MAX_VALUE / 2))));
+            intake.addReport(proxy, 0, new Frame.Report(List.of(),
+                    List.of(new Frame.Use(0, 4, 0, Long.MAX_VALUE / 2 + 9))));
         }
-        List<Event> told = new ArrayList<>();
-        intake.release(START + SECOND, told::add);
-        assertTrue(((Tally) told.get(0)).latency() > 0, told.get(0).toString());
-        assertTrue(((Usage) told.get(1)).span() > 0, told.get(1).toString());
+        List<Event> released = new ArrayList<>();
+        intake.release(START_NS + NS_PER_SECOND, released::add);
+        assertTrue(((Tally) released.get(0)).latency() > 0, released.get(0).toString());
+        assertTrue(((Usage) released.get(1)).span() > 0, released.get(1).toString());
     }
 }
