--- a/src/main/java/rowanmoor/channel/Frame.java
+++ b/src/main/java/rowanmoor/channel/Frame.java
@@ -19,7 +19,7 @@
      * The first frame of a proxy.
      *
      * @param proxy the proxy's number, 0 to 65534, unique within the site
-     * @param incarnation drawn at random at each start of the process
+     * @param incarnation drawn anew at each start of the process
      * @param requestsPerSecond approximate request rate that the proxy usually receives
      * @param fresh whether the proxy holds only its standing table
      * @param epoch epoch of the state that the proxy holds, 0 for none
--- a/src/main/java/rowanmoor/controller/Controller.java
+++ b/src/main/java/rowanmoor/controller/Controller.java
@@ -58,10 +58,10 @@
      *
      * @param seed seed of the policy's random numbers
      * @param epoch identifies this start; must differ at every start
-     * @param wall wall clock in milliseconds since 1970, used for the start times of backends in the roster
+     * @param wallClockMs wall clock in milliseconds since 1970, used for the start times of backends in the roster
      * @throws IOException if the address cannot be bound or an output file cannot be opened
      */
-    public Controller(ControllerConfig config, Loop loop, long seed, long epoch, LongSupplier wall)
+    public Controller(ControllerConfig config, Loop loop, long seed, long epoch, LongSupplier wallClockMs)
             throws IOException {
         this.config = config;
         this.loop = loop;
@@ -69,13 +69,13 @@
         this.trace = config.trace() == null ? null : new Trace(config.trace(), settings, seed,
                 why -> LOG.error("trace ended {}", kv("why", why)));
         this.capture = config.capture() == null ? null : new CaptureWriter(config.capture(),
-                new LoadRecord.Start(loop.now(), wall.getAsLong(), config.rank(), epoch,
+                new LoadRecord.Start(loop.now(), wallClockMs.getAsLong(), config.rank(), epoch,
                         config.site().zones(), config.site().kinds(), config.site().classNames()),
                 text -> LOG.error("capture {}", kv("what", text)));
         this.ticks = new Ticks(loop, config.tick(), now -> driver().tick(now), () -> driver().nextTickAt());
         this.driver = new Driver(settings, seed, epoch, loop.now(), this, System::nanoTime);
         this.roster = new RosterClient(loop, config.roster(), config.service(), "rowanmoor-" + config.rank(),
-                config.rosterWait(), config.emptyHold(), config.site().zones(), config.site().kinds(), wall,
+                config.rosterWait(), config.emptyHold(), config.site().zones(), config.site().kinds(), wallClockMs,
                 members -> {
                     driver.onMembers(members);
                     members.entries().forEach(this::captureMember);
--- a/src/main/java/rowanmoor/controller/Driver.java
+++ b/src/main/java/rowanmoor/controller/Driver.java
@@ -26,7 +26,7 @@
 /**
  * Drives one {@link RoutingPolicy} without doing any I/O. It feeds the policy its events in a fixed order,
  * turns its actions into one message per affected proxy, and paces the messages at the channel's line rate.
- * The caller passes in the time and implements {@link Environment}.
+ * The caller passes in the time, in nanoseconds, and implements {@link Environment}.
  *
  * <p>{@link Turns} defines the order of events within a tick.
  */
@@ -276,7 +276,7 @@
         return fanout.backendsKnown();
     }
 
-    /** Returns the number of report lines on backends never listed or on classes that do not exist. */
+    /** Returns the number of ignored report lines: of backends never listed or classes that do not exist. */
     public long ignoredReportLines() {
         return ignoredReportLines;
     }
--- a/src/main/java/rowanmoor/controller/Outbox.java
+++ b/src/main/java/rowanmoor/controller/Outbox.java
@@ -32,7 +32,7 @@
         this.headStartNs = now;
     }
 
-    /** Appends a message. */
+    /** Appends a message and returns its queue entry. */
     Entry<M> add(long now, int proxy, M message, double lines) {
         if (queue.isEmpty()) {
             headStartNs = Math.max(headStartNs, now);
--- a/src/test/java/rowanmoor/controller/DriverPartsTest.java
+++ b/src/test/java/rowanmoor/controller/DriverPartsTest.java
@@ -252,7 +252,8 @@
         Intake intake = new Intake(100, NS_PER_SECOND, START_NS);
         for (int proxy = 0; proxy < 3; proxy++) {
             intake.addReport(proxy, 0, new Frame.Report(List.of(new Frame.Tally(new Backend(1), 10, 1,
-                    Long.MAX_VALUE / 2, NS_PER_SECOND, List.of())), List.of(new Frame.Use(0, 4, 0, Long.MAX_VALUE / 2))));
+                    Long.MAX_VALUE / 2, NS_PER_SECOND, List.of())),
+                    List.of(new Frame.Use(0, 4, 0, Long.MAX_VALUE / 2))));
             intake.addReport(proxy, 0, new Frame.Report(List.of(),
                     List.of(new Frame.Use(0, 4, 0, Long.MAX_VALUE / 2 + 9))));
         }
