--- a/src/main/java/rowanmoor/FleetState.java
+++ b/src/main/java/rowanmoor/FleetState.java
@@ -112,8 +112,8 @@
         }
 
         void hear(Usage report) {
-            newUsage[report.cls()] += report.requests();
-            newSpan[report.cls()] += report.span() / 1e9;
+            newUsage[report.classIndex()] += report.requests();
+            newSpan[report.classIndex()] += report.span() / 1e9;
         }
 
         /**
@@ -151,7 +151,7 @@
         final TreeMap<Backend, Double> sent = new TreeMap<>();
         final TreeMap<Integer, ProxyState> users = new TreeMap<>();
         final Map<Integer, Double> levels = new TreeMap<>();
-        ControlApi.Retry retry; // as sent with them
+        ControlApi.RetryPolicy retry; // as sent with them
 
         final Map<Backend, Integer> holders; // of its set: how many pools hold each backend
 
--- a/src/main/java/rowanmoor/RoutingPolicy.java
+++ b/src/main/java/rowanmoor/RoutingPolicy.java
@@ -59,7 +59,7 @@
     private static final int NAMED_MOST = 8; // backends named in one line of the log
     private static final double OPEN_RATE = 1_000_000; // the rate that lets everything in
     // Safe for every class. A try again after any failure cuts the first short: that waste alone feeds jams.
-    private static final Retry RETRY = Retry.ONCE_UNRUN;
+    private static final RetryPolicy RETRY = RetryPolicy.ONCE_UNRUN;
     // What can be put off leaves within so many seconds, however deep the channel may be: a drain, which
     // cannot, does not wait behind it then. The marks' way there and back takes about one.
     private static final double BULK = 2;
@@ -79,7 +79,7 @@
         boolean withdrawn, held;
         long listedAt; // when the list last changed it
 
-        boolean ready() { return member.listed() == Listed.READY; }
+        boolean ready() { return member.availability() == Availability.READY; }
 
         boolean open() { return ready() && !held; }
 
@@ -100,7 +100,7 @@
         }
 
         /** How loaded it is, on whatever scale the site reports; 0 if unknown. */
-        double load() { return settings.columns().busy() >= 0 ? busy : latency(all); }
+        double load() { return settings.reportColumns().utilization() >= 0 ? busy : latency(all); }
     }
 
     private final Settings settings;
@@ -121,7 +121,7 @@
     private final LevelRecord record;
     private LevelRecord.Reason reason = LevelRecord.Reason.DEMAND;
     private boolean reportsCame, urgent, joined, watching;
-    private Retry retry = RETRY; // as tries fail now
+    private RetryPolicy retry = RETRY; // as tries fail now
     private long nextRound, learnedAt, askAt, nextMessage, drainedAt;
     private int roundsHeard, askFailures, overloadedRounds;
     private double total = Double.POSITIVE_INFINITY, proven, usualCapacity, queued = 1, allowance = 1e9;
@@ -131,9 +131,9 @@
     public RoutingPolicy(Settings settings, long seed) {
         this.settings = settings;
         this.random = new Random(seed);
-        boolean ownZones = settings.classes().stream().anyMatch(ClassSpec::ownZone);
+        boolean ownZones = settings.classes().stream().anyMatch(ClassSpec::ownZoneOnly);
         this.regions = ownZones || settings.crossZonePrice() >= ZONE_TABLE_PRICE ? settings.zones() : 1;
-        this.roundLength = Math.max(ROUND, settings.period());
+        this.roundLength = Math.max(ROUND, settings.reportInterval());
         this.tightestAim = settings.classes().stream().mapToLong(ClassSpec::aim).min().orElse(0);
         this.byWorth = IntStream.range(0, settings.classes().size()).boxed()
                 .sorted(Comparator.comparing(c -> -settings.classes().get(c).worth())).toList();
@@ -183,8 +183,8 @@
     }
 
     /** What is held of each backend now. */
-    public List<Belief> beliefs(long now) {
-        return backends.values().stream().map(s -> new Belief(s.member.backend(), s.member.listed(), s.load(),
+    public List<BackendEstimate> beliefs(long now) {
+        return backends.values().stream().map(s -> new BackendEstimate(s.member.backend(), s.member.availability(), s.load(),
                 Arrays.stream(s.paths).map(p -> p.health).toList(), s.correction, s.warmth(now),
                 s.all.tries, s.withdrawn)).toList();
     }
@@ -192,21 +192,21 @@
     // ---- 1. Members -------------------------------------------------------------------------------------
 
     private void hearList(long now, Members list) {
-        if (list.kind() == ListKind.FAILED) {
+        if (list.kind() == CatalogUpdateKind.FAILED) {
             watching = false;
-            long base = Math.min(ROUND << Math.min(askFailures++, 2), settings.rules().askWithin() / 4);
+            long base = Math.min(ROUND << Math.min(askFailures++, 2), settings.rules().maxCatalogRetryDelay() / 4);
             askAt = now + (long) (base * (0.5 + random.nextDouble() / 2));
             return;
         }
-        askFailures = list.kind() == ListKind.CACHED ? askFailures : 0;
+        askFailures = list.kind() == CatalogUpdateKind.CACHED ? askFailures : 0;
         TreeMap<Backend, BackendState> unmentioned = new TreeMap<>(backends);
         for (Member member : list.entries()) {
             unmentioned.remove(member.backend());
             BackendState state = backends.computeIfAbsent(member.backend(), b -> new BackendState());
             heed(now, state, member);
         }
-        if (list.kind() != ListKind.DELTA) { unmentioned.values().forEach(s ->
-                heed(now, s, s.member.gone())); }
+        if (list.kind() != CatalogUpdateKind.DELTA) { unmentioned.values().forEach(s ->
+                heed(now, s, s.member.asGone())); }
     }
 
     private void heed(long now, BackendState state, Member member) {
@@ -218,7 +218,7 @@
     }
 
     private void askForList(long now) {
-        if (settings.mustAsk() && !watching) {
+        if (settings.catalogOnRequest() && !watching) {
             watching = now >= askAt;
             if (watching) { actions.add(new Watch(true)); }
             if (!watching) { timers.set(now, askAt, Timers.ASK, actions); }
@@ -243,9 +243,9 @@
     }
 
     private void hearLoad(BackendState state, List<Double> load) {
-        int queue = settings.columns().queue();
+        int queue = settings.reportColumns().queue();
         if (queue >= 0 && queue < load.size()) { queued += (load.get(queue) - queued) / PROBED; }
-        int column = settings.columns().busy();
+        int column = settings.reportColumns().utilization();
         if (column >= 0 && column < load.size()) {
             state.lastBusy = load.get(column);
             state.busy = state.busy == 0 ? load.get(column) : blend(state.busy, load.get(column));
@@ -256,10 +256,10 @@
 
     /** All are probed where that tells of use; where only of queues, a few tell whether the fleet waits. */
     private void probe() {
-        int every = settings.columns().busy() >= 0 ? 1 : settings.columns().queue() >= 0 ? PROBED : 0;
+        int every = settings.reportColumns().utilization() >= 0 ? 1 : settings.reportColumns().queue() >= 0 ? PROBED : 0;
         int place = roundsHeard;
         for (BackendState state : backends.values()) {
-            boolean due = settings.mayProbe() && every > 0 && place++ % every == 0;
+            boolean due = settings.probesAllowed() && every > 0 && place++ % every == 0;
             if (due && state.ready()) { actions.add(new Probe(state.member.backend())); }
         }
     }
@@ -296,9 +296,9 @@
         List<BackendState> known = backends.values().stream().filter(s -> s.quiet > 0
                 && s.all.lastLatency > 0).toList();
         long slower = known.stream().filter(s -> s.all.lastLatency > SLOWER * s.quiet).count();
-        boolean waits = settings.columns().queue() >= 0 ? queued > WAITING : slower * 2 > known.size();
+        boolean waits = settings.reportColumns().queue() >= 0 ? queued > WAITING : slower * 2 > known.size();
         boolean failing = failed > (retry == RETRY ? 2 : 1) * OVERLOAD_FAILED * tries;
-        if (tries >= ENOUGH && (!failing || waits)) { retry = failing ? Retry.NEVER : RETRY; }
+        if (tries >= ENOUGH && (!failing || waits)) { retry = failing ? RetryPolicy.NEVER : RETRY; }
     }
 
     // Rests a path that fails far more than its peers (fast failers, dead and cut-off backends) and lightens
@@ -328,7 +328,7 @@
             if (path.restUntil > 0) {
                 path.restUntil = 0;
                 path.health = TRIAL;
-                path.trialFrom = now + settings.channel().latest() + 2 * settings.period();
+                path.trialFrom = now + settings.channel().maxDelay() + 2 * settings.reportInterval();
                 path.tries = 0;
                 path.failed = 0;
                 path.latencySum = 0;
@@ -378,7 +378,7 @@
     private void groupClasses() {
         TreeMap<String, List<Integer>> byOpenness = new TreeMap<>();
         for (int c = 0; c < levels.length; c++) {
-            byOpenness.computeIfAbsent(settings.classes().get(c).openness(), k -> new ArrayList<>()).add(c);
+            byOpenness.computeIfAbsent(settings.classes().get(c).eligibilityKey(), k -> new ArrayList<>()).add(c);
         }
         groups.addAll(byOpenness.values());
     }
@@ -429,8 +429,8 @@
             TreeMap<Backend, Double> part = new TreeMap<>();
             for (BackendState state : backends.values()) {
                 Backend backend = state.member.backend();
-                if (room.get(backend) > 0 && spec(g).openTo(state.member)) {
-                    double rest = spec(g).confined() ? room.get(backend) : left.get(backend);
+                if (room.get(backend) > 0 && spec(g).isEligible(state.member)) {
+                    double rest = spec(g).isRestricted() ? room.get(backend) : left.get(backend);
                     part.put(backend, Math.max(1e-9, rest));
                 }
             }
@@ -440,7 +440,7 @@
             for (int r = 0; r < regions; r++) {
                 TreeMap<Backend, Double> open = new TreeMap<>(part);
                 int own = r;
-                open.keySet().removeIf(b -> spec(group).ownZone()
+                open.keySet().removeIf(b -> spec(group).ownZoneOnly()
                         && region(backends.get(b).member.zone()) != own);
                 TreeMap<Backend, Double> flows = lines(now, r, open, demands.get(g));
                 List<Pool> set = pools(g, r);
@@ -559,12 +559,12 @@
 
     // ---- 4. Levels --------------------------------------------------------------------------------------
 
-    private double openLevel() { return settings.admission() == Admission.SHARE ? 1 : OPEN_RATE; }
+    private double openLevel() { return settings.admission() == AdmissionMode.SHARE ? 1 : OPEN_RATE; }
 
     private void learnUsage(long now, double seconds) {
         proxies.values().removeIf(p -> !p.joined && now - p.leftAt > LEASE);
         double reports = backends.size() * settings.zones() + proxies.size() * levels.length;
-        double cycle = reports / settings.hearsPerSecond();
+        double cycle = reports / settings.reportLinesPerSecond();
         for (ProxyState proxy : proxies.values()) {
             proxy.heard |= Arrays.stream(proxy.newUsage).sum() > 0;
             proxy.present = blend(proxy.present, proxy.joined && proxy.heard ? 1 : 0);
@@ -636,7 +636,7 @@
     private boolean isOverloaded(BackendState state) {
         if (state.busy > 0 && state.lastBusy < IDLE) { return false; }
         boolean slower = state.all.lastLatency == 0 || state.all.lastLatency > SLOWER * state.quiet;
-        boolean waits = settings.columns().queue() >= 0 ? queued > WAITING : slower;
+        boolean waits = settings.reportColumns().queue() >= 0 ? queued > WAITING : slower;
         boolean failing = state.all.lastFailing > OVERLOAD_FAILED && waits;
         return isJammed(state) || state.lastBusy > SATURATED || failing
                 || state.all.lastLatency > Math.max(OVERLOAD_SLOWER * state.quiet, tightestAim / 2);
@@ -656,7 +656,7 @@
         for (int cls : byWorth) {
             double[] usage = proxies.values().stream().mapToDouble(p -> p.usage[cls]).sorted().toArray();
             double asked = Arrays.stream(usage).sum();
-            boolean share = settings.admission() == Admission.SHARE;
+            boolean share = settings.admission() == AdmissionMode.SHARE;
             double least = leastParts[cls] == 1 ? openLevel() : share ? leastParts[cls]
                     : leastParts[cls] * asked / Math.max(1, usage.length);
             levels[cls] = part >= asked ? openLevel()
@@ -714,7 +714,7 @@
         allowance = Math.min(bulk(ORDINARY_BACKLOG), allowance + paced * ORDINARY_PACE);
         drainedAt = now;
         holdCold(now);
-        if (settings.slices() > 0) {
+        if (settings.keyRanges() > 0) {
             sendWithdrawals(true); // sites with slices get legal orders only
             return;
         }
@@ -752,8 +752,8 @@
     /** Lines that may wait, so that a withdrawal behind them still arrives within the grace. */
     private double fill(double part) {
         Channel channel = settings.channel();
-        double grace = Math.max(0.5, (settings.rules().drainGrace() - channel.latest()) / SECOND);
-        return Math.min(part * channel.backlog(), IN_GRACE * grace * channel.linesPerSecond());
+        double grace = Math.max(0.5, (settings.rules().drainGrace() - channel.maxDelay()) / SECOND);
+        return Math.min(part * channel.maxBacklog(), IN_GRACE * grace * channel.linesPerSecond());
     }
 
     /** The same for what can be put off. */
@@ -763,7 +763,7 @@
 
     private void bind(long now) {
         Channel channel = settings.channel();
-        double most = BIND_BACKLOG * Math.min(channel.backlog(), BULK * channel.linesPerSecond());
+        double most = BIND_BACKLOG * Math.min(channel.maxBacklog(), BULK * channel.linesPerSecond());
         for (Iterator<Integer> first = joining.iterator(); first.hasNext();) {
             int number = first.next();
             ProxyState proxy = proxies.get(number);
@@ -773,7 +773,7 @@
                 lines += pool.sent.keySet().stream().filter(b -> backends.get(b).withdrawn).count();
                 lines += letBack(now, proxy, pool).size();
             }
-            double over = sent.waiting() + lines + settings.channel().head() + 1 - most;
+            double over = sent.waiting() + lines + settings.channel().messageOverhead() + 1 - most;
             if (sent.waiting() > 0 && over > 0) {
                 double wait = SECOND * over / settings.channel().linesPerSecond();
                 timers.set(now, now + Math.max(WAIT, (long) wait), Timers.BIND, actions);
@@ -783,7 +783,7 @@
                 int classes = groups.get(pool.group).stream().mapToInt(c -> 1 << c).sum();
                 actions.add(new Bind(number, pool.table, classes, letBack(now, proxy, pool)));
             }
-            sent.book(proxy, lines, settings.channel().head() + 1);
+            sent.book(proxy, lines, settings.channel().messageOverhead() + 1);
             proxy.bound = true;
             first.remove();
         }
@@ -800,13 +800,13 @@
 
     private void order(Action action, Collection<ProxyState> users) {
         actions.add(action);
-        users.forEach(proxy -> sent.book(proxy, 1, settings.channel().head() + 1));
+        users.forEach(proxy -> sent.book(proxy, 1, settings.channel().messageOverhead() + 1));
     }
 
     // A very cold backend stays out while enough warm ones are there: in a jam proxies shun those that fail,
     // and all that is left to draw may be the cold one, whatever its weight.
     private void holdCold(long now) {
-        double least = overloadedRounds > 0 || settings.ejects() > 0 ? HOLD_IN_OVERLOAD : HOLD;
+        double least = overloadedRounds > 0 || settings.ejectAfterFailures() > 0 ? HOLD_IN_OVERLOAD : HOLD;
         List<BackendState> ready = backends.values().stream().filter(BackendState::ready).toList();
         long warm = ready.stream().filter(s -> s.warmth(now) >= least).count();
         ready.forEach(s -> s.held = s.warmth(now) < least && warm * 3 >= ready.size());
@@ -820,12 +820,12 @@
         List<BackendState> turned = backends.values().stream().filter(s -> s.withdrawn == s.open()
                 && (letIn || !s.withdrawn)).toList();
         long unbound = proxies.values().stream().filter(p -> p.joined && !p.bound).count();
-        double lines = unbound * (settings.channel().head() + 1 + turned.size());
+        double lines = unbound * (settings.channel().messageOverhead() + 1 + turned.size());
         boolean boundOnly = sent.waiting() + lines > bulk(URGENT_BACKLOG);
         for (BackendState state : turned) {
             Backend backend = state.member.backend();
             state.withdrawn = !state.withdrawn;
-            String listed = state.withdrawn ? " listed " + state.member.listed() : "";
+            String listed = state.withdrawn ? " listed " + state.member.availability() : "";
             (state.withdrawn ? out : in).add(backend + listed);
             order(new Withdraw(backend, state.withdrawn, boundOnly), proxies.values().stream()
                     .filter(p -> p.mayHold(backend, boundOnly)).toList());
@@ -839,7 +839,7 @@
     private void forgetGone(long now) {
         for (BackendState state : List.copyOf(backends.values())) {
             Backend backend = state.member.backend();
-            boolean old = state.member.listed() == Listed.GONE && now - state.listedAt > FORGET;
+            boolean old = state.member.availability() == Availability.GONE && now - state.listedAt > FORGET;
             if (old && joining.isEmpty()) {
                 List<Pool> all = pools.values().stream().flatMap(List::stream).toList();
                 all.forEach(p -> p.remove(backend));
--- a/src/main/java/rowanmoor/benchlink/Link.java
+++ b/src/main/java/rowanmoor/benchlink/BenchServer.java
@@ -13,7 +13,7 @@
 import rowanmoor.settings.SettingsReader;
 
 /** The loop: one batch in, one reply out, a {@link RoutingPolicy} for each instance. Translates only. */
-public final class Link {
+public final class BenchServer {
 
     private static final int HEADER_BYTES = 12;
     private static final int BATCH_MOST = 1 << 30;
@@ -29,18 +29,18 @@
                 return;
             }
             if (header.length < HEADER_BYTES) {
-                throw new MalformedInput("the input ends within a batch's header");
+                throw new MalformedBatchException("the input ends within a batch's header");
             }
             ByteBuffer head = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
             int number = head.getInt();
             long length = (head.getInt() & 0xffffffffL) - 4;
             long count = head.getInt() & 0xffffffffL;
             if (length < 8 || length > BATCH_MOST) {
-                throw new MalformedInput("a batch has an impossible length: " + (length + 4));
+                throw new MalformedBatchException("a batch has an impossible length: " + (length + 4));
             }
             byte[] body = in.readNBytes((int) length);
             if (body.length < length) {
-                throw new MalformedInput("the input ends within a batch");
+                throw new MalformedBatchException("the input ends within a batch");
             }
             out.write(answer(number, count, ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN)));
             out.flush();
@@ -55,7 +55,7 @@
             take(reader.next(batch), now, concerned, writer);
         }
         if (batch.hasRemaining()) {
-            throw new MalformedInput("a batch has " + batch.remaining() + " bytes after its last record");
+            throw new MalformedBatchException("a batch has " + batch.remaining() + " bytes after its last record");
         }
         for (long who : concerned) {
             decide(who, now, writer);
@@ -66,7 +66,7 @@
     private void take(Reader.Item item, long now, TreeSet<Long> concerned, Writer writer) {
         if (item instanceof Reader.Launch launch) {
             // Settings are read outside the try: bad ones are the input's fault, not the decision code's.
-            var settings = SettingsReader.ofLines(launch.setup());
+            var settings = SettingsReader.parseLines(launch.setup());
             guard(launch.who(), writer, () ->
                     instances.put(launch.who(), new RoutingPolicy(settings, launch.seed())));
             concerned.add(launch.who());
--- a/src/main/java/rowanmoor/benchlink/Reader.java
+++ b/src/main/java/rowanmoor/benchlink/Reader.java
@@ -9,8 +9,8 @@
 import rowanmoor.ControlApi.Applied;
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Event;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
 import rowanmoor.ControlApi.Probed;
@@ -53,17 +53,17 @@
             code = batch.get() & 0xff;
             long length = batch.getInt() & 0xffffffffL;
             if (length > batch.remaining()) {
-                throw new MalformedInput("record of code " + code + " is longer than its batch");
+                throw new MalformedBatchException("record of code " + code + " is longer than its batch");
             }
             fields = batch.slice(batch.position(), (int) length).order(ByteOrder.LITTLE_ENDIAN);
             batch.position(batch.position() + (int) length);
         } catch (BufferUnderflowException e) {
-            throw new MalformedInput("a batch ends within a record");
+            throw new MalformedBatchException("a batch ends within a record");
         }
         try {
             return decode(code, fields);
         } catch (BufferUnderflowException e) {
-            throw new MalformedInput("record of code " + code + " is too short for its fields");
+            throw new MalformedBatchException("record of code " + code + " is too short for its fields");
         }
     }
 
@@ -93,23 +93,23 @@
             case 90 -> new Applied(u16(in), in.getInt(), in.getLong());
             case 100 -> tally(in);
             case 110 -> new Usage(u16(in), u16(in), u32(in), u32(in), in.getLong());
-            default -> throw new MalformedInput("record of code " + code + " has no meaning");
+            default -> throw new MalformedBatchException("record of code " + code + " has no meaning");
         };
     }
 
     private Event members(ByteBuffer in) {
         int mode = in.get() & 0xff;
-        if (mode >= ListKind.values().length) {
-            throw new MalformedInput("topology record has an unknown mode: " + mode);
+        if (mode >= CatalogUpdateKind.values().length) {
+            throw new MalformedBatchException("topology record has an unknown mode: " + mode);
         }
-        ListKind kind = ListKind.values()[mode];
+        CatalogUpdateKind kind = CatalogUpdateKind.values()[mode];
         long version = u32(in);
         int slot = u16(in);
-        if (kind == ListKind.FAILED) {
+        if (kind == CatalogUpdateKind.FAILED) {
             return new Members(kind, version, List.of());
         }
         if (slot >= LIST_SLOTS || lists.get(slot) == null) {
-            throw new MalformedInput("topology record names list " + slot + ", which was not sent");
+            throw new MalformedBatchException("topology record names list " + slot + ", which was not sent");
         }
         return new Members(kind, version, lists.get(slot));
     }
@@ -135,7 +135,7 @@
         int slot = u16(in);
         long count = u32(in);
         if (slot >= LIST_SLOTS || count * ENTRY_BYTES > in.remaining()) {
-            throw new MalformedInput("census record has list " + slot + " of " + count + " entries");
+            throw new MalformedBatchException("census record has list " + slot + " of " + count + " entries");
         }
         List<Member> members = new ArrayList<>();
         for (long i = 0; i < count; i++) {
@@ -150,10 +150,10 @@
         int kind = u16(in);
         int cell = u16(in);
         int listed = in.get() & 0xff;
-        if (listed >= Listed.values().length) {
-            throw new MalformedInput("census entry has an unknown availability: " + listed);
+        if (listed >= Availability.values().length) {
+            throw new MalformedBatchException("census entry has an unknown availability: " + listed);
         }
-        return new Member(backend, zone, kind, cell, Listed.values()[listed], in.getFloat(), in.getLong());
+        return new Member(backend, zone, kind, cell, Availability.values()[listed], in.getFloat(), in.getLong());
     }
 
     static Backend backend(ByteBuffer in) {
--- a/src/main/java/rowanmoor/benchlink/Writer.java
+++ b/src/main/java/rowanmoor/benchlink/Writer.java
@@ -29,7 +29,7 @@
         if (action instanceof Watch a) {
             put(10, start(who, 1).put(flag(a.on())));
         } else if (action instanceof Admit a) {
-            put(20, start(who, 9).putShort((short) a.table()).putShort((short) a.classes())
+            put(20, start(who, 9).putShort((short) a.table()).putShort((short) a.classMask())
                     .putFloat((float) a.level()).put((byte) a.retry().ordinal()));
         } else if (action instanceof Log a) {
             put(30, text(who, a.text()));
@@ -38,7 +38,7 @@
         } else if (action instanceof Probe a) {
             put(60, backend(start(who, 6), a.backend()));
         } else if (action instanceof Withdraw a) {
-            put(70, backend(start(who, 7), a.backend()).put(flag(a.out())));
+            put(70, backend(start(who, 7), a.backend()).put(flag(a.withdrawn())));
         } else if (action instanceof SetLine a) {
             put(80, backend(start(who, 12), a.backend()).putFloat((float) a.weight())
                     .putShort((short) a.table()));
@@ -46,7 +46,7 @@
             put(100, start(who, 16).putLong(a.time()).putLong(a.token()));
         } else if (action instanceof Bind a) {
             put(110, start(who, 6).putShort((short) a.proxy()).putShort((short) a.table())
-                    .putShort((short) a.classes()));
+                    .putShort((short) a.classMask()));
         }
     }
 
--- a/src/main/java/rowanmoor/channel/Codec.java
+++ b/src/main/java/rowanmoor/channel/Codec.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import rowanmoor.ControlApi;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.Retry;
+import rowanmoor.ControlApi.RetryPolicy;
 
 /** Frames to bytes and back; all numbers big end first. */
 public final class Codec {
@@ -323,7 +323,7 @@
         }
 
         private Frame.Level level() throws ChannelException {
-            return new Frame.Level(u16(), amount("level"), one(Retry.values(), "way of trying again"));
+            return new Frame.Level(u16(), amount("level"), one(RetryPolicy.values(), "way of trying again"));
         }
 
         /** A list is refused by its count before any of it is read: it cannot make this side allocate. */
--- a/src/main/java/rowanmoor/channel/Frame.java
+++ b/src/main/java/rowanmoor/channel/Frame.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.Retry;
+import rowanmoor.ControlApi.RetryPolicy;
 
 /** What crosses a stream. Times and spans are nanoseconds; a class set has bit k for class k. */
 public sealed interface Frame {
@@ -68,7 +68,7 @@
     record Line(Backend backend, double weight) { }
 
     /** How much of some classes is let in, and when a proxy tries again. */
-    record Level(int classMask, double level, Retry retry) { }
+    record Level(int classMask, double level, RetryPolicy retry) { }
 
     record Table(int number, List<Line> lines, List<Level> levels) { }
 
--- a/src/main/java/rowanmoor/cli/Commands.java
+++ b/src/main/java/rowanmoor/cli/Commands.java
@@ -396,10 +396,10 @@
     @Command(name = "replay",
             description = "Feeds a controller's trace to a new instance and compares orders.")
     int replay(@Parameters(paramLabel = "TRACE") Path trace) throws IOException {
-        Trace.Replay replay = Trace.replay(trace);
+        Trace.ReplayResult replay = Trace.replay(trace);
         out().println(replay.ticks() + " ticks, " + replay.events() + " events, " + replay.actions()
                 + " orders: " + (replay.difference() == null ? "the same" : replay.difference())
-                + (replay.cut() ? "; the last line is cut off" : ""));
+                + (replay.truncated() ? "; the last line is cut off" : ""));
         out().flush();
         return replay.difference() == null ? 0 : 1;
     }
--- a/src/main/java/rowanmoor/cli/Main.java
+++ b/src/main/java/rowanmoor/cli/Main.java
@@ -6,7 +6,7 @@
 import java.io.InputStream;
 import java.io.OutputStream;
 import java.io.PrintStream;
-import rowanmoor.benchlink.Link;
+import rowanmoor.benchlink.BenchServer;
 import rowanmoor.platform.PlatformServer;
 
 /**
@@ -30,7 +30,7 @@
     /** Decides on the bench's wire until the input ends; answers the exit code. */
     static int benchlink(InputStream in, OutputStream out, PrintStream err) {
         try {
-            new Link().serve(new BufferedInputStream(in, 1 << 16), new BufferedOutputStream(out, 1 << 16));
+            new BenchServer().serve(new BufferedInputStream(in, 1 << 16), new BufferedOutputStream(out, 1 << 16));
             return 0;
         } catch (IOException | IllegalArgumentException e) {
             err.println("rowanmoor: " + e.getMessage());
--- a/src/main/java/rowanmoor/cli/PlanCommand.java
+++ b/src/main/java/rowanmoor/cli/PlanCommand.java
@@ -172,7 +172,7 @@
             }
             var its = model.site().classes().get(c);
             all.add(new String[] {name, text("worth %.1f, aim %d ms, deadline %d ms, %s", its.worth(),
-                    its.aim() / 1_000_000, its.deadline() / 1_000_000, its.effect()), file});
+                    its.aim() / 1_000_000, its.deadline() / 1_000_000, its.idempotency()), file});
         }
         all.add(new String[] {"clients",
                 text("up to %d repeats after %d ms, a try up to %.2f of the deadline",
@@ -186,7 +186,7 @@
         }
         counts.forEach((what, n) -> all.add(new String[] {"backends", n + " " + what, file}));
         all.add(new String[] {"channel", text("%.0f lines a second, at most %.0f waiting",
-                model.site().channel().linesPerSecond(), model.site().channel().backlog()), file});
+                model.site().channel().linesPerSecond(), model.site().channel().maxBacklog()), file});
         return all;
     }
 
--- a/src/main/java/rowanmoor/config/Site.java
+++ b/src/main/java/rowanmoor/config/Site.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import rowanmoor.ControlApi.Admission;
+import rowanmoor.ControlApi.AdmissionMode;
 import rowanmoor.ControlApi.Channel;
 import rowanmoor.ControlApi.ClassSpec;
-import rowanmoor.ControlApi.Effect;
-import rowanmoor.ControlApi.Group;
+import rowanmoor.ControlApi.Idempotency;
+import rowanmoor.ControlApi.DedupScope;
 import rowanmoor.ControlApi.ReportColumns;
-import rowanmoor.ControlApi.Retry;
+import rowanmoor.ControlApi.RetryPolicy;
 import rowanmoor.ControlApi.Rules;
 import rowanmoor.ControlApi.Settings;
 
@@ -23,7 +23,7 @@
  * @param columns names of the load figures, in the order in which reports carry them
  */
 public record Site(List<String> zones, List<String> kinds, List<String> classNames, List<String> prefixes,
-        List<ClassSpec> classes, List<String> columns, Choice choice, Admission admission, Retry usualRetry,
+        List<ClassSpec> classes, List<String> columns, Choice choice, AdmissionMode admission, RetryPolicy usualRetry,
         double tryAims, int standing, int ejects, long ejectFor, int proxies, boolean mayProbe, long period,
         double intake, double crossZonePrice, Rules rules, Channel channel) {
 
@@ -81,10 +81,10 @@
                 s.word("choice", Map.of("weighted", Choice.WEIGHTED, "two", Choice.TWO, "round",
                         Choice.ROUND),
                         Choice.TWO),
-                s.word("admission", Map.of("share", Admission.SHARE, "rate", Admission.RATE, "off",
-                        Admission.OFF), Admission.RATE),
-                s.word("retry", Map.of("never", Retry.NEVER, "once-unrun", Retry.ONCE_UNRUN, "once",
-                        Retry.ONCE, "twice", Retry.TWICE), Retry.ONCE_UNRUN),
+                s.word("admission", Map.of("share", AdmissionMode.SHARE, "rate", AdmissionMode.RATE, "off",
+                        AdmissionMode.OFF), AdmissionMode.RATE),
+                s.word("retry", Map.of("never", RetryPolicy.NEVER, "once-unrun", RetryPolicy.ONCE_UNRUN, "once",
+                        RetryPolicy.ONCE, "twice", RetryPolicy.TWICE), RetryPolicy.ONCE_UNRUN),
                 s.number("try-aims", 0.1, 10, 1.2), s.whole("standing", 1, 64, 5),
                 s.whole("ejects", 0, 100, 5), s.duration("eject-for", "0s", "60s", "4s"),
                 s.whole("proxies", 1, PROXIES_MOST), s.flag("probes", true),
@@ -112,9 +112,9 @@
         }
         ClassSpec spec = new ClassSpec(aim, deadline, c.number("worth", 0, 1e6, 1),
                 c.number("late-worth", 0, 1, 0),
-                c.word("effect", Map.of("safe", Effect.SAFE, "keyed", Effect.KEYED, "unsafe", Effect.UNSAFE),
+                c.word("effect", Map.of("safe", Idempotency.SAFE, "keyed", Idempotency.KEYED, "unsafe", Idempotency.UNSAFE),
                         null),
-                c.word("group", Map.of("all", Group.ALL, "zone", Group.ZONE, "cell", Group.CELL), Group.ALL),
+                c.word("group", Map.of("all", DedupScope.ALL, "zone", DedupScope.ZONE, "cell", DedupScope.CELL), DedupScope.ALL),
                 c.duration("window", "0s", "1h", "5s"), c.flag("write", false), false,
                 places(c, "only-zones", zones), places(c, "only-kinds", kinds));
         c.finish();
--- a/src/main/java/rowanmoor/controller/Controller.java
+++ b/src/main/java/rowanmoor/controller/Controller.java
@@ -217,7 +217,7 @@
 
     private void captureListed(Member m) {
         capture(new LoadRecord.Listed(loop.now(), m.backend().toString(), m.zone(), m.kind(),
-                m.listed().toString(), m.weight(), m.startedAt()));
+                m.availability().toString(), m.weight(), m.startedAt()));
     }
 
     private void captureReport(Frame.Hello from, Frame.Report report) {
--- a/src/main/java/rowanmoor/controller/Driver.java
+++ b/src/main/java/rowanmoor/controller/Driver.java
@@ -84,19 +84,19 @@
         this.fanout = new Fanout(settings.classes().size());
         this.epoch = epoch;
         this.outside = outside;
-        this.intake = new Intake(settings.hearsPerSecond(), settings.period(), now);
+        this.intake = new Intake(settings.reportLinesPerSecond(), settings.reportInterval(), now);
         this.outbox = new Outbox<>(settings.channel().linesPerSecond(), now);
     }
 
     // ---- what is heard -------------------------------------------------------------------------------
 
     public void onMembers(Members members) {
-        fanout.hearList(members);
-        turns.hearList(members);
+        fanout.onCatalog(members);
+        turns.onCatalog(members);
     }
 
     public void onProbeResult(ControlApi.Probed probed) {
-        turns.hearProbe(probed);
+        turns.onProbeResult(probed);
     }
 
     /** A proxy's stream is up. It gets a snapshot without bindings, which it answers by keeping its own. */
@@ -104,14 +104,14 @@
         fanout.join(hello.proxy());
         Peer peer = new Peer(hello.zone());
         peers.put(hello.proxy(), peer);
-        turns.hearStream(new ProxyJoined(hello.proxy(), hello.zone(), hello.requestsPerSecond(), hello.fresh()));
+        turns.onStreamEvent(new ProxyJoined(hello.proxy(), hello.zone(), hello.requestsPerSecond(), hello.fresh()));
         outside.send(hello.proxy(), snapshot(hello.proxy(), peer, now));
     }
 
     public void onProxyLeft(int proxy) {
         if (peers.remove(proxy) != null) {
             fanout.leave(proxy);
-            turns.hearStream(new ProxyLeft(proxy));
+            turns.onStreamEvent(new ProxyLeft(proxy));
             outbox.drop(proxy);
         }
     }
@@ -120,7 +120,7 @@
     public void onApplied(long now, int proxy, Frame.Applied applied) {
         Long since = applied.epoch() == epoch ? markedAt.get(applied.mark()) : null;
         if (since != null && peers.containsKey(proxy)) {
-            turns.hearStream(new Applied(proxy, applied.mark(), now - since));
+            turns.onStreamEvent(new Applied(proxy, applied.mark(), now - since));
         }
     }
 
@@ -130,7 +130,7 @@
         if (peer == null) {
             return;
         }
-        List<Frame.Tally> known = report.tallies().stream().filter(t -> fanout.knows(t.backend()))
+        List<Frame.Tally> known = report.tallies().stream().filter(t -> fanout.isKnown(t.backend()))
                 .toList();
         List<Frame.Use> uses = report.usages().stream().filter(u -> u.cls() < settings.classes().size())
                 .toList();
@@ -144,7 +144,7 @@
         if (peer != null && !peer.snapshotWaits) {
             peer.snapshotWaits = true; // however often it asks, one at a time waits in the channel
             Frame.Snapshot whole = snapshot(proxy, peer, now);
-            double lines = settings.channel().head() + whole.withdrawn().size() + whole.tables().stream()
+            double lines = settings.channel().messageOverhead() + whole.withdrawn().size() + whole.tables().stream()
                     .mapToInt(t -> 1 + t.lines().size() + t.levels().size()).sum();
             outbox.add(now, proxy, new Draft(null, whole), lines);
         }
@@ -155,35 +155,35 @@
         List<Frame.Binding> bound = new ArrayList<>();
         bindings.forEach((table, classes) -> bound.add(new Frame.Binding(table, classes)));
         return new Frame.Snapshot(epoch, peer.version, now, Math.round(outbox.waiting()),
-                bindings.keySet().stream().map(fanout.store()::whole).toList(), bound,
-                List.copyOf(fanout.withdrawnOf(bindings.keySet())), List.of());
+                bindings.keySet().stream().map(fanout.store()::snapshot).toList(), bound,
+                List.copyOf(fanout.withdrawnIn(bindings.keySet())), List.of());
     }
 
     // ---- a tick --------------------------------------------------------------------------------------
 
     /** Feeds what was heard, lets the module decide if there was anything, sends what may leave. */
     public void tick(long now) {
-        if (turns.knowsBackends()) {
-            intake.release(now, turns::hearReport);
+        if (turns.hasSeenBackends()) {
+            intake.release(now, turns::onReport);
         }
-        Turns.Turn turn = turns.turn(now);
+        Turns.TickResult turn = turns.runTick(now);
         if (turn != null) {
             carryOut(now, turn.actions());
-            outside.onDecision(now, turn.events(), turn.actions(), turn.took());
+            outside.onDecision(now, turn.events(), turn.actions(), turn.decisionTime());
         }
         depart(now);
     }
 
     /** When a tick is next due, if nothing more is heard. */
     public long nextTickAt() {
-        long told = turns.knowsBackends() ? intake.nextAt() : Long.MAX_VALUE;
-        return Math.min(turns.nextAt(), Math.min(told, outbox.nextAt()));
+        long told = turns.hasSeenBackends() ? intake.nextAt() : Long.MAX_VALUE;
+        return Math.min(turns.nextTickAt(), Math.min(told, outbox.nextAt()));
     }
 
     private void carryOut(long now, List<Action> actions) {
-        fanout.messages(actions).forEach((proxy, orders) -> outbox.add(now, proxy,
+        fanout.ordersByProxy(actions).forEach((proxy, orders) -> outbox.add(now, proxy,
                 new Draft(List.copyOf(orders), null),
-                settings.channel().head() + orders.stream().mapToInt(Frame::lineCount).sum()));
+                settings.channel().messageOverhead() + orders.stream().mapToInt(Frame::lineCount).sum()));
         for (Action action : actions) {
             if (action instanceof Mark a) {
                 markedAt.put(a.number(), now);
@@ -254,7 +254,7 @@
 
     /** Backends that reports are taken of: listed, or gone but not yet let go by the module. */
     int backendsKnown() {
-        return fanout.backendsKnown();
+        return fanout.knownBackendCount();
     }
 
     /** Report lines of backends never listed, or of classes that do not exist. */
--- a/src/main/java/rowanmoor/controller/Trace.java
+++ b/src/main/java/rowanmoor/controller/Trace.java
@@ -90,10 +90,10 @@
      * What a replay found. {@code difference} is null if all orders are the same; a cut last line is
      * told.
      */
-    public record Replay(int ticks, int events, int actions, boolean cut, String difference) { }
+    public record ReplayResult(int ticks, int events, int actions, boolean truncated, String difference) { }
 
     /** Feeds a trace's events to a new instance and compares what it orders with what was ordered. */
-    public static Replay replay(Path file) throws IOException {
+    public static ReplayResult replay(Path file) throws IOException {
         int ticks = 0;
         int events = 0;
         int actions = 0;
@@ -106,7 +106,7 @@
                 try {
                     tick = JSON.readTree(line);
                 } catch (IOException e) {
-                    return new Replay(ticks, events, actions, true, null);
+                    return new ReplayResult(ticks, events, actions, true, null);
                 }
                 long now = tick.get("at").asLong();
                 List<Event> heard = JSON.readerFor(new TypeReference<List<Event>>() { })
@@ -117,11 +117,11 @@
                 events += heard.size();
                 actions += ordered.size();
                 if (!ordered.equals(tick.get("actions"))) {
-                    return new Replay(ticks, events, actions, false, "tick " + ticks + " at " + now
+                    return new ReplayResult(ticks, events, actions, false, "tick " + ticks + " at " + now
                             + ": ordered " + tick.get("actions") + ", replayed " + ordered);
                 }
             }
         }
-        return new Replay(ticks, events, actions, false, null);
+        return new ReplayResult(ticks, events, actions, false, null);
     }
 }
--- a/src/main/java/rowanmoor/discovery/RosterAnswer.java
+++ b/src/main/java/rowanmoor/discovery/RosterAnswer.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.config.Section;
 
 /**
@@ -20,7 +20,7 @@
 record RosterAnswer(List<Entry> entries, List<String> problems) {
 
     /** {@code started} is 0 where it is not said; an entry that is not whole has only its address. */
-    record Entry(Backend backend, int zone, int kind, int cell, Listed listed, double weight, long started,
+    record Entry(Backend backend, int zone, int kind, int cell, Availability listed, double weight, long started,
             boolean whole) { }
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -76,7 +76,7 @@
         for (JsonNode tag : service.path("Tags")) {
             draining |= tag.asText().equals("draining");
         }
-        return new Entry(backend, zone, kind, cell, draining ? Listed.DRAINING : Listed.READY, weight,
+        return new Entry(backend, zone, kind, cell, draining ? Availability.DRAINING : Availability.READY, weight,
                 started,
                 whole);
     }
--- a/src/main/java/rowanmoor/discovery/RosterView.java
+++ b/src/main/java/rowanmoor/discovery/RosterView.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.TreeMap;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
 
@@ -51,11 +51,11 @@
 
     /** What the module starts with: nothing is known. */
     public Members initialMembers() {
-        return new Members(ListKind.CACHED, ++version, List.of());
+        return new Members(CatalogUpdateKind.CACHED, ++version, List.of());
     }
 
     Members failed() {
-        return new Members(ListKind.FAILED, version, List.of());
+        return new Members(CatalogUpdateKind.FAILED, version, List.of());
     }
 
     /** A new watch starts from no index, and its first answer is told even if it changes nothing. */
@@ -72,7 +72,7 @@
         boolean asked = index == 0;
         boolean back = newIndex < index;
         boolean none = answer.entries().isEmpty() && held.values().stream()
-                .anyMatch(m -> m.listed() != Listed.GONE);
+                .anyMatch(m -> m.availability() != Availability.GONE);
         if (none && emptySince < 0) {
             emptySince = now;
         }
@@ -85,12 +85,12 @@
         boolean first = !any;
         any = true;
         if (back || first) {
-            List<Member> whole = held.values().stream().filter(m -> m.listed() != Listed.GONE).toList();
-            return new Step(new Members(back ? ListKind.CACHED : ListKind.FULL, ++version, whole), index,
+            List<Member> whole = held.values().stream().filter(m -> m.availability() != Availability.GONE).toList();
+            return new Step(new Members(back ? CatalogUpdateKind.CACHED : CatalogUpdateKind.FULL, ++version, whole), index,
                     true);
         }
         boolean tell = asked || !changes.isEmpty();
-        return new Step(tell ? new Members(ListKind.DELTA, ++version, changes) : null, index, true);
+        return new Step(tell ? new Members(CatalogUpdateKind.DELTA, ++version, changes) : null, index, true);
     }
 
     private List<Member> changes(long now, long wall, RosterAnswer answer) {
@@ -107,12 +107,12 @@
         goneAt.keySet().removeAll(fresh.keySet());
         goneAt.entrySet().removeIf(e -> now - e.getValue() > FORGET && forget(e.getKey()));
         held.replaceAll((backend, old) -> {
-            if (fresh.containsKey(backend) || old.listed() == Listed.GONE) {
+            if (fresh.containsKey(backend) || old.availability() == Availability.GONE) {
                 return old;
             }
-            changes.add(old.gone());
+            changes.add(old.asGone());
             goneAt.put(backend, now);
-            return old.gone();
+            return old.asGone();
         });
         fresh.forEach((backend, member) -> {
             if (!member.equals(held.put(backend, member))) {
--- a/src/main/java/rowanmoor/emulator/Emulator.java
+++ b/src/main/java/rowanmoor/emulator/Emulator.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.Effect;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.Idempotency;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
 import rowanmoor.ControlApi.Probed;
@@ -66,7 +66,7 @@
     private final SplittableRandom ways;
     private final Station[] stations;
     private final Backend[] backends;
-    private final Listed[] listed;
+    private final Availability[] listed;
     private final long[] startedAt;
     private final Router[] routers;
     private final Tallies[] tallies;
@@ -149,12 +149,12 @@
         int proxies = model.proxyZones().length;
         this.stations = new Station[count];
         this.backends = new Backend[count];
-        this.listed = new Listed[count];
+        this.listed = new Availability[count];
         this.startedAt = new long[count];
         for (int b = 0; b < count; b++) {
             stations[b] = new Station(model.machines().get(b), START);
             backends[b] = new Backend(0x0a0000000000L + ((long) b << 16) + 80);
-            listed[b] = Listed.READY;
+            listed[b] = Availability.READY;
         }
         this.busyAt = new long[count];
         Arrays.fill(busyAt, START);
@@ -466,7 +466,7 @@
         stamp[request]++;
         tryStamp[request]++;
         var spec = model.site().classes().get(cls[request]);
-        boolean may = refused || spec.effect() == Effect.SAFE;
+        boolean may = refused || spec.idempotency() == Idempotency.SAFE;
         if (may && clientTries[request] <= model.retries()
                 && now + model.backoff() < arrivedAt[request] + spec.deadline()) {
             agenda.add(now + model.backoff(), RETRY, request, 0);
@@ -843,7 +843,7 @@
 
         @Override
         public void send(int p, Frame frame) {
-            long late = (long) (model.site().channel().late() * (0.5 + ways.nextDouble()));
+            long late = (long) (model.site().channel().typicalDelay() * (0.5 + ways.nextDouble()));
             lastMessage[p] = Math.max(lastMessage[p], now + late);
             agenda.add(lastMessage[p], MESSAGE, p, parcel(new Sent(stream[p], frame)));
         }
@@ -861,7 +861,7 @@
     private void startController(int rank, long seed) {
         drivers[rank] = new Driver(model.site().settings(drivers.length), seed, ++epochs, now,
                 new Surroundings(rank), () -> 0);
-        drivers[rank].onMembers(new Members(ListKind.CACHED, version, List.of()));
+        drivers[rank].onMembers(new Members(CatalogUpdateKind.CACHED, version, List.of()));
         dead[rank] = false;
         tickAt[rank] = Long.MAX_VALUE;
         tickBy(rank, now);
@@ -969,17 +969,17 @@
             return;
         }
         if (rosterDown) {
-            drivers[rank].onMembers(new Members(ListKind.FAILED, version, List.of()));
+            drivers[rank].onMembers(new Members(CatalogUpdateKind.FAILED, version, List.of()));
         } else {
             List<Member> members = new ArrayList<>();
             for (int b = 0; b < backends.length; b++) {
                 Model.Machine m = model.machines().get(b);
-                if (listed[b] != Listed.GONE) {
+                if (listed[b] != Availability.GONE) {
                     members.add(new Member(backends[b], m.zone(), m.kind(), 0, listed[b], m.weight(),
                             startedAt[b]));
                 }
             }
-            drivers[rank].onMembers(new Members(ListKind.FULL, version, members));
+            drivers[rank].onMembers(new Members(CatalogUpdateKind.FULL, version, members));
         }
         tickBy(rank, now);
     }
@@ -994,14 +994,14 @@
                 for (int b : t.struck()) {
                     die(b);
                 }
-                tellAfter(model.notice(), number, Listed.GONE);
+                tellAfter(model.notice(), number, Availability.GONE);
             }
             case BACKENDS_FAIL -> {
                 for (int b : t.struck()) {
                     failing[b] = t.size();
                 }
             }
-            case BACKENDS_DRAIN -> tellAfter(0, number, Listed.DRAINING);
+            case BACKENDS_DRAIN -> tellAfter(0, number, Availability.DRAINING);
             case BACKENDS_SLOW -> {
                 for (int b : t.struck()) {
                     stations[b].slower(now, t.size());
@@ -1051,7 +1051,7 @@
         stations[b].restamp();
     }
 
-    private void tellAfter(long notice, int number, Listed state) {
+    private void tellAfter(long notice, int number, Availability state) {
         Model.Trouble t = model.troubles().get(number);
         for (int b : t.struck()) {
             listed[b] = state; // takes effect for controllers when they are told
@@ -1070,14 +1070,14 @@
                     stations[b].restart(now);
                     startedAt[b] = now;
                 }
-                tellAfter(model.notice(), number, Listed.READY);
+                tellAfter(model.notice(), number, Availability.READY);
             }
             case BACKENDS_FAIL -> {
                 for (int b : t.struck()) {
                     failing[b] = 0;
                 }
             }
-            case BACKENDS_DRAIN -> tellAfter(0, number, Listed.READY);
+            case BACKENDS_DRAIN -> tellAfter(0, number, Availability.READY);
             case BACKENDS_SLOW -> {
                 for (int b : t.struck()) {
                     stations[b].slower(now, 1);
--- a/src/main/java/rowanmoor/host/Fanout.java
+++ b/src/main/java/rowanmoor/host/Fanout.java
@@ -9,8 +9,8 @@
 import rowanmoor.ControlApi.Admit;
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Bind;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Mark;
 import rowanmoor.ControlApi.Members;
 import rowanmoor.ControlApi.SetLine;
@@ -34,7 +34,7 @@
 
         /** Of a class that is not bound it is unknown what the proxy uses: it may hold anything. */
         boolean holds(TableStore store, Backend backend, boolean boundOnly) {
-            return Arrays.stream(tables).anyMatch(t -> t < 0 ? !boundOnly : store.holds(t, backend));
+            return Arrays.stream(tables).anyMatch(t -> t < 0 ? !boundOnly : store.contains(t, backend));
         }
 
         int classesOn(int table) {
@@ -49,7 +49,7 @@
     private final int classes;
     private final TableStore store;
     private final TreeMap<Integer, Peer> peers = new TreeMap<>();
-    private final TreeMap<Backend, Listed> listed = new TreeMap<>();
+    private final TreeMap<Backend, Availability> listed = new TreeMap<>();
 
     public Fanout(int classes) {
         this.classes = classes;
@@ -60,19 +60,19 @@
         return store;
     }
 
-    public void hearList(Members members) {
-        if (members.kind() == ListKind.FULL || members.kind() == ListKind.CACHED) {
-            listed.replaceAll((backend, was) -> Listed.GONE);
+    public void onCatalog(Members members) {
+        if (members.kind() == CatalogUpdateKind.FULL || members.kind() == CatalogUpdateKind.CACHED) {
+            listed.replaceAll((backend, was) -> Availability.GONE);
         }
-        members.entries().forEach(m -> listed.put(m.backend(), m.listed()));
+        members.entries().forEach(m -> listed.put(m.backend(), m.availability()));
     }
 
     /** Whether a backend is listed, or gone but not yet let go by the module. */
-    public boolean knows(Backend backend) {
+    public boolean isKnown(Backend backend) {
         return listed.containsKey(backend);
     }
 
-    public int backendsKnown() {
+    public int knownBackendCount() {
         return listed.size();
     }
 
@@ -88,7 +88,7 @@
     }
 
     /** The classes of a joined proxy that are bound to a table, as a set of bits. */
-    public int classesOn(int proxy, int table) {
+    public int boundClasses(int proxy, int table) {
         Peer peer = peers.get(proxy);
         return peer == null ? 0 : peer.classesOn(table);
     }
@@ -97,14 +97,14 @@
      * What part of one proxy's picks its tables give a backend, summed over joined proxies and classes; by
      * the weights alone, shut-out backends left out.
      */
-    public TreeMap<Backend, Double> picks() {
+    public TreeMap<Backend, Double> pickShares() {
         TreeMap<Backend, Double> picks = new TreeMap<>();
         TreeMap<Integer, Integer> users = new TreeMap<>();
         peers.values().forEach(peer -> Arrays.stream(peer.tables).filter(t -> t >= 0)
                 .forEach(t -> users.merge(t, 1, Integer::sum)));
         users.forEach((table, count) -> {
-            TreeMap<Backend, Double> lines = new TreeMap<>(store.lines(table));
-            lines.keySet().removeAll(store.withdrawnOf(table));
+            TreeMap<Backend, Double> lines = new TreeMap<>(store.weights(table));
+            lines.keySet().removeAll(store.withdrawnIn(table));
             double sum = lines.values().stream().mapToDouble(w -> w).sum();
             lines.forEach((backend, weight) -> picks.merge(backend, count * weight / sum, Double::sum));
         });
@@ -124,14 +124,14 @@
     }
 
     /** Which backends of the tables named are withdrawn. */
-    public TreeSet<Backend> withdrawnOf(Iterable<Integer> tables) {
+    public TreeSet<Backend> withdrawnIn(Iterable<Integer> tables) {
         TreeSet<Backend> withdrawn = new TreeSet<>();
-        tables.forEach(t -> withdrawn.addAll(store.withdrawnOf(t)));
+        tables.forEach(t -> withdrawn.addAll(store.withdrawnIn(t)));
         return withdrawn;
     }
 
     /** Keeps one decision's orders; answers, by proxy, what each joined one concerned is to be told. */
-    public TreeMap<Integer, List<Frame.Order>> messages(List<Action> actions) {
+    public TreeMap<Integer, List<Frame.Order>> ordersByProxy(List<Action> actions) {
         TreeMap<Integer, List<Frame.Order>> messages = new TreeMap<>();
         for (Action action : actions) {
             if (action instanceof SetLine a) {
@@ -142,7 +142,7 @@
                 withdraw(messages, a);
             } else if (action instanceof Admit a) {
                 store.admit(a.table(), a);
-                toUsers(messages, a.table(), new Frame.Admit(a.table(), TableStore.level(a, classes)));
+                toUsers(messages, a.table(), new Frame.Admit(a.table(), TableStore.levelFrame(a, classes)));
             } else if (action instanceof Bind a && peers.containsKey(a.proxy())) {
                 bind(messages, a);
             } else if (action instanceof Mark a) {
@@ -153,28 +153,28 @@
     }
 
     private void withdraw(TreeMap<Integer, List<Frame.Order>> messages, Withdraw a) {
-        store.withdraw(a.backend(), a.out());
-        if (!a.out() && listed.get(a.backend()) == Listed.GONE) {
+        store.withdraw(a.backend(), a.withdrawn());
+        if (!a.withdrawn() && listed.get(a.backend()) == Availability.GONE) {
             listed.remove(a.backend()); // the module has let it go
         }
         peers.forEach((proxy, peer) -> {
             if (peer.holds(store, a.backend(), a.boundOnly())) {
-                add(messages, proxy, new Frame.Withdraw(a.backend(), a.out()));
+                add(messages, proxy, new Frame.Withdraw(a.backend(), a.withdrawn()));
             }
         });
     }
 
     private void bind(TreeMap<Integer, List<Frame.Order>> messages, Bind bind) {
         Peer peer = peers.get(bind.proxy());
-        int set = bind.classes() == 0 ? (1 << classes) - 1 : bind.classes();
+        int set = bind.classMask() == 0 ? (1 << classes) - 1 : bind.classMask();
         for (int c = 0; c < classes; c++) {
             if ((set >> c & 1) == 1) {
                 peer.tables[c] = bind.table();
             }
         }
-        add(messages, bind.proxy(), new Frame.Bind(set, store.whole(bind.table()),
-                store.withdrawnOf(bind.table())));
-        bind.letBack().forEach(b -> add(messages, bind.proxy(), new Frame.Withdraw(b, false)));
+        add(messages, bind.proxy(), new Frame.Bind(set, store.snapshot(bind.table()),
+                store.withdrawnIn(bind.table())));
+        bind.readmitted().forEach(b -> add(messages, bind.proxy(), new Frame.Withdraw(b, false)));
     }
 
     private static void add(TreeMap<Integer, List<Frame.Order>> messages, int proxy, Frame.Order order) {
--- a/src/main/java/rowanmoor/host/TableStore.java
+++ b/src/main/java/rowanmoor/host/TableStore.java
@@ -7,7 +7,7 @@
 import java.util.TreeSet;
 import rowanmoor.ControlApi.Admit;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.Retry;
+import rowanmoor.ControlApi.RetryPolicy;
 import rowanmoor.channel.Frame;
 
 /** All tables, levels and withdrawals as ordered so far. */
@@ -50,35 +50,35 @@
     public void admit(int number, Admit admit) {
         Map<Integer, Frame.Level> levels = table(number).levels;
         for (int c = 0; c < classes; c++) {
-            if (admit.classes() == 0 || (admit.classes() >> c & 1) == 1) {
+            if (admit.classMask() == 0 || (admit.classMask() >> c & 1) == 1) {
                 levels.put(c, new Frame.Level(1 << c, admit.level(), admit.retry()));
             }
         }
     }
 
-    public boolean holds(int number, Backend backend) {
+    public boolean contains(int number, Backend backend) {
         return tables.containsKey(number) && tables.get(number).lines.containsKey(backend);
     }
 
-    public Frame.Table whole(int number) {
+    public Frame.Table snapshot(int number) {
         Table table = table(number);
         List<Frame.Line> lines = new ArrayList<>();
         table.lines.forEach((backend, weight) -> lines.add(new Frame.Line(backend, weight)));
         return new Frame.Table(number, List.copyOf(lines), List.copyOf(table.levels.values()));
     }
 
-    public List<Backend> withdrawnOf(int number) {
+    public List<Backend> withdrawnIn(int number) {
         return table(number).lines.keySet().stream().filter(withdrawn::contains).toList();
     }
 
     /** The weights ordered for a table; for readers outside the wire. */
-    public Map<Backend, Double> lines(int number) {
+    public Map<Backend, Double> weights(int number) {
         return Map.copyOf(table(number).lines);
     }
 
-    public static Frame.Level level(Admit admit, int classCount) {
-        int set = admit.classes() == 0 ? (1 << classCount) - 1 : admit.classes();
-        Retry retry = admit.retry();
+    public static Frame.Level levelFrame(Admit admit, int classCount) {
+        int set = admit.classMask() == 0 ? (1 << classCount) - 1 : admit.classMask();
+        RetryPolicy retry = admit.retry();
         return new Frame.Level(set, admit.level(), retry);
     }
 }
--- a/src/main/java/rowanmoor/host/Turns.java
+++ b/src/main/java/rowanmoor/host/Turns.java
@@ -7,7 +7,7 @@
 import java.util.function.LongSupplier;
 import rowanmoor.ControlApi;
 import rowanmoor.ControlApi.Action;
-import rowanmoor.ControlApi.Belief;
+import rowanmoor.ControlApi.BackendEstimate;
 import rowanmoor.ControlApi.Event;
 import rowanmoor.ControlApi.Members;
 import rowanmoor.ControlApi.Probed;
@@ -25,7 +25,7 @@
 public final class Turns {
 
     /** What was fed and what was ordered in one turn; {@code took} is the module's time, ns. */
-    public record Turn(List<Event> events, List<Action> actions, long took) { }
+    public record TickResult(List<Event> events, List<Action> actions, long decisionTime) { }
 
     private record Alarm(long time, long number, long token) implements Comparable<Alarm> {
         @Override
@@ -52,13 +52,13 @@
         this.stopwatch = stopwatch;
     }
 
-    public void hearList(Members members) {
+    public void onCatalog(Members members) {
         everListed |= !members.entries().isEmpty();
         lists.add(members);
     }
 
     /** A join, a leave or a mark answered. */
-    public void hearStream(Event event) {
+    public void onStreamEvent(Event event) {
         if (!everListed && event instanceof ProxyLeft left) {
             // Its join waits, and the module has never heard of it: nothing is owed on either side.
             streams.removeIf(e -> e instanceof ProxyJoined joined && joined.proxy() == left.proxy());
@@ -68,13 +68,13 @@
     }
 
     /** A report line; before a backend was ever listed nothing can be made of it. */
-    public void hearReport(Event event) {
+    public void onReport(Event event) {
         if (everListed) {
             reports.add(event);
         }
     }
 
-    public void hearProbe(Probed probed) {
+    public void onProbeResult(Probed probed) {
         probes.add(probed);
     }
 
@@ -82,12 +82,12 @@
      * Whether a backend was ever listed. Before that the module hears of no proxy: it could bind one to an
      * empty table only, in place of what the proxy holds and can work by.
      */
-    public boolean knowsBackends() {
+    public boolean hasSeenBackends() {
         return everListed;
     }
 
     /** Feeds what was heard and lets the module decide; null if there was nothing to hear. */
-    public Turn turn(long now) {
+    public TickResult runTick(long now) {
         List<Event> events = gather(now);
         if (events.isEmpty() && started) {
             return null;
@@ -102,7 +102,7 @@
                 alarms.add(new Alarm(a.time(), alarmNumber++, a.token()));
             }
         }
-        return new Turn(events, actions, took);
+        return new TickResult(events, actions, took);
     }
 
     private List<Event> gather(long now) {
@@ -125,12 +125,12 @@
     }
 
     /** What the module holds of each backend. */
-    public List<Belief> beliefs(long now) {
+    public List<BackendEstimate> backendEstimates(long now) {
         return logic.beliefs(now);
     }
 
     /** When a turn is next due, if nothing more is heard. */
-    public long nextAt() {
+    public long nextTickAt() {
         boolean heard = !started || !lists.isEmpty() || !probes.isEmpty() || !reports.isEmpty()
                 || !streams.isEmpty() && everListed;
         return heard ? Long.MIN_VALUE : alarms.isEmpty() ? Long.MAX_VALUE : alarms.peek().time();
--- a/src/main/java/rowanmoor/lab/DayFile.java
+++ b/src/main/java/rowanmoor/lab/DayFile.java
@@ -109,8 +109,8 @@
         BackendModel.Spec spec = new BackendModel.Spec(b.whole("cores", 1, 1024),
                 b.number("speed", 0.001, 1000, 1), b.whole("slots", 1, 100000), b.whole("queue", 0, 100000),
                 b.number("cold-from", 0.01, 1, 1), b.duration("cold", "0s", "10min", "0s"),
-                b.number("fall-multiple", 1, 1e6, site.rules().fallMultiple()),
-                b.duration("fall-span", "100ms", "60s", site.rules().fallSpan() / 1_000_000 + "ms"));
+                b.number("fall-multiple", 1, 1e6, site.rules().overloadFactor()),
+                b.duration("fall-span", "100ms", "60s", site.rules().overloadSpan() / 1_000_000 + "ms"));
         int zone = b.has("zone") ? site.zones().indexOf(b.text("zone")) : -1;
         if (b.has("zone") && zone < 0) {
             b.problem("zone", "is not a zone of the site");
--- a/src/main/java/rowanmoor/lab/Fuzz.java
+++ b/src/main/java/rowanmoor/lab/Fuzz.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.Retry;
+import rowanmoor.ControlApi.RetryPolicy;
 import rowanmoor.channel.ChannelException;
 import rowanmoor.channel.ChannelLimits;
 import rowanmoor.channel.Codec;
@@ -229,7 +229,7 @@
 
     private static List<Frame> frames() {
         Backend backend = new Backend(0x7f0000011f90L);
-        Frame.Level level = new Frame.Level(3, 12.5, Retry.ONCE_UNRUN);
+        Frame.Level level = new Frame.Level(3, 12.5, RetryPolicy.ONCE_UNRUN);
         Frame.Table table = new Frame.Table(7, List.of(new Frame.Line(backend, 2.5)), List.of(level));
         return List.of(new Frame.Hello(Frame.PROTOCOL_VERSION, 4, 99, 1, 20, true, 5, 6, "relay"),
                 new Frame.Snapshot(5, 6, 7, 8, List.of(table), List.of(new Frame.Binding(7, 3)),
--- a/src/main/java/rowanmoor/lab/Ground.java
+++ b/src/main/java/rowanmoor/lab/Ground.java
@@ -18,7 +18,7 @@
 import java.util.function.LongSupplier;
 import java.util.stream.IntStream;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.discovery.Addresses;
 import rowanmoor.emulator.Outcome;
 import rowanmoor.net.Loop;
@@ -111,7 +111,7 @@
                 met.add(new Outcome.BackendMet());
                 places.put(server.backend(), new Evidence.Place(zone, group.kind()));
                 roster.put(new RosterServer.Instance(server.backend(), day.site().zones().get(zone),
-                        day.site().kinds().get(group.kind()), group.weight(), Listed.READY, 0, 0));
+                        day.site().kinds().get(group.kind()), group.weight(), Availability.READY, 0, 0));
             }
         }
     }
@@ -317,7 +317,7 @@
             backend.crash();
             stage.after(day.notice(), () -> {
                 if (!backend.isRunning()) {
-                    roster.put(listed.with(Listed.GONE));
+                    roster.put(listed.with(Availability.GONE));
                 }
             });
             until(t, () -> {
@@ -336,7 +336,7 @@
         for (BackendServer backend : sample(inZone(t.zone()), t.part())) {
             RosterServer.Instance listed = roster.instance(backend.backend());
             if (listed != null) {
-                roster.put(listed.with(Listed.DRAINING));
+                roster.put(listed.with(Availability.DRAINING));
                 until(t, () -> roster.put(listed));
             }
         }
--- a/src/main/java/rowanmoor/lab/Judge.java
+++ b/src/main/java/rowanmoor/lab/Judge.java
@@ -11,9 +11,9 @@
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Channel;
 import rowanmoor.ControlApi.ClassSpec;
-import rowanmoor.ControlApi.Effect;
-import rowanmoor.ControlApi.Group;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.Idempotency;
+import rowanmoor.ControlApi.DedupScope;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Rules;
 import rowanmoor.channel.ChannelException;
 import rowanmoor.channel.ChannelLimits;
@@ -104,12 +104,12 @@
         evidence.taps().forEach(t -> byProxy.computeIfAbsent(t.proxy(), p -> new ArrayList<>()).add(t));
         byProxy.forEach(this::follow);
         List<Verdict> all = new ArrayList<>(List.of(new Verdict("no proxy without a backend", "s",
-                        rules.bareLimit() / SECOND, worstBare / SECOND, worstBare > rules.bareLimit(),
+                        rules.maxTimeWithoutBackend() / SECOND, worstBare / SECOND, worstBare > rules.maxTimeWithoutBackend(),
                         firstBare.text, firstBare.at, bareMet),
                 repeats(), drains(), falls(), queue(),
                 new Verdict("messages numbered without gaps", "gaps", 0, misnumbered, misnumbered > 0,
                         firstMisnumbered.text, firstMisnumbered.at, messages.size())));
-        if (channel.messagesMost() > 0) {
+        if (channel.maxMessages() > 0) {
             all.add(budget());
         }
         return List.copyOf(all);
@@ -184,14 +184,14 @@
 
     private void note(Frame frame, long at, Stay stay) {
         if (frame instanceof Frame.Update update) {
-            double lines = channel.head() + update.orders().stream().mapToInt(Frame::lineCount).sum();
+            double lines = channel.messageOverhead() + update.orders().stream().mapToInt(Frame::lineCount).sum();
             messages.add(new Message(update.epoch(), update.orderedAtNs(), at, lines, update.queuedLines()));
             if (stay != null) {
                 stay.messages.add(at);
             }
         } else if (frame instanceof Frame.Snapshot s && !s.bindings().isEmpty()) {
             // One that was asked for goes through the channel; a stream's first has no bindings and does not.
-            double lines = channel.head() + s.withdrawn().size() + s.tables().stream()
+            double lines = channel.messageOverhead() + s.withdrawn().size() + s.tables().stream()
                     .mapToInt(t -> 1 + t.lines().size() + t.levels().size()).sum();
             messages.add(new Message(s.epoch(), s.orderedAtNs(), at, lines, s.queuedLines()));
         }
@@ -220,14 +220,14 @@
         List<RosterServer.Answered> answers = told.getOrDefault(stay.rank, List.of());
         // A backend gets warm between two answers as well.
         java.util.stream.Stream.concat(answers.stream().map(RosterServer.Answered::at), answers.stream()
-                .flatMap(a -> a.listed().stream()).map(i -> i.startedAt() + rules.coldFor()))
+                .flatMap(a -> a.listed().stream()).map(i -> i.startedAt() + rules.warmUpTime()))
                 .filter(t -> t > from && t < to).distinct().sorted().forEach(times::add);
         for (long time : times) {
             boolean known = anyWarm(stay.rank, cls, time);
             since = !known ? -1 : since < 0 ? time : since;
             long next = times.stream().filter(t -> t > time).findFirst().orElse(to);
-            if (since >= 0 && next - since > rules.bareLimit()) {
-                firstBare.note(since + rules.bareLimit(), "proxy " + stay.proxy + ", class "
+            if (since >= 0 && next - since > rules.maxTimeWithoutBackend()) {
+                firstBare.note(since + rules.maxTimeWithoutBackend(), "proxy " + stay.proxy + ", class "
                         + site.classNames().get(cls) + ", from " + time(since) + " to " + time(next));
             }
             longest = Math.max(longest, since < 0 ? 0 : next - since);
@@ -242,7 +242,7 @@
             Evidence.Place place = evidence.backends().get(i.backend());
             boolean open = (spec.onlyZones().isEmpty() || spec.onlyZones().contains(place.zone()))
                     && (spec.onlyKinds().isEmpty() || spec.onlyKinds().contains(place.kind()));
-            return i.listed() == Listed.READY && open && time - i.startedAt() >= rules.coldFor();
+            return i.listed() == Availability.READY && open && time - i.startedAt() >= rules.warmUpTime();
         });
     }
 
@@ -287,16 +287,16 @@
     /** How many of a try's runs may each have taken effect. */
     private int harmful(List<Ledger.Entry> tries) {
         int cls = site.classOf(tries.get(0).path);
-        if (cls < 0 || site.classes().get(cls).effect() == Effect.SAFE) {
+        if (cls < 0 || site.classes().get(cls).idempotency() == Idempotency.SAFE) {
             return 1;
         }
         ClassSpec spec = site.classes().get(cls);
-        if (spec.effect() == Effect.UNSAFE) {
+        if (spec.idempotency() == Idempotency.UNSAFE) {
             return tries.size();
         }
         Ledger.Entry head = tries.get(0);
-        return 1 + (int) tries.stream().skip(1).filter(t -> t.arrivedAt - head.arrivedAt > spec.window()
-                || spec.group() != Group.ALL && zone(t.backend) != zone(head.backend)).count();
+        return 1 + (int) tries.stream().skip(1).filter(t -> t.arrivedAt - head.arrivedAt > spec.dedupWindow()
+                || spec.dedupScope() != DedupScope.ALL && zone(t.backend) != zone(head.backend)).count();
     }
 
     private int zone(Backend backend) {
@@ -335,7 +335,7 @@
             TreeSet<Backend> ready = new TreeSet<>();
             for (RosterServer.Answered answer : one.getValue()) {
                 TreeSet<Backend> now = new TreeSet<>();
-                answer.listed().stream().filter(i -> i.listed() == Listed.READY)
+                answer.listed().stream().filter(i -> i.listed() == Availability.READY)
                         .forEach(i -> now.add(i.backend()));
                 boolean empty = answer.listed().isEmpty();
                 long lost = empty ? 0 : ready.stream().filter(b -> !now.contains(b)).count();
@@ -364,7 +364,7 @@
                 continue; // not believed at once: docs/running.md, The roster empties
             }
             boolean ready = answer.listed().stream().anyMatch(i -> i.backend().equals(backend)
-                    && i.listed() == Listed.READY);
+                    && i.listed() == Availability.READY);
             // A controller that never saw it ready is told of its drain all the same.
             wasListed |= answer.listed().stream().anyMatch(i -> i.backend().equals(backend));
             since = ready || !wasListed ? -1 : since < 0 ? answer.at() : since;
@@ -383,7 +383,7 @@
             double all = 0;
             for (Ledger.Entry entry : evidence.ledger().entries()) {
                 boolean within = entry.backend.equals(fall.backend()) && entry.arrivedAt <= fall.at()
-                        && entry.arrivedAt >= fall.at() - rules.fallSpan();
+                        && entry.arrivedAt >= fall.at() - rules.overloadSpan();
                 if (within) {
                     all += entry.work;
                     known += knew(entry, fall) ? entry.work : 0;
@@ -406,7 +406,7 @@
                 starts.computeIfAbsent(i.backend(), b -> new TreeSet<>()).add(i.startedAt())));
         return evidence.ledger().entries().stream().filter(e -> starts.containsKey(e.backend)).filter(e -> {
             Long start = starts.get(e.backend).floor(e.arrivedAt);
-            return start != null && e.arrivedAt - start < rules.coldFor();
+            return start != null && e.arrivedAt - start < rules.warmUpTime();
         }).count();
     }
 
@@ -451,18 +451,18 @@
                         * channel.linesPerSecond()) + message.lines();
                 before = message.orderedAt();
                 worst = Math.max(worst, Math.max(waiting, message.waiting()));
-                if (worst > channel.backlog()) {
+                if (worst > channel.maxBacklog()) {
                     first.note(message.orderedAt(), Math.round(worst) + " lines waited at "
                             + time(message.orderedAt()));
                 }
             }
             double ahead = aheadOfPace(all);
             worst = Math.max(worst, ahead);
-            if (ahead > channel.backlog()) {
+            if (ahead > channel.maxBacklog()) {
                 first.note(all.get(0).orderedAt(), Math.round(ahead) + " lines came faster than the pace");
             }
         }
-        return new Verdict("a short queue", "lines", channel.backlog(), worst, worst > channel.backlog(),
+        return new Verdict("a short queue", "lines", channel.maxBacklog(), worst, worst > channel.maxBacklog(),
                 first.text, first.at, messages.stream().filter(m -> m.waiting() > m.lines()).count());
     }
 
@@ -474,18 +474,18 @@
             for (Stay stay : all) {
                 int from = 0;
                 for (int i = 0; i < stay.messages.size(); i++) {
-                    while (stay.messages.get(i) - stay.messages.get(from) >= channel.messagesOver()) {
+                    while (stay.messages.get(i) - stay.messages.get(from) >= channel.messageWindow()) {
                         from++;
                     }
                     worst = Math.max(worst, i - from + 1);
-                    if (i - from + 1 > channel.messagesMost()) {
+                    if (i - from + 1 > channel.maxMessages()) {
                         long at = stay.messages.get(i);
                         first.note(at, "proxy " + stay.proxy + " at " + time(at));
                     }
                 }
             }
         }
-        return new Verdict("messages within their limit", "messages", channel.messagesMost(), worst,
+        return new Verdict("messages within their limit", "messages", channel.maxMessages(), worst,
                 first.at >= 0, first.text, first.at, messages.size());
     }
 
@@ -493,7 +493,7 @@
     private double aheadOfPace(List<Message> all) {
         List<Message> byArrival = new ArrayList<>(all);
         byArrival.sort(Comparator.comparingLong(Message::arrivedAt));
-        double allowed = channel.linesPerSecond() * channel.latest() / SECOND;
+        double allowed = channel.linesPerSecond() * channel.maxDelay() / SECOND;
         double bucket = 0;
         double worst = 0;
         long before = byArrival.get(0).arrivedAt();
@@ -516,7 +516,7 @@
             boolean first = true;
             for (RosterServer.Answered answer : answers) {
                 TreeSet<Backend> now = new TreeSet<>();
-                answer.listed().stream().filter(i -> i.listed() == Listed.READY)
+                answer.listed().stream().filter(i -> i.listed() == Availability.READY)
                         .forEach(i -> now.add(i.backend()));
                 if (!first && !now.equals(ready)) {
                     lastApplied(rank, answer.at()).ifPresent(at -> took.add((at - answer.at()) / 1e6));
--- a/src/main/java/rowanmoor/lab/Report.java
+++ b/src/main/java/rowanmoor/lab/Report.java
@@ -45,7 +45,7 @@
         line(text, "%-16s %8s %8s %6s %7s %8.3f", "all, by worth", "", "", "", "", played.service(-1));
         changes(text, played);
         line(text, "most sent to a cold backend: %.2f of its capacity (it falls at %.2f)", played.worstPush(),
-                day.site().rules().fallMultiple());
+                day.site().rules().overloadFactor());
         stats(text, played);
         played.faults().forEach(f -> line(text, "fault: %s", f));
         played.unmet().forEach(u -> line(text, "expectation: %s", u));
--- a/src/main/java/rowanmoor/plan/Diagnosis.java
+++ b/src/main/java/rowanmoor/plan/Diagnosis.java
@@ -82,7 +82,7 @@
             List<Finding> all) {
         for (int c = 0; c < model.shares().length; c++) {
             ClassSpec spec = model.site().classes().get(c);
-            if (!spec.confined()) {
+            if (!spec.isRestricted()) {
                 continue;
             }
             List<Integer> open = new ArrayList<>();
@@ -126,10 +126,10 @@
                     used > BUSY && uneven ? 1 + used : used,
                     text("%.0f%% of its pace used; the busiest backend %.0f%%, the mean %.0f%%", 100 * used,
                             100 * busiest, 100 * mean)));
-            double queue = met.mostLines / model.site().channel().backlog();
+            double queue = met.mostLines / model.site().channel().maxBacklog();
             all.add(new Finding(Finding.Resource.QUEUE_RULE, "controller " + c,
                     queue > 1 ? 10 * queue : 0.9 * queue,
-                    text("%.0f of %.0f lines waited", met.mostLines, model.site().channel().backlog())));
+                    text("%.0f of %.0f lines waited", met.mostLines, model.site().channel().maxBacklog())));
             double cycle = model.site().intake() * model.site().period() / 1e9;
             all.add(new Finding(Finding.Resource.INTAKE, "controller " + c, met.mostReports / cycle / 10,
                     text("%d report lines waited, %.0f are told a period", met.mostReports, cycle)));
--- a/src/main/java/rowanmoor/plan/Planner.java
+++ b/src/main/java/rowanmoor/plan/Planner.java
@@ -264,7 +264,7 @@
         }
         double last = stretch(o, Math.max(to, end - 10), end);
         double queue = o.controllers().stream().mapToDouble(c -> c.mostLines).max().orElse(0)
-                / model.site().channel().backlog();
+                / model.site().channel().maxBacklog();
         return new Loss(what, before, stretch(o, from, to), o.worst(10), recovery, last < RECOVERED * before,
                 queue, bySecond(o, end));
     }
--- a/src/main/java/rowanmoor/platform/Beliefs.java
+++ b/src/main/java/rowanmoor/platform/Beliefs.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.Belief;
+import rowanmoor.ControlApi.BackendEstimate;
 import rowanmoor.ControlApi.Tally;
 
 /**
@@ -32,14 +32,14 @@
         sums[1] += tally.failed();
     }
 
-    void write(List<Belief> beliefs, TreeMap<Backend, Double> picks) {
+    void write(List<BackendEstimate> beliefs, TreeMap<Backend, Double> picks) {
         double all = Math.max(1e-9, picks.values().stream().mapToDouble(w -> w).sum());
         double tries = Math.max(1, passed.values().stream().mapToLong(s -> s[0]).sum());
-        for (Belief b : beliefs) {
+        for (BackendEstimate b : beliefs) {
             long[] sums = passed.getOrDefault(b.backend(), new long[2]);
             log.accept(String.format(Locale.ROOT, "belief %s %s%s picks %.3f tried %.3f of %d failed %d"
                     + " load %.0f ms health %s correction %.2f warmth %.2f judged by %.1f",
-                    names.id(b.backend()), b.listed(), b.shutOut() ? " out" : "",
+                    names.id(b.backend()), b.availability(), b.withdrawn() ? " out" : "",
                     picks.getOrDefault(b.backend(), 0.0) / all, sums[0] / tries, sums[0], sums[1],
                     b.load() / 1e6, b.health(), b.correction(), b.warmth(), b.tries()));
         }
--- a/src/main/java/rowanmoor/platform/CatalogView.java
+++ b/src/main/java/rowanmoor/platform/CatalogView.java
@@ -9,12 +9,12 @@
 import java.util.Set;
 import java.util.TreeMap;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
 import rowanmoor.config.Section;
-import rowanmoor.settings.SettingsReader.Told;
+import rowanmoor.settings.SettingsReader.NamedSettings;
 
 /**
  * What the catalog's objects mean to the module: whole lists and changes, versions, starts in this
@@ -25,15 +25,15 @@
 final class CatalogView {
 
     private static final long MILLI = 1_000_000L;
-    private static final Map<String, Listed> LIFECYCLES = Map.of("in_service", Listed.READY,
-            "terminating", Listed.DRAINING, "terminated", Listed.GONE);
+    private static final Map<String, Availability> LIFECYCLES = Map.of("in_service", Availability.READY,
+            "terminating", Availability.DRAINING, "terminated", Availability.GONE);
     private static final int PROBLEMS_TOLD = 3;
     /** How long a list must have been empty to be believed: as long as what is told may take to arrive. */
     private static final long EMPTY_HOLD = 6_000 * MILLI;
 
     private record Stamp(long startedAtMs, long startedAt) { }
 
-    private final Told told;
+    private final NamedSettings told;
     private final Names names;
     private final TreeMap<Backend, Member> held = new TreeMap<>();
     private final Map<Backend, Stamp> stamps = new HashMap<>();
@@ -41,7 +41,7 @@
     private long newest; // the highest version taken in
     private long emptySince = -1;
 
-    CatalogView(Told told, Names names) {
+    CatalogView(NamedSettings told, Names names) {
         this.told = told;
         this.names = names;
     }
@@ -72,7 +72,7 @@
             throw new IOException("changes up to " + version + " after version " + generation);
         }
         boolean empty = whole && !known && instances.isEmpty()
-                && held.values().stream().anyMatch(m -> m.listed() != Listed.GONE);
+                && held.values().stream().anyMatch(m -> m.availability() != Availability.GONE);
         emptySince = !empty ? -1 : emptySince < 0 ? now : emptySince;
         if (empty && now - emptySince < EMPTY_HOLD) { // one that has just begun may know of none yet
             throw new IOException("an empty list after one of " + held.size() + " instances");
@@ -99,13 +99,13 @@
             return whole(known, entries, mentioned, unnamed);
         }
         entries.removeIf(m -> m.equals(held.put(m.backend(), m)));
-        return entries.isEmpty() ? null : new Members(ListKind.DELTA, version, List.copyOf(entries));
+        return entries.isEmpty() ? null : new Members(CatalogUpdateKind.DELTA, version, List.copyOf(entries));
     }
 
     /** What was draining or gone at a newer version is so still, unless it has started anew. */
     private Member notUndone(Member member) {
         Member old = held.get(member.backend());
-        boolean undone = old != null && old.listed() != Listed.READY && member.listed() == Listed.READY
+        boolean undone = old != null && old.availability() != Availability.READY && member.availability() == Availability.READY
                 && old.startedAt() == member.startedAt();
         return undone ? old : member;
     }
@@ -120,16 +120,16 @@
             same &= member.equals(held.put(member.backend(), member));
         }
         for (Member old : List.copyOf(held.values())) {
-            if (!mentioned.contains(old.backend()) && old.listed() != Listed.GONE) {
+            if (!mentioned.contains(old.backend()) && old.availability() != Availability.GONE) {
                 if (unnamed) {
                     entries.add(old);
                 } else {
-                    held.put(old.backend(), old.gone());
+                    held.put(old.backend(), old.asGone());
                     same = false;
                 }
             }
         }
-        return same ? null : new Members(known ? ListKind.CACHED : ListKind.FULL, generation,
+        return same ? null : new Members(known ? CatalogUpdateKind.CACHED : CatalogUpdateKind.FULL, generation,
                 List.copyOf(entries));
     }
 
@@ -141,7 +141,7 @@
     private Member member(long now, long wall, String id, Map<?, ?> entry, List<String> problems) {
         Backend backend = names.listed(id);
         Member old = held.get(backend);
-        Listed listed = LIFECYCLES.get(entry.get("lifecycle"));
+        Availability listed = LIFECYCLES.get(entry.get("lifecycle"));
         int zone = told.zones().indexOf(entry.get("zone"));
         int kind = told.kinds().indexOf(entry.get("machineType"));
         double weight = entry.get("weight") instanceof Number n ? n.doubleValue() : 1;
@@ -150,8 +150,8 @@
         if (entry.get("hostPort") instanceof String text && Section.parseAddress(text) != null) {
             names.reach(backend, Section.parseAddress(text));
         }
-        if (listed == Listed.GONE && old != null) {
-            return old.gone(); // one that is gone need not say more
+        if (listed == Availability.GONE && old != null) {
+            return old.asGone(); // one that is gone need not say more
         }
         if (listed == null || zone < 0 || kind < 0 || !(weight >= 0 && weight <= 1e9)
                 || !(cell >= 0 && cell <= 65535) || !(started >= 0 && started <= 1e15)) {
@@ -189,7 +189,7 @@
     /** Lets go of one that the module has let go. */
     void forget(Backend backend) {
         Member member = held.get(backend);
-        if (member == null || member.listed() == Listed.GONE) {
+        if (member == null || member.availability() == Availability.GONE) {
             held.remove(backend);
             stamps.remove(backend);
             names.forget(backend);
--- a/src/main/java/rowanmoor/platform/Messages.java
+++ b/src/main/java/rowanmoor/platform/Messages.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import rowanmoor.settings.SettingsReader.Told;
+import rowanmoor.settings.SettingsReader.NamedSettings;
 
 /**
  * Field lists to typed messages: the kind, then names and values in turn. A bad field names itself; fields
@@ -22,9 +22,9 @@
     private static final Map<String, String> FIGURES = Map.of("q", "queue", "rif", "inflight", "busy", "util",
             "lat_ms", "latency_ms", "rate", "qps", "fail_rate", "eps");
 
-    private final Told told;
+    private final NamedSettings told;
 
-    Messages(Told told) {
+    Messages(NamedSettings told) {
         this.told = told;
     }
 
--- a/src/main/java/rowanmoor/platform/Peer.java
+++ b/src/main/java/rowanmoor/platform/Peer.java
@@ -8,7 +8,7 @@
 import rowanmoor.net.Handler;
 import rowanmoor.net.Loop;
 import rowanmoor.net.Timer;
-import rowanmoor.resp.RespError;
+import rowanmoor.resp.RespException;
 import rowanmoor.resp.RespReader;
 import rowanmoor.resp.RespWriter;
 
@@ -74,7 +74,7 @@
         role = itsRole;
         number = itsNumber;
         patience.cancel();
-        reader.allow(RespReader.MESSAGE_MOST);
+        reader.setMaxMessageBytes(RespReader.MAX_MESSAGE_BYTES);
     }
 
     /** Remembers a mark that this stream was given. */
@@ -105,7 +105,7 @@
                     take(parts);
                 }
             }
-        } catch (RespError e) {
+        } catch (RespException e) {
             end(e.getMessage());
         }
     }
--- a/src/main/java/rowanmoor/platform/PlatformConfig.java
+++ b/src/main/java/rowanmoor/platform/PlatformConfig.java
@@ -6,9 +6,9 @@
 import java.nio.file.Path;
 import java.util.Map;
 import rowanmoor.config.Section;
-import rowanmoor.settings.SettingsError;
+import rowanmoor.settings.InvalidSettingsException;
 import rowanmoor.settings.SettingsReader;
-import rowanmoor.settings.SettingsReader.Told;
+import rowanmoor.settings.SettingsReader.NamedSettings;
 
 /**
  * What the platform tells one controller, by variables and a JSON file.
@@ -17,7 +17,7 @@
  * @param sockets the most descriptors that the process may hold
  */
 record PlatformConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
-        int sockets, Map<String, Object> known, Told told) {
+        int sockets, Map<String, Object> known, NamedSettings told) {
 
     private static final int SOCKETS_LEAST = 64;
     private static final int HEX = 16;
@@ -38,8 +38,8 @@
             return new PlatformConfig(text(root, "name"), address("GW_LISTEN", variable(env, "GW_LISTEN")),
                     address("discovery", text(root, "discovery")), seed(text(root, "seed")),
                     sockets(limits.get("sockets")), map(root, "known"),
-                    SettingsReader.ofTree(map(root, "settings")));
-        } catch (SettingsError e) {
+                    SettingsReader.fromTree(map(root, "settings")));
+        } catch (InvalidSettingsException e) {
             throw new IOException("GW_CONFIG " + file + ": " + e.getMessage());
         }
     }
@@ -56,7 +56,7 @@
         if (root.get(key) instanceof String text && !text.isEmpty()) {
             return text;
         }
-        throw new SettingsError(key + " is missing or no text");
+        throw new InvalidSettingsException(key + " is missing or no text");
     }
 
     @SuppressWarnings("unchecked")
@@ -64,13 +64,13 @@
         if (root.get(key) instanceof Map<?, ?> map) {
             return (Map<String, Object>) map;
         }
-        throw new SettingsError(key + " is missing or no object");
+        throw new InvalidSettingsException(key + " is missing or no object");
     }
 
     private static InetSocketAddress address(String key, String text) {
         InetSocketAddress address = Section.parseAddress(text);
         if (address == null) {
-            throw new SettingsError(key + " is no IPv4 address and port: " + Messages.cut(text));
+            throw new InvalidSettingsException(key + " is no IPv4 address and port: " + Messages.cut(text));
         }
         return address;
     }
@@ -79,7 +79,7 @@
         try {
             return Long.parseUnsignedLong(text, HEX);
         } catch (NumberFormatException e) {
-            throw new SettingsError("seed is no hexadecimal number: " + Messages.cut(text));
+            throw new InvalidSettingsException("seed is no hexadecimal number: " + Messages.cut(text));
         }
     }
 
@@ -87,6 +87,6 @@
         if (value instanceof Number n && n.doubleValue() >= SOCKETS_LEAST && n.doubleValue() <= 1e6) {
             return n.intValue();
         }
-        throw new SettingsError("limits.sockets is missing or below " + SOCKETS_LEAST);
+        throw new InvalidSettingsException("limits.sockets is missing or below " + SOCKETS_LEAST);
     }
 }
--- a/src/main/java/rowanmoor/platform/Rehearsal.java
+++ b/src/main/java/rowanmoor/platform/Rehearsal.java
@@ -57,7 +57,7 @@
             ((Map<String, Object>) entry).put("hostPort", "127.0.0.1:" + backend.getPort());
         }
         PlatformConfig config = new PlatformConfig("rehearsal", ANY, catalog, 1, 256, known,
-                SettingsReader.ofTree((Map<String, Object>) script.get("settings")));
+                SettingsReader.fromTree((Map<String, Object>) script.get("settings")));
         Service service = new Service(config, loop, System::currentTimeMillis, log::line, () -> { });
         for (int proxy = 0; proxy < PROXIES; proxy++) {
             new Guest(service.address(), proxy);
--- a/src/main/java/rowanmoor/platform/Service.java
+++ b/src/main/java/rowanmoor/platform/Service.java
@@ -15,8 +15,8 @@
 import rowanmoor.ControlApi.Action;
 import rowanmoor.ControlApi.Applied;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Log;
 import rowanmoor.ControlApi.Members;
 import rowanmoor.ControlApi.Probe;
@@ -103,15 +103,15 @@
         this.view = new CatalogView(config.told(), names);
         this.fanout = new Fanout(settings.classes().size());
         this.turns = new Turns(settings, config.seed(), System::nanoTime);
-        this.ticks = new Ticks(loop, config.told().tick(), this::turn, turns::nextAt);
+        this.ticks = new Ticks(loop, config.told().tick(), this::turn, turns::nextTickAt);
         this.translator = new Translator(config.told().classes(), names, fanout);
         this.listener = loop.listen(config.listen(), Connection.Options.usual()
                 .bound(new Bound(UNREAD_MOST, MESSAGES_UNREAD_MOST, Bound.Policy.CLOSE)), c -> accept());
         this.catalog = new Catalog(loop, config.discovery(), config.seed(), this);
         this.prober = new Prober(loop, config.told().columns().isEmpty() ? "/ping" : "/_load", PROBE_WITHIN,
                 PROBES_AT_ONCE, names::address, answer -> load(answer.body()), probed -> {
-                    if (fanout.knows(probed.backend())) {
-                        turns.hearProbe(probed);
+                    if (fanout.isKnown(probed.backend())) {
+                        turns.onProbeResult(probed);
                         ticks.soon();
                     }
                 });
@@ -120,7 +120,7 @@
             loop.after(BELIEFS_EVERY, this::believe);
         }
         takeKnown();
-        if (!settings.mustAsk()) {
+        if (!settings.catalogOnRequest()) {
             catalog.follow();
         }
         ticks.soon();
@@ -138,7 +138,7 @@
             tell(config.known(), true);
         } catch (IOException e) {
             log.accept("known list not used: " + e.getMessage());
-            turns.hearList(new Members(ListKind.CACHED, 0, List.of()));
+            turns.onCatalog(new Members(CatalogUpdateKind.CACHED, 0, List.of()));
         }
     }
 
@@ -209,7 +209,7 @@
             if (ack.proxy() != peer.number() || !peer.answers(ack.mark())) {
                 throw new MalformedMessageException("ack node or nonce: not this stream's");
             }
-            turns.hearStream(new Applied(ack.proxy(), ack.mark(), ack.latency()));
+            turns.onStreamEvent(new Applied(ack.proxy(), ack.mark(), ack.latency()));
             ticks.soon();
         } else {
             report(peer, message);
@@ -233,7 +233,7 @@
         peer.is(Peer.Role.PROXY, hello.proxy());
         proxies.put(hello.proxy(), peer);
         fanout.join(hello.proxy());
-        turns.hearStream(new ProxyJoined(hello.proxy(), hello.zone(), hello.rate(), hello.fresh()));
+        turns.onStreamEvent(new ProxyJoined(hello.proxy(), hello.zone(), hello.rate(), hello.fresh()));
         ticks.soon();
     }
 
@@ -253,7 +253,7 @@
         }
         if (message instanceof Message.Outcomes o) {
             Backend backend = names.known(o.instance());
-            if (backend == null || !fanout.knows(backend)) {
+            if (backend == null || !fanout.isKnown(backend)) {
                 throw new MalformedMessageException(
                         "outcomes endpoint: unknown: " + Messages.cut(o.instance()));
             }
@@ -262,9 +262,9 @@
             if (beliefs != null) {
                 beliefs.hear(tally);
             }
-            turns.hearReport(tally);
+            turns.onReport(tally);
         } else if (message instanceof Message.Demand d) {
-            turns.hearReport(new Usage(d.proxy(), d.cls(), d.requests(), d.failed(), d.span()));
+            turns.onReport(new Usage(d.proxy(), d.cls(), d.requests(), d.failed(), d.span()));
         }
         ticks.soon();
     }
@@ -295,7 +295,7 @@
     private void left(Peer peer) {
         if (proxies.remove(peer.number(), peer)) {
             fanout.leave(peer.number());
-            turns.hearStream(new ProxyLeft(peer.number()));
+            turns.onStreamEvent(new ProxyLeft(peer.number()));
             ticks.soon();
         }
     }
@@ -318,16 +318,16 @@
         problems.forEach(p -> trouble("catalog: " + p));
         if (members != null) {
             log.accept("catalog: " + members.kind() + " " + members.version() + ": " + count(members));
-            fanout.hearList(members);
-            turns.hearList(members);
+            fanout.onCatalog(members);
+            turns.onCatalog(members);
             ticks.soon();
         }
     }
 
     /** How many entries there are of each kind: one line, however long the list. */
     private static String count(Members members) {
-        TreeMap<Listed, Integer> counts = new TreeMap<>();
-        members.entries().forEach(m -> counts.merge(m.listed(), 1, Integer::sum));
+        TreeMap<Availability, Integer> counts = new TreeMap<>();
+        members.entries().forEach(m -> counts.merge(m.availability(), 1, Integer::sum));
         return counts.toString();
     }
 
@@ -335,11 +335,11 @@
     public boolean broken(String why) {
         trouble("catalog: watch over: " + why);
         lookAgain.run(); // it may be elsewhere
-        if (settings.mustAsk()) {
-            turns.hearList(new Members(ListKind.FAILED, view.generation(), List.of()));
+        if (settings.catalogOnRequest()) {
+            turns.onCatalog(new Members(CatalogUpdateKind.FAILED, view.generation(), List.of()));
             ticks.soon();
         }
-        return !settings.mustAsk();
+        return !settings.catalogOnRequest();
     }
 
     /** A new configuration: a changed catalog is followed; all else holds from the next start. */
@@ -351,17 +351,17 @@
     // ---- turns ---------------------------------------------------------------------------------------
 
     private void turn(long now) {
-        Turns.Turn turn = turns.turn(now);
+        Turns.TickResult turn = turns.runTick(now);
         if (turn != null) {
             decides++;
-            decideTime += turn.took();
-            longestDecide = Math.max(longestDecide, turn.took());
+            decideTime += turn.decisionTime();
+            longestDecide = Math.max(longestDecide, turn.decisionTime());
             carryOut(turn.actions());
         }
     }
 
     private void carryOut(List<Action> actions) {
-        fanout.messages(actions).forEach(this::write);
+        fanout.ordersByProxy(actions).forEach(this::write);
         for (Action action : actions) {
             if (action instanceof Probe a) {
                 prober.probe(a.backend());
@@ -369,7 +369,7 @@
                 catalog.follow();
             } else if (action instanceof Log a) {
                 log.accept(names.named(a.text()));
-            } else if (action instanceof Withdraw a && !a.out() && !fanout.knows(a.backend())) {
+            } else if (action instanceof Withdraw a && !a.withdrawn() && !fanout.isKnown(a.backend())) {
                 view.forget(a.backend());
             }
         }
@@ -383,7 +383,7 @@
                     peer.marked(mark.number());
                 }
             }
-            lines += settings.channel().head();
+            lines += settings.channel().messageOverhead();
             for (List<String> part : translator.push(proxy, orders)) {
                 lines += Translator.lines(part);
                 sendTo(proxy, part);
@@ -392,7 +392,7 @@
     }
 
     private void believe() {
-        beliefs.write(turns.beliefs(loop.now()), fanout.picks());
+        beliefs.write(turns.backendEstimates(loop.now()), fanout.pickShares());
         loop.after(BELIEFS_EVERY, this::believe);
     }
 
@@ -413,7 +413,7 @@
 
     /** The most that any book of backends holds. */
     int remembered() {
-        return Math.max(Math.max(names.count(), view.remembered()), fanout.backendsKnown());
+        return Math.max(Math.max(names.count(), view.remembered()), fanout.knownBackendCount());
     }
 
     /** Bytes that wait for a joined proxy. */
--- a/src/main/java/rowanmoor/platform/Translator.java
+++ b/src/main/java/rowanmoor/platform/Translator.java
@@ -60,10 +60,10 @@
                         levels.put(c, l)));
                 bind.withdrawn().forEach(b -> shut.put(b, true));
             } else if (order instanceof Frame.SetLine line) {
-                change(parts, fanout.classesOn(proxy, line.table())).lines
+                change(parts, fanout.boundClasses(proxy, line.table())).lines
                         .put(line.line().backend(), line.line().weight());
             } else if (order instanceof Frame.Admit admit) {
-                eachClass(fanout.classesOn(proxy, admit.table()) & admit.level().classMask(), c ->
+                eachClass(fanout.boundClasses(proxy, admit.table()) & admit.level().classMask(), c ->
                         levels.put(c, admit.level()));
             } else if (order instanceof Frame.Withdraw withdraw) {
                 shut.put(withdraw.backend(), withdraw.withdrawn());
--- a/src/main/java/rowanmoor/proxy/Pool.java
+++ b/src/main/java/rowanmoor/proxy/Pool.java
@@ -70,7 +70,7 @@
         return of == null || of.open < openMost;
     }
 
-    /** One has been opened; it counts until {@link #gone}. */
+    /** One has been opened; it counts until {@link #asGone}. */
     void opened(Backend backend) {
         all.computeIfAbsent(backend, b -> new Of<>()).open++;
     }
--- a/src/main/java/rowanmoor/proxy/Router.java
+++ b/src/main/java/rowanmoor/proxy/Router.java
@@ -8,10 +8,10 @@
 import java.util.TreeSet;
 import java.util.random.RandomGenerator;
 import rowanmoor.ControlApi;
-import rowanmoor.ControlApi.Admission;
+import rowanmoor.ControlApi.AdmissionMode;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.Effect;
-import rowanmoor.ControlApi.Retry;
+import rowanmoor.ControlApi.Idempotency;
+import rowanmoor.ControlApi.RetryPolicy;
 import rowanmoor.channel.Frame;
 import rowanmoor.config.Site;
 
@@ -261,11 +261,11 @@
         if (conduct.safeLevel() >= 0 && now - heardAt > conduct.leaseNs()) {
             return earned(within(cls, Math.min(rate(level), conduct.safeLevel()), now));
         }
-        if (site.admission() == Admission.OFF || Double.isInfinite(level)) {
+        if (site.admission() == AdmissionMode.OFF || Double.isInfinite(level)) {
             levelBefore[cls] = Double.POSITIVE_INFINITY;
             return earned(true);
         }
-        if (site.admission() == Admission.SHARE) {
+        if (site.admission() == AdmissionMode.SHARE) {
             return earned(level >= 1 || random.nextDouble() < level);
         }
         return earned(within(cls, level, now));
@@ -273,7 +273,7 @@
 
     /** A level as a rate: where levels are shares or off, they bound no rate. */
     private double rate(double level) {
-        return site.admission() == Admission.RATE ? level : Double.POSITIVE_INFINITY;
+        return site.admission() == AdmissionMode.RATE ? level : Double.POSITIVE_INFINITY;
     }
 
     /** A bucket that fills at the lower of two levels while one follows the other: a rise is no burst. */
@@ -497,7 +497,7 @@
      */
     public boolean mayRetry(int cls, int tries, boolean neverRan, long left) {
         Frame.Level level = held[cls].levels[cls] == null ? overall[cls] : held[cls].levels[cls];
-        Retry how = level == null ? site.usualRetry() : level.retry();
+        RetryPolicy how = level == null ? site.usualRetry() : level.retry();
         boolean safe = neverRan || isSafeToRepeat(cls);
         boolean ordered = switch (how) {
             case NEVER -> false;
@@ -522,14 +522,14 @@
 
     /** Whether a request that may have run may be sent again. */
     protected boolean isSafeToRepeat(int cls) {
-        return site.classes().get(cls).effect() == Effect.SAFE;
+        return site.classes().get(cls).idempotency() == Idempotency.SAFE;
     }
 
     /** Nanoseconds a try may take when another might follow; 0 for no such bound. */
     public long tryTimeoutNs(int cls) {
         Frame.Level level = held[cls].levels[cls] == null ? overall[cls] : held[cls].levels[cls];
-        Retry how = level == null ? site.usualRetry() : level.retry();
-        boolean bounded = (how == Retry.ONCE || how == Retry.TWICE) && isSafeToRepeat(cls);
+        RetryPolicy how = level == null ? site.usualRetry() : level.retry();
+        boolean bounded = (how == RetryPolicy.ONCE || how == RetryPolicy.TWICE) && isSafeToRepeat(cls);
         return bounded ? (long) (site.tryAims() * site.classes().get(cls).aim()) : 0;
     }
 
--- a/src/main/java/rowanmoor/resp/RespReader.java
+++ b/src/main/java/rowanmoor/resp/RespReader.java
@@ -15,7 +15,7 @@
 public final class RespReader {
 
     /** The most bytes of one message, its framing included. */
-    public static final int MESSAGE_MOST = 1 << 20;
+    public static final int MAX_MESSAGE_BYTES = 1 << 20;
 
     private static final int LENGTH_DIGITS = 7;
     private static final int FIRST_BYTES = 32;
@@ -35,7 +35,7 @@
     private List<String> parts = new ArrayList<>();
 
     /**
-     * @param bytesMost bytes of one message, up to {@link #MESSAGE_MOST}
+     * @param bytesMost bytes of one message, up to {@link #MAX_MESSAGE_BYTES}
      * @param partsMost strings in one message
      */
     public RespReader(int bytesMost, int partsMost) {
@@ -44,7 +44,7 @@
     }
 
     /** From the next message on (and for the rest of one begun), so many bytes are allowed. */
-    public void allow(int bytes) {
+    public void setMaxMessageBytes(int bytes) {
         bytesMost = bytes;
     }
 
@@ -54,7 +54,7 @@
     }
 
     /** Reads up to the end of one message and leaves the rest; null if the bytes end before it does. */
-    public List<String> next(ByteBuffer bytes) throws RespError {
+    public List<String> next(ByteBuffer bytes) throws RespException {
         while (bytes.hasRemaining()) {
             if (step == Step.BYTES) {
                 copy(bytes);
@@ -70,7 +70,7 @@
     }
 
     /** Takes one byte of framing; true if it ends a message. */
-    private boolean take(byte b) throws RespError {
+    private boolean take(byte b) throws RespException {
         count(1);
         switch (step) {
             case TYPE -> {
@@ -109,7 +109,7 @@
         return false;
     }
 
-    private void begin() throws RespError {
+    private void begin() throws RespException {
         if (array) {
             if (length < 1 || length > partsMost) {
                 throw broken("an array of " + length + " parts");
@@ -129,7 +129,7 @@
         step = length == 0 ? Step.BYTES_CR : Step.BYTES;
     }
 
-    private void copy(ByteBuffer bytes) throws RespError {
+    private void copy(ByteBuffer bytes) throws RespException {
         int some = Math.min(length - partLength, bytes.remaining());
         count(some);
         if (part.length < partLength + some) {
@@ -140,21 +140,21 @@
         step = partLength == length ? Step.BYTES_CR : Step.BYTES;
     }
 
-    private void count(int bytes) throws RespError {
+    private void count(int bytes) throws RespException {
         taken += bytes;
         if (taken > bytesMost) {
             throw broken("a message of more than " + bytesMost + " bytes");
         }
     }
 
-    private void expect(byte b, char wanted) throws RespError {
+    private void expect(byte b, char wanted) throws RespException {
         if (b != wanted) {
             throw broken("a line or a part does not end where it should");
         }
     }
 
-    private RespError broken(String why) {
+    private RespException broken(String why) {
         step = Step.BROKEN;
-        return new RespError(why);
+        return new RespException(why);
     }
 }
--- a/src/main/java/rowanmoor/settings/SettingsReader.java
+++ b/src/main/java/rowanmoor/settings/SettingsReader.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import rowanmoor.ControlApi.Admission;
+import rowanmoor.ControlApi.AdmissionMode;
 import rowanmoor.ControlApi.Channel;
 import rowanmoor.ControlApi.ClassSpec;
-import rowanmoor.ControlApi.Effect;
-import rowanmoor.ControlApi.Group;
+import rowanmoor.ControlApi.Idempotency;
+import rowanmoor.ControlApi.DedupScope;
 import rowanmoor.ControlApi.ReportColumns;
 import rowanmoor.ControlApi.Rules;
 import rowanmoor.ControlApi.Settings;
@@ -28,7 +28,7 @@
      * @param columns names of the load report's figures, in the settings' own words
      * @param tick least time between two decisions, ns
      */
-    public record Told(Settings settings, List<String> zones, List<String> kinds, List<String> classes,
+    public record NamedSettings(Settings settings, List<String> zones, List<String> kinds, List<String> classes,
             List<String> columns, long tick) { }
 
     private final Map<String, String> values;
@@ -38,7 +38,7 @@
     }
 
     /** Reads path=value lines. */
-    public static Settings ofLines(String text) {
+    public static Settings parseLines(String text) {
         Map<String, String> values = new HashMap<>();
         for (String line : text.split("\n")) {
             int equals = line.indexOf('=');
@@ -50,7 +50,7 @@
     }
 
     /** Reads a nested object of maps, lists, texts, numbers and truths. */
-    public static Told ofTree(Map<String, Object> tree) {
+    public static NamedSettings fromTree(Map<String, Object> tree) {
         Map<String, String> values = new HashMap<>();
         tree.forEach((key, value) -> flatten(key, value, values));
         SettingsReader reader = new SettingsReader(values);
@@ -59,7 +59,7 @@
         for (int i = 0; i < settings.classes().size(); i++) {
             names.add(reader.text("classes." + i + ".name"));
         }
-        return new Told(settings, reader.list("dcs"), reader.list("kinds"), List.copyOf(names),
+        return new NamedSettings(settings, reader.list("dcs"), reader.list("kinds"), List.copyOf(names),
                 reader.list("report.columns"), Math.max(1, reader.time("tick_ns")));
     }
 
@@ -83,15 +83,15 @@
         List<ClassSpec> classes = new ArrayList<>();
         int count = whole("classes.count");
         if (count < 1 || count > 16) {
-            throw new SettingsError("setting classes.count is out of range: " + count);
+            throw new InvalidSettingsException("setting classes.count is out of range: " + count);
         }
         for (int i = 0; i < count; i++) {
             classes.add(classSpec(i));
         }
         return new Settings(whole("balancers"), list("dcs").size(), List.copyOf(classes),
                 word("registry_mode", Map.of("pushed", false, "on_request", true)), flag("limits.probes"),
-                word("extra.admission", Map.of("fraction", Admission.SHARE, "per_second", Admission.RATE,
-                        "off", Admission.OFF)),
+                word("extra.admission", Map.of("fraction", AdmissionMode.SHARE, "per_second", AdmissionMode.RATE,
+                        "off", AdmissionMode.OFF)),
                 whole("extra.ejects"), whole("extra.proxy_count"), whole("extra.key_ranges"),
                 time("extra.interval_ns"), number("extra.hears_per_s"), number("penalties.cross_zone"),
                 columns(), rules(), channel());
@@ -101,9 +101,9 @@
         String at = "classes." + i + ".";
         return new ClassSpec(time(at + "aim_ns"), time(at + "deadline_ns"), number(at + "credit"),
                 number(at + "late_worth"),
-                word(at + "effect", Map.of("retryable", Effect.SAFE, "dedup", Effect.KEYED,
-                        "fragile", Effect.UNSAFE)),
-                word(at + "key_scope", Map.of("all", Group.ALL, "zone", Group.ZONE, "cell", Group.CELL)),
+                word(at + "effect", Map.of("retryable", Idempotency.SAFE, "dedup", Idempotency.KEYED,
+                        "fragile", Idempotency.UNSAFE)),
+                word(at + "key_scope", Map.of("all", DedupScope.ALL, "zone", DedupScope.ZONE, "cell", DedupScope.CELL)),
                 time(at + "window_ns"), listFlag("extra.mutating", i), listFlag("extra.home_only", i),
                 places(at + "only_zones"), places(at + "only_kinds"));
     }
@@ -129,7 +129,7 @@
     private String text(String key) {
         String value = values.get(key);
         if (value == null) {
-            throw new SettingsError("setting " + key + " is missing");
+            throw new InvalidSettingsException("setting " + key + " is missing");
         }
         return value;
     }
@@ -144,13 +144,13 @@
         } catch (NumberFormatException e) {
             // reported below, with the key
         }
-        throw new SettingsError("setting " + key + " is not a number: " + value);
+        throw new InvalidSettingsException("setting " + key + " is not a number: " + value);
     }
 
     private int whole(String key) {
         double value = number(key);
         if (value != Math.rint(value) || Math.abs(value) > Integer.MAX_VALUE) {
-            throw new SettingsError("setting " + key + " is not a whole number: " + text(key));
+            throw new InvalidSettingsException("setting " + key + " is not a whole number: " + text(key));
         }
         return (int) value;
     }
@@ -166,7 +166,7 @@
     private <T> T word(String key, Map<String, T> words) {
         T meaning = words.get(text(key));
         if (meaning == null) {
-            throw new SettingsError("setting " + key + " has an unknown value: " + text(key));
+            throw new InvalidSettingsException("setting " + key + " has an unknown value: " + text(key));
         }
         return meaning;
     }
@@ -188,7 +188,7 @@
                 try {
                     places.add(Integer.valueOf(value));
                 } catch (NumberFormatException e) {
-                    throw new SettingsError("setting " + key + " is not a list of places: " + value);
+                    throw new InvalidSettingsException("setting " + key + " is not a list of places: " + value);
                 }
             }
         }
--- a/src/main/java/rowanmoor/standin/Clients.java
+++ b/src/main/java/rowanmoor/standin/Clients.java
@@ -9,7 +9,7 @@
 import java.util.random.RandomGenerator;
 import org.HdrHistogram.Histogram;
 import rowanmoor.ControlApi.ClassSpec;
-import rowanmoor.ControlApi.Effect;
+import rowanmoor.ControlApi.Idempotency;
 import rowanmoor.config.Site;
 import rowanmoor.http.ClientConnection;
 import rowanmoor.http.Limits;
@@ -150,7 +150,7 @@
         }
 
         private void tryFailed(boolean refused) {
-            boolean may = refused || spec.effect() == Effect.SAFE;
+            boolean may = refused || spec.idempotency() == Idempotency.SAFE;
             boolean time = loop.now() + habits.backoff() < arrivedAt + spec.deadline();
             if (may && time && tries <= habits.retries()) {
                 loop.after(habits.backoff(), this::tryOnce);
--- a/src/main/java/rowanmoor/standin/RosterServer.java
+++ b/src/main/java/rowanmoor/standin/RosterServer.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.http.Limits;
 import rowanmoor.http.Message;
 import rowanmoor.http.ServerConnection;
@@ -28,15 +28,15 @@
      * @param started milliseconds since 1970, 0 for long ago
      * @param startedAt the same by the roster's loop; not told to anyone
      */
-    public record Instance(Backend backend, String zone, String kind, double weight, Listed listed,
+    public record Instance(Backend backend, String zone, String kind, double weight, Availability listed,
             long started, long startedAt) {
 
-        public Instance with(Listed other) {
+        public Instance with(Availability other) {
             return new Instance(backend, zone, kind, weight, other, started, startedAt);
         }
 
         public Instance started(long wall, long at) {
-            return new Instance(backend, zone, kind, weight, Listed.READY, wall, at);
+            return new Instance(backend, zone, kind, weight, Availability.READY, wall, at);
         }
     }
 
@@ -94,9 +94,9 @@
         return instances.get(backend);
     }
 
-    /** Lists an instance, or with {@link Listed#GONE} lists it no more; held questions are answered. */
+    /** Lists an instance, or with {@link Availability#GONE} lists it no more; held questions are answered. */
     public void put(Instance instance) {
-        if (instance.listed() == Listed.GONE) {
+        if (instance.listed() == Availability.GONE) {
             instances.remove(instance.backend());
         } else {
             instances.put(instance.backend(), instance);
@@ -203,7 +203,7 @@
         service.put("Address", text.substring(0, text.indexOf(':')));
         service.put("Port", Integer.parseInt(text.substring(text.indexOf(':') + 1)));
         ArrayNode tags = service.putArray("Tags");
-        if (instance.listed() == Listed.DRAINING) {
+        if (instance.listed() == Availability.DRAINING) {
             tags.add("draining");
         }
         ObjectNode meta = service.putObject("Meta");
--- a/src/test/java/rowanmoor/ArithmeticTest.java
+++ b/src/test/java/rowanmoor/ArithmeticTest.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import rowanmoor.ControlApi.Admit;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
 import rowanmoor.ControlApi.ProxyJoined;
@@ -132,7 +132,7 @@
         }
         stand.hear(new ProxyJoined(0, 0, 20, true));
         stand.second();
-        stand.hear(new Members(ListKind.FULL, 2, List.of(Stand.member(0, 0, Listed.READY, 0))));
+        stand.hear(new Members(CatalogUpdateKind.FULL, 2, List.of(Stand.member(0, 0, Availability.READY, 0))));
         stand.second();
         allFinite();
         assertEquals(1, stand.share(0, 0, 0), 1e-9);
@@ -140,12 +140,12 @@
 
     @Test
     void oneClassAndAListOnlyAfterTheFirstJoin() {
-        Stand one = new Stand(TestSettings.with(List.of(TestSettings.spec(ControlApi.Effect.SAFE, 1,
+        Stand one = new Stand(TestSettings.with(List.of(TestSettings.spec(ControlApi.Idempotency.SAFE, 1,
                 java.util.Set.of())), false, 0, 0));
         one.hear(new ProxyJoined(0, 0, 20, true));
         one.second();
-        one.hear(new Members(ListKind.FULL, 1, List.of(Stand.member(0, 0, Listed.READY, 0),
-                Stand.member(1, 1, Listed.READY, 0))));
+        one.hear(new Members(CatalogUpdateKind.FULL, 1, List.of(Stand.member(0, 0, Availability.READY, 0),
+                Stand.member(1, 1, Availability.READY, 0))));
         for (int i = 0; i < 20; i++) {
             boolean calm = i < 6;
             one.usage(0, 0, 60);
@@ -189,9 +189,9 @@
     void backendsWhoseWeightsAreAllZeroAreUsedAlike() {
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            members.add(new Member(Stand.backend(i), i % 2, 0, 0, Listed.READY, 0, 0));
+            members.add(new Member(Stand.backend(i), i % 2, 0, 0, Availability.READY, 0, 0));
         }
-        stand.hear(new Members(ListKind.FULL, 1, members));
+        stand.hear(new Members(CatalogUpdateKind.FULL, 1, members));
         stand.hear(new ProxyJoined(0, 0, 20, true));
         stand.second();
         allFinite();
--- a/src/test/java/rowanmoor/DocsTest.java
+++ b/src/test/java/rowanmoor/DocsTest.java
@@ -12,8 +12,8 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Log;
 import rowanmoor.ControlApi.Members;
 
@@ -71,9 +71,9 @@
             }
             stand.report(8, 2, b -> calm ? 0 : 4, b -> calm ? 100 * MS : 900 * MS);
         }
-        stand.hear(new Members(ListKind.DELTA, 2, List.of(Stand.member(3, 1, Listed.GONE, 0))));
+        stand.hear(new Members(CatalogUpdateKind.DELTA, 2, List.of(Stand.member(3, 1, Availability.GONE, 0))));
         stand.second();
-        stand.hear(new Members(ListKind.DELTA, 3, List.of(Stand.member(3, 1, Listed.READY, stand.now))));
+        stand.hear(new Members(CatalogUpdateKind.DELTA, 3, List.of(Stand.member(3, 1, Availability.READY, stand.now))));
         for (int i = 0; i < 10; i++) {
             stand.second();
         }
--- a/src/test/java/rowanmoor/GrowthTest.java
+++ b/src/test/java/rowanmoor/GrowthTest.java
@@ -12,9 +12,9 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import rowanmoor.ControlApi.Bind;
-import rowanmoor.ControlApi.Effect;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.Idempotency;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
 import rowanmoor.ControlApi.ProxyJoined;
@@ -30,8 +30,8 @@
         Stand stand = new Stand(TestSettings.plain()).start(4, 2);
         for (int i = 4; i < 604; i++) {
             stand.now += 4 * SECOND;
-            stand.hear(new Members(ListKind.DELTA, i, List.of(Stand.member(i - 4, i % 2, Listed.GONE, 0),
-                    Stand.member(i, i % 2, Listed.READY, 0))));
+            stand.hear(new Members(CatalogUpdateKind.DELTA, i, List.of(Stand.member(i - 4, i % 2, Availability.GONE, 0),
+                    Stand.member(i, i % 2, Availability.READY, 0))));
             stand.second();
         }
         long lines = stand.tables.get(stand.bound.get(0).get(0)).values().stream().filter(w -> w > 0).count();
@@ -42,7 +42,7 @@
     @Test
     void lettingAMachineGoBooksNothingThatNobodyIsSent() {
         Stand stand = new Stand(TestSettings.plain()).start(4, 2);
-        stand.hear(new Members(ListKind.DELTA, 2, List.of(Stand.member(0, 0, Listed.GONE, 0))));
+        stand.hear(new Members(CatalogUpdateKind.DELTA, 2, List.of(Stand.member(0, 0, Availability.GONE, 0))));
         boolean let = false;
         for (int i = 0; i < 140 && !let; i++) {
             stand.second();
@@ -118,11 +118,11 @@
     void oneTimerIsEnoughWhileOrdersWaitForTheirBudget() {
         Stand limited = new Stand(TestSettings.with(TestSettings.plain().classes(), false, 20, 0)).start(8, 4);
         limited.now += 600 * MS;
-        limited.hear(new Members(ListKind.DELTA, 2, List.of(Stand.member(0, 0, Listed.GONE, 0))));
+        limited.hear(new Members(CatalogUpdateKind.DELTA, 2, List.of(Stand.member(0, 0, Availability.GONE, 0))));
         int timers = 0;
         for (int i = 0; i < 80; i++) {
             limited.now += 5 * MS;
-            limited.hear(new Members(ListKind.DELTA, 3 + i, List.of(Stand.member(1, 1, Listed.GONE, i))));
+            limited.hear(new Members(CatalogUpdateKind.DELTA, 3 + i, List.of(Stand.member(1, 1, Availability.GONE, i))));
             timers += limited.last.stream().filter(a -> a instanceof TimerAt t && t.token() == 2).count();
         }
         assertTrue(timers >= 1 && timers <= 2, timers + " timers for one wait");
@@ -133,16 +133,16 @@
         int zones = 64;
         List<ControlApi.ClassSpec> classes = new ArrayList<>();
         for (int c = 0; c < 16; c++) {
-            classes.add(TestSettings.spec(Effect.SAFE, 1, c == 0 ? Set.of() : Set.of(c, c + 16)));
+            classes.add(TestSettings.spec(Idempotency.SAFE, 1, c == 0 ? Set.of() : Set.of(c, c + 16)));
         }
         Settings s = TestSettings.plain();
         Stand stand = new Stand(new Settings(1, zones, classes, false, false, s.admission(), 0, 100, 0, SECOND, 500,
-                0.05, s.columns(), s.rules(), new ControlApi.Channel(1e6, 5, 1e6, 0, SECOND, 0, 0)));
+                0.05, s.reportColumns(), s.rules(), new ControlApi.Channel(1e6, 5, 1e6, 0, SECOND, 0, 0)));
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < 2 * zones; i++) {
-            members.add(new Member(Stand.backend(i), i % zones, 0, 0, Listed.READY, 1, 0));
+            members.add(new Member(Stand.backend(i), i % zones, 0, 0, Availability.READY, 1, 0));
         }
-        stand.hear(new Members(ListKind.FULL, 1, members));
+        stand.hear(new Members(CatalogUpdateKind.FULL, 1, members));
         for (int p = 0; p < zones; p++) {
             stand.hear(new ProxyJoined(p, p, 20, true));
         }
@@ -150,7 +150,7 @@
         for (ControlApi.Action action : stand.all) {
             if (action instanceof Bind bind) {
                 assertTrue(bind.table() >= 0 && bind.table() < ControlApi.ALL_TABLES, action.toString());
-                String owner = bind.proxy() + "/" + bind.classes();
+                String owner = bind.proxy() + "/" + bind.classMask();
                 assertEquals(owner, owners.computeIfAbsent(bind.table(), t -> owner), "table " + bind.table());
             } else if (action instanceof SetLine line) {
                 assertTrue(line.table() >= 0 && line.table() < ControlApi.ALL_TABLES, action.toString());
--- a/src/test/java/rowanmoor/LargeFleetTest.java
+++ b/src/test/java/rowanmoor/LargeFleetTest.java
@@ -14,8 +14,8 @@
 import rowanmoor.ControlApi.Action;
 import rowanmoor.ControlApi.Applied;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Mark;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
@@ -55,7 +55,7 @@
     void oneBackendLessTouchesFewTables() {
         stand.startAtOnce(BACKENDS, PROXIES).settle();
         Map<Integer, TreeSet<Backend>> before = members();
-        stand.hear(new Members(ListKind.DELTA, 2, List.of(Stand.member(4, 0, Listed.GONE, 0))));
+        stand.hear(new Members(CatalogUpdateKind.DELTA, 2, List.of(Stand.member(4, 0, Availability.GONE, 0))));
         stand.settle();
         int changed = 0;
         for (Map.Entry<Integer, TreeSet<Backend>> table : members().entrySet()) {
@@ -70,8 +70,8 @@
     @Test
     void aNewBackendIsSeatedOnceItIsWarm() {
         stand.startAtOnce(BACKENDS, PROXIES).settle();
-        Member fresh = Stand.member(BACKENDS, 0, Listed.READY, stand.now);
-        stand.hear(new Members(ListKind.DELTA, 2, List.of(fresh)));
+        Member fresh = Stand.member(BACKENDS, 0, Availability.READY, stand.now);
+        stand.hear(new Members(CatalogUpdateKind.DELTA, 2, List.of(fresh)));
         stand.settle();
         double part = stand.partOfAll(0, BACKENDS) * BACKENDS;
         assertTrue(part > 0.4 && part < 2, "part " + part);
@@ -95,9 +95,9 @@
         stand.startAtOnce(BACKENDS, PROXIES).settle();
         List<Member> lost = new ArrayList<>();
         for (int b = 0; b < BACKENDS; b += 2) {
-            lost.add(Stand.member(b, 0, Listed.GONE, 0));
+            lost.add(Stand.member(b, 0, Availability.GONE, 0));
         }
-        stand.hear(new Members(ListKind.DELTA, 2, lost));
+        stand.hear(new Members(CatalogUpdateKind.DELTA, 2, lost));
         stand.second();
         for (int table : stand.tablesInUse(0).keySet()) {
             long left = stand.tables.get(table).entrySet().stream().filter(e -> e.getValue() > 0
@@ -113,7 +113,7 @@
     @Test
     void aColdBackendsPartOverAllPoolsStaysWithinItsRamp() {
         stand.startAtOnce(BACKENDS, PROXIES).settle();
-        stand.hear(new Members(ListKind.DELTA, 2, List.of(Stand.member(2, 0, Listed.READY, stand.now))));
+        stand.hear(new Members(CatalogUpdateKind.DELTA, 2, List.of(Stand.member(2, 0, Availability.READY, stand.now))));
         for (int second = 0; second < 10; second++) {
             double warmth = 0.2 + 0.08 * second;
             assertTrue(stand.partOfAll(0, 2) * BACKENDS < 4 * warmth, "second " + second);
@@ -127,9 +127,9 @@
         Stand few = new Stand(TestSettings.large(300)).startAtOnce(30, 75).settle();
         List<Member> drained = new ArrayList<>();
         for (int b = 0; b < 20; b++) {
-            drained.add(Stand.member(b, b % 2, Listed.DRAINING, 0));
+            drained.add(Stand.member(b, b % 2, Availability.DRAINING, 0));
         }
-        few.hear(new Members(ListKind.DELTA, 2, drained));
+        few.hear(new Members(CatalogUpdateKind.DELTA, 2, drained));
         few.settle();
         ControlApi.Event[] joins = new ControlApi.Event[150];
         for (int p = 0; p < 150; p++) {
@@ -142,8 +142,8 @@
             few.decide();
             most += few.lastLines();
         }
-        assertTrue(most > few.settings.channel().backlog() / 2, "a storm: " + most);
-        assertTrue(most <= few.settings.channel().backlog(), most + " lines wait");
+        assertTrue(most > few.settings.channel().maxBacklog() / 2, "a storm: " + most);
+        assertTrue(most <= few.settings.channel().maxBacklog(), most + " lines wait");
     }
 
     @Test
@@ -156,7 +156,7 @@
         stand.hear(joins);
         double waiting = stand.lastLines();
         for (int i = 0; i < 200; i++) {
-            assertTrue(waiting <= stand.settings.channel().backlog(), "waiting " + waiting);
+            assertTrue(waiting <= stand.settings.channel().maxBacklog(), "waiting " + waiting);
             for (Action action : stand.last) {
                 if (action instanceof Mark mark) {
                     stand.logic.handle(stand.now, new Applied(0, mark.number(), SECOND / 5));
@@ -184,8 +184,8 @@
                 }
             }
             stand.now += 50 * MS;
-            Listed listed = i % 2 == 0 ? Listed.GONE : Listed.READY;
-            stand.hear(new Members(ListKind.DELTA, i + 2, List.of(Stand.member(i % BACKENDS, i % 2, listed, 0))));
+            Availability listed = i % 2 == 0 ? Availability.GONE : Availability.READY;
+            stand.hear(new Members(CatalogUpdateKind.DELTA, i + 2, List.of(Stand.member(i % BACKENDS, i % 2, listed, 0))));
         }
         assertEquals(PROXIES, stand.bound.size());
     }
@@ -203,7 +203,7 @@
             lines += full.lastLines();
         }
         double pace = full.settings.channel().linesPerSecond();
-        double allowed = 0.4 * full.settings.channel().backlog() + 20 * 0.15 * pace;
+        double allowed = 0.4 * full.settings.channel().maxBacklog() + 20 * 0.15 * pace;
         assertTrue(lines > 0 && lines < allowed, "lines " + lines + " of " + allowed);
     }
 
@@ -251,7 +251,7 @@
     @Test
     void oddInputGivesLegalOrdersOrNone() {
         Stand odd = new Stand(TestSettings.large(0));
-        odd.hear(new Members(ListKind.CACHED, 1, List.of()));
+        odd.hear(new Members(CatalogUpdateKind.CACHED, 1, List.of()));
         odd.hear(new ProxyJoined(7, 0, 0, true));
         odd.second();
         odd.hear(new Usage(99, 0, 5, 0, 0), new Usage(7, 0, 5, 0, 0), new ProxyLeft(98),
@@ -259,17 +259,17 @@
         odd.second();
         List<Member> members = new ArrayList<>();
         for (int b = 0; b < 40; b++) {
-            members.add(Stand.member(b, b % 2, Listed.READY, 0));
+            members.add(Stand.member(b, b % 2, Availability.READY, 0));
         }
-        odd.hear(new Members(ListKind.FULL, 2, members));
+        odd.hear(new Members(CatalogUpdateKind.FULL, 2, members));
         odd.hear(new ProxyJoined(8, 1, Double.NaN, true));
         odd.settle();
         assertTrue(odd.share(7, 0, 0) > 0);
         List<Member> draining = new ArrayList<>();
         for (int b = 0; b < 40; b++) {
-            draining.add(Stand.member(b, b % 2, Listed.DRAINING, 0));
+            draining.add(Stand.member(b, b % 2, Availability.DRAINING, 0));
         }
-        odd.hear(new Members(ListKind.FULL, 3, draining));
+        odd.hear(new Members(CatalogUpdateKind.FULL, 3, draining));
         odd.settle();
         assertEquals(40, odd.withdrawn.values().stream().filter(out -> out).count());
         for (Action action : odd.all) {
@@ -329,12 +329,12 @@
         Settings s = TestSettings.shunning();
         ControlApi.Channel deep = new ControlApi.Channel(1300, 4, 17_500, 0, 10 * SECOND, 125 * MS, 312 * MS);
         Stand its = new Stand(new Settings(5, 2, s.classes(), false, false, s.admission(), 5, 872, 0, SECOND, 500, 0.05,
-                s.columns(), new ControlApi.Rules(20 * SECOND, 14 * SECOND, 18 * SECOND, 0.16, 4, 3 * SECOND / 2,
+                s.reportColumns(), new ControlApi.Rules(20 * SECOND, 14 * SECOND, 18 * SECOND, 0.16, 4, 3 * SECOND / 2,
                 10 * SECOND), deep)).startAtOnce(60, 872);
         assertTrue(!its.bound.isEmpty() && its.lastLines() <= 2 * 1300, its.lastLines() + " lines before the drain");
         its.now += 10 * MS;
-        its.hear(new Members(ListKind.DELTA, 2, List.of(Stand.member(3, 1,
-                Listed.DRAINING, 0), Stand.member(4, 0, Listed.DRAINING, 0))));
+        its.hear(new Members(CatalogUpdateKind.DELTA, 2, List.of(Stand.member(3, 1,
+                Availability.DRAINING, 0), Stand.member(4, 0, Availability.DRAINING, 0))));
         List<Withdraw> told = its.last.stream().filter(Withdraw.class::isInstance)
                 .map(Withdraw.class::cast).toList();
         assertEquals(List.of(Stand.backend(3), Stand.backend(4)), told.stream().map(Withdraw::backend)
@@ -359,7 +359,7 @@
     void movesBetweenPoolsAndReturnsKeepToTheMessageBudget() {
         Settings s = TestSettings.large(60);
         Stand its = new Stand(new Settings(1, 2, s.classes(), false, false, s.admission(), 0, 60, 0, SECOND, 500, 0.05,
-                s.columns(), s.rules(), new ControlApi.Channel(1e6, 4, 1e6, 20, 10 * SECOND, 200 * MS, 500 * MS)))
+                s.reportColumns(), s.rules(), new ControlApi.Channel(1e6, 4, 1e6, 20, 10 * SECOND, 200 * MS, 500 * MS)))
                 .startAtOnce(60, 60).settle();
         java.util.Random random = new java.util.Random(5);
         java.util.Map<Integer, List<Long>> told = new java.util.HashMap<>();
@@ -377,8 +377,8 @@
             }
             if (i % 3 == 0) {
                 int b = random.nextInt(60);
-                its.logic.handle(its.now, new Members(ListKind.DELTA, i, List.of(Stand.member(b, b % 2,
-                        random.nextBoolean() ? Listed.READY : Listed.GONE, 0))));
+                its.logic.handle(its.now, new Members(CatalogUpdateKind.DELTA, i, List.of(Stand.member(b, b % 2,
+                        random.nextBoolean() ? Availability.READY : Availability.GONE, 0))));
             }
             its.decide();
             for (int p : its.lastTold()) {
@@ -398,7 +398,7 @@
             its.now += 50 * MS;
             its.logic.handle(its.now, new ControlApi.Timer(3));
             if (i == 20) {
-                its.logic.handle(its.now, new Members(ListKind.DELTA, 2, List.of(Stand.member(7, 1, Listed.GONE, 0))));
+                its.logic.handle(its.now, new Members(CatalogUpdateKind.DELTA, 2, List.of(Stand.member(7, 1, Availability.GONE, 0))));
             }
             its.decide();
             waited = i >= 20 && its.withdrawn.getOrDefault(Stand.backend(7), false) ? i - 20 : -1;
--- a/src/test/java/rowanmoor/LogicTest.java
+++ b/src/test/java/rowanmoor/LogicTest.java
@@ -16,13 +16,13 @@
 import rowanmoor.ControlApi.Admit;
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Bind;
-import rowanmoor.ControlApi.Effect;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.Idempotency;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Members;
 import rowanmoor.ControlApi.ProxyJoined;
 import rowanmoor.ControlApi.ProxyLeft;
-import rowanmoor.ControlApi.Retry;
+import rowanmoor.ControlApi.RetryPolicy;
 import rowanmoor.ControlApi.Settings;
 import rowanmoor.ControlApi.SetLine;
 import rowanmoor.ControlApi.Tally;
@@ -47,25 +47,25 @@
     void aDrainAlwaysWithdrawsAndAtOnce() {
         stand.start(2, 2);
         stand.now += 50 * MS;
-        stand.hear(new Members(ListKind.DELTA, 2, List.of(Stand.member(1, 1, Listed.DRAINING, 0))));
+        stand.hear(new Members(CatalogUpdateKind.DELTA, 2, List.of(Stand.member(1, 1, Availability.DRAINING, 0))));
         assertTrue(stand.withdrawn.get(Stand.backend(1)));
         stand.now += 50 * MS;
-        stand.hear(new Members(ListKind.DELTA, 3, List.of(Stand.member(0, 0, Listed.DRAINING, 0))));
+        stand.hear(new Members(CatalogUpdateKind.DELTA, 3, List.of(Stand.member(0, 0, Availability.DRAINING, 0))));
         assertTrue(stand.withdrawn.get(Stand.backend(0)), "even the last one");
     }
 
     @Test
     void aBackendMissingFromAFullListIsGone() {
         stand.start(3, 2);
-        stand.hear(new Members(ListKind.FULL, 2, List.of(Stand.member(0, 0, Listed.READY, 0),
-                Stand.member(1, 1, Listed.READY, 0))));
+        stand.hear(new Members(CatalogUpdateKind.FULL, 2, List.of(Stand.member(0, 0, Availability.READY, 0),
+                Stand.member(1, 1, Availability.READY, 0))));
         assertTrue(stand.withdrawn.get(Stand.backend(2)));
     }
 
     @Test
     void aProxyThatJoinsLateMeetsNoWithdrawnBackend() {
         stand.start(4, 2);
-        stand.hear(new Members(ListKind.DELTA, 2, List.of(Stand.member(2, 0, Listed.DRAINING, 0))));
+        stand.hear(new Members(CatalogUpdateKind.DELTA, 2, List.of(Stand.member(2, 0, Availability.DRAINING, 0))));
         stand.second();
         stand.hear(new ProxyJoined(2, 0, 20, true));
         assertEquals(0, stand.share(2, 0, 2));
@@ -144,9 +144,9 @@
     @Test
     void aRestartedBackendIsHeldWhileVeryColdAndThenGetsLittleFromAllProxiesTogether() {
         stand.start(4, 4);
-        stand.hear(new Members(ListKind.DELTA, 2, List.of(Stand.member(2, 0, Listed.GONE, 0))));
+        stand.hear(new Members(CatalogUpdateKind.DELTA, 2, List.of(Stand.member(2, 0, Availability.GONE, 0))));
         stand.second();
-        stand.hear(new Members(ListKind.DELTA, 3, List.of(Stand.member(2, 0, Listed.READY,
+        stand.hear(new Members(CatalogUpdateKind.DELTA, 3, List.of(Stand.member(2, 0, Availability.READY,
                 stand.now - SECOND))));
         assertTrue(stand.withdrawn.get(Stand.backend(2)), "still too cold");
         stand.second();
@@ -167,7 +167,7 @@
     void aColdBackendIsHeldLongerWhereProxiesShunThoseThatFail() {
         for (boolean shun : new boolean[] {false, true}) {
             Stand held = new Stand(shun ? TestSettings.shunning() : TestSettings.plain()).start(4, 4);
-            held.hear(new Members(ListKind.DELTA, 2, List.of(Stand.member(2, 0, Listed.READY, held.now))));
+            held.hear(new Members(CatalogUpdateKind.DELTA, 2, List.of(Stand.member(2, 0, Availability.READY, held.now))));
             for (int i = 0; i < 4; i++) {
                 held.second();
             }
@@ -181,22 +181,22 @@
         for (double price : new double[] {0.01, 0.05}) {
             Settings s = TestSettings.plain();
             ControlApi.ClassSpec home = s.classes().get(0);
-            home = new ControlApi.ClassSpec(home.aim(), home.deadline(), 1, 0, Effect.SAFE, home.group(), home.window(),
+            home = new ControlApi.ClassSpec(home.aim(), home.deadline(), 1, 0, Idempotency.SAFE, home.dedupScope(), home.dedupWindow(),
                     false, true, Set.of(), Set.of());
             Stand zones = new Stand(new Settings(1, 3, List.of(home, s.classes().get(1)), false, false, s.admission(), 0,
-                    8, 0, SECOND, 500, price, s.columns(), s.rules(), s.channel()));
+                    8, 0, SECOND, 500, price, s.reportColumns(), s.rules(), s.channel()));
             List<ControlApi.Member> members = new ArrayList<>();
             for (int i = 0; i < 9; i++) {
-                members.add(Stand.member(i, i % 3, Listed.READY, 0));
+                members.add(Stand.member(i, i % 3, Availability.READY, 0));
             }
-            zones.hear(new Members(ListKind.FULL, 1, members));
+            zones.hear(new Members(CatalogUpdateKind.FULL, 1, members));
             for (int p = 0; p < 6; p++) {
                 zones.hear(new ProxyJoined(p, p % 3, 20, true));
             }
             for (int i = 0; i < 20; i++) { // all of one zone fail, and one is drained
                 zones.report(9, 3, b -> b % 3 == 1 ? 10 : 0, b -> 100 * MS);
-                zones.hear(new Members(ListKind.DELTA, 2 + i, List.of(Stand.member(2, 2, i < 5 ? Listed.READY
-                        : Listed.DRAINING, 0))));
+                zones.hear(new Members(CatalogUpdateKind.DELTA, 2 + i, List.of(Stand.member(2, 2, i < 5 ? Availability.READY
+                        : Availability.DRAINING, 0))));
             }
             for (int p = 0; p < 6; p++) {
                 int zone = p % 3;
@@ -215,8 +215,8 @@
         stand.start(10, 4);
         int[] failedOf100 = {0, 11, 9, 11, 6, 4};
         int[] latency = {100, 110, 200, 200, 200, 200}; // ms; the second: some are dead, the others have room
-        Retry[] expected = {Retry.ONCE_UNRUN, Retry.ONCE_UNRUN, Retry.ONCE_UNRUN, Retry.NEVER, Retry.NEVER,
-            Retry.ONCE_UNRUN};
+        RetryPolicy[] expected = {RetryPolicy.ONCE_UNRUN, RetryPolicy.ONCE_UNRUN, RetryPolicy.ONCE_UNRUN, RetryPolicy.NEVER, RetryPolicy.NEVER,
+            RetryPolicy.ONCE_UNRUN};
         for (int step = 0; step < expected.length; step++) {
             for (int i = 0; i < 10; i++) { // one backend in ten brings all of it: no overload
                 stand.logic.handle(stand.now, new Tally(Stand.backend(i), 0, 100, i == 0 ? 10 * failedOf100[step] : 0,
@@ -232,27 +232,27 @@
     @Test
     void aProxyThatComesIsToldToLetBackWhatWarmedUpWhileItWasAway() {
         stand.start(6, 4);
-        stand.hear(new Members(ListKind.DELTA, 2, List.of(Stand.member(2, 0, Listed.READY, stand.now))));
+        stand.hear(new Members(CatalogUpdateKind.DELTA, 2, List.of(Stand.member(2, 0, Availability.READY, stand.now))));
         for (int i = 0; i < 3; i++) {
             stand.second();
         }
         assertFalse(stand.withdrawn.get(Stand.backend(2)), "let in by now");
         stand.hear(new ProxyLeft(1), new ProxyJoined(1, 0, 20, false));
         List<Backend> letBack = stand.last.stream().filter(Bind.class::isInstance).map(Bind.class::cast)
-                .filter(b -> b.proxy() == 1).flatMap(b -> b.letBack().stream()).distinct().toList();
+                .filter(b -> b.proxy() == 1).flatMap(b -> b.readmitted().stream()).distinct().toList();
         assertEquals(List.of(Stand.backend(2)), letBack);
         for (int i = 0; i < 10; i++) {
             stand.second();
         }
         stand.hear(new ProxyLeft(1), new ProxyJoined(1, 0, 20, false));
         assertTrue(stand.last.stream().filter(Bind.class::isInstance).map(Bind.class::cast)
-                .allMatch(b -> b.letBack().isEmpty()), "long warm");
+                .allMatch(b -> b.readmitted().isEmpty()), "long warm");
     }
 
     @Test
     void aRestartHeardWithoutALossIsHeldToo() {
         stand.start(4, 4);
-        stand.hear(new Members(ListKind.DELTA, 2, List.of(Stand.member(2, 0, Listed.READY, stand.now))));
+        stand.hear(new Members(CatalogUpdateKind.DELTA, 2, List.of(Stand.member(2, 0, Availability.READY, stand.now))));
         assertTrue(stand.withdrawn.get(Stand.backend(2)));
     }
 
@@ -261,9 +261,9 @@
         stand.start(4, 4);
         List<ControlApi.Member> cold = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            cold.add(Stand.member(i, i % 2, Listed.READY, stand.now));
+            cold.add(Stand.member(i, i % 2, Availability.READY, stand.now));
         }
-        stand.hear(new Members(ListKind.DELTA, 2, cold));
+        stand.hear(new Members(CatalogUpdateKind.DELTA, 2, cold));
         assertFalse(stand.withdrawn.containsValue(true));
         assertTrue(stand.share(0, 0, 0) > 0.2);
     }
@@ -274,10 +274,10 @@
         stand.hear(new ProxyJoined(1, 1, 40, true));
         List<ControlApi.Member> cold = new ArrayList<>();
         for (int i = 0; i < 8; i += 2) {
-            cold.add(Stand.member(i, 0, Listed.READY, stand.now - 4 * SECOND));
+            cold.add(Stand.member(i, 0, Availability.READY, stand.now - 4 * SECOND));
         }
         stand.second();
-        stand.hear(new Members(ListKind.DELTA, 2, cold));
+        stand.hear(new Members(CatalogUpdateKind.DELTA, 2, cold));
         Map<ControlApi.Backend, Double> lines = stand.tables.get(0);
         double sum = lines.values().stream().mapToDouble(w -> w).sum();
         double coldShare = cold.stream().mapToDouble(m -> lines.get(m.backend())).sum() / sum;
@@ -289,14 +289,14 @@
         stand.start(8, 4);
         List<ControlApi.Member> lost = new ArrayList<>();
         for (int i = 0; i < 8; i += 2) {
-            lost.add(Stand.member(i, 0, Listed.GONE, 0));
+            lost.add(Stand.member(i, 0, Availability.GONE, 0));
         }
-        stand.hear(new Members(ListKind.DELTA, 2, lost));
+        stand.hear(new Members(CatalogUpdateKind.DELTA, 2, lost));
         for (int i = 0; i < 5; i++) {
             stand.usage(1, 0, 90);
             stand.second();
         }
-        stand.hear(new Members(ListKind.DELTA, 3, List.of(Stand.member(0, 0, Listed.READY, stand.now))));
+        stand.hear(new Members(CatalogUpdateKind.DELTA, 3, List.of(Stand.member(0, 0, Availability.READY, stand.now))));
         stand.second();
         stand.second();
         assertTrue(stand.share(0, 0, 0) > 0 && stand.share(0, 0, 0) < 0.1, "share " + stand.share(0, 0, 0));
@@ -324,8 +324,8 @@
 
     @Test
     void aConfinedClassStaysInItsZones() {
-        Stand confined = new Stand(TestSettings.with(List.of(TestSettings.spec(Effect.SAFE, 1, Set.of()),
-                TestSettings.spec(Effect.KEYED, 2, Set.of(1))), false, 0, 0)).start(8, 2);
+        Stand confined = new Stand(TestSettings.with(List.of(TestSettings.spec(Idempotency.SAFE, 1, Set.of()),
+                TestSettings.spec(Idempotency.KEYED, 2, Set.of(1))), false, 0, 0)).start(8, 2);
         assertEquals(0, confined.share(0, 1, 0));
         assertTrue(confined.share(0, 1, 1) > 0.2);
         assertTrue(confined.share(0, 0, 0) > 0, "while the other class is open everywhere");
@@ -343,7 +343,7 @@
         double cheap = stand.level(0, 0);
         assertTrue(cheap < 15, "level of the cheap class " + cheap);
         assertTrue(stand.level(0, 1) > 1000, "the worthy class is open");
-        assertEquals(Retry.ONCE_UNRUN, stand.levels.get(0).get(stand.bound.get(0).get(0)).retry());
+        assertEquals(RetryPolicy.ONCE_UNRUN, stand.levels.get(0).get(stand.bound.get(0).get(0)).retry());
         calm(30);
         assertTrue(stand.level(0, 0) > 1000);
     }
@@ -457,15 +457,15 @@
 
     @Test
     void anUnsafeOrKeyedClassIsNeverTriedAgainAfterATryThatMayHaveRun() {
-        Stand kinds = new Stand(TestSettings.with(List.of(TestSettings.spec(Effect.SAFE, 1, Set.of()),
-                TestSettings.spec(Effect.KEYED, 2, Set.of()), TestSettings.spec(Effect.UNSAFE, 5, Set.of())),
+        Stand kinds = new Stand(TestSettings.with(List.of(TestSettings.spec(Idempotency.SAFE, 1, Set.of()),
+                TestSettings.spec(Idempotency.KEYED, 2, Set.of()), TestSettings.spec(Idempotency.UNSAFE, 5, Set.of())),
                 false, 0, 0)).start(4, 2);
         for (int i = 0; i < 6; i++) {
             kinds.report(4, 2, b -> b == 2 ? 9 : 0, b -> 100 * MS);
         }
         for (Action action : kinds.all) {
-            if (action instanceof Admit admit && (admit.classes() & 6) != 0) {
-                assertEquals(Retry.ONCE_UNRUN, admit.retry());
+            if (action instanceof Admit admit && (admit.classMask() & 6) != 0) {
+                assertEquals(RetryPolicy.ONCE_UNRUN, admit.retry());
             }
         }
     }
@@ -477,10 +477,10 @@
         for (int i = 0; i < 100; i++) {
             stand.now += 10 * MS;
             waiting = Math.max(0, waiting - 20);
-            stand.hear(new Members(ListKind.DELTA, i + 2, List.of(Stand.member(i % 40, i % 2, Listed.READY,
+            stand.hear(new Members(CatalogUpdateKind.DELTA, i + 2, List.of(Stand.member(i % 40, i % 2, Availability.READY,
                     stand.now))));
             waiting += stand.lastLines();
-            assertTrue(waiting < stand.settings.channel().backlog(), "waiting " + waiting);
+            assertTrue(waiting < stand.settings.channel().maxBacklog(), "waiting " + waiting);
         }
     }
 
@@ -491,8 +491,8 @@
         List<Long> written = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
             limited.now += 50 * MS;
-            Listed listed = i / 8 % 2 == 0 ? Listed.GONE : Listed.READY;
-            limited.hear(new Members(ListKind.DELTA, i + 2, List.of(Stand.member(i % 8, i % 2, listed,
+            Availability listed = i / 8 % 2 == 0 ? Availability.GONE : Availability.READY;
+            limited.hear(new Members(CatalogUpdateKind.DELTA, i + 2, List.of(Stand.member(i % 8, i % 2, listed,
                     limited.now))));
             if (limited.last.stream().anyMatch(a -> a instanceof SetLine || a instanceof Withdraw)) {
                 written.add(limited.now);
@@ -507,9 +507,9 @@
         Stand limited = new Stand(TestSettings.with(TestSettings.plain().classes(), false, 20, 0)).start(8,
                 4);
         limited.now += 600 * MS;
-        limited.hear(new Members(ListKind.DELTA, 2, List.of(Stand.member(0, 0, Listed.GONE, 0))));
+        limited.hear(new Members(CatalogUpdateKind.DELTA, 2, List.of(Stand.member(0, 0, Availability.GONE, 0))));
         limited.now += 50 * MS;
-        limited.hear(new Members(ListKind.DELTA, 3, List.of(Stand.member(1, 1, Listed.GONE, 0))));
+        limited.hear(new Members(CatalogUpdateKind.DELTA, 3, List.of(Stand.member(1, 1, Availability.GONE, 0))));
         long due = limited.last.stream().filter(TimerAt.class::isInstance).mapToLong(a ->
                 ((TimerAt) a).time())
                 .min().orElseThrow();
@@ -524,7 +524,7 @@
         Stand asking = new Stand(TestSettings.with(TestSettings.plain().classes(), true, 0, 0)).start(4, 1);
         assertTrue(asking.all.contains(new Watch(true)));
         for (int i = 0; i < 10; i++) {
-            asking.hear(new Members(ListKind.FAILED, 2, List.of()));
+            asking.hear(new Members(CatalogUpdateKind.FAILED, 2, List.of()));
             long due = asking.last.stream().filter(TimerAt.class::isInstance).mapToLong(a ->
                     ((TimerAt) a).time())
                     .min().orElseThrow();
@@ -558,7 +558,7 @@
     @Test
     void aSiteWithSlicesGetsWithdrawalsAndNobodyIsBound() {
         Stand sliced = new Stand(TestSettings.with(TestSettings.plain().classes(), false, 0, 4)).start(4, 2);
-        sliced.hear(new Members(ListKind.DELTA, 2, List.of(Stand.member(1, 1, Listed.DRAINING, 0))));
+        sliced.hear(new Members(CatalogUpdateKind.DELTA, 2, List.of(Stand.member(1, 1, Availability.DRAINING, 0))));
         assertTrue(sliced.withdrawn.get(Stand.backend(1)));
         assertTrue(sliced.bound.isEmpty());
         assertTrue(sliced.all.stream().noneMatch(a -> a instanceof SetLine || a instanceof Bind));
--- a/src/test/java/rowanmoor/RecordMeasure.java
+++ b/src/test/java/rowanmoor/RecordMeasure.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Log;
 import rowanmoor.ControlApi.Members;
 
@@ -51,8 +51,8 @@
         for (int i = 4; i < machines + 4; i++) {
             stand.now += 4 * TestSettings.SECOND;
             long before = System.nanoTime();
-            stand.hear(new Members(ListKind.DELTA, i, List.of(Stand.member(i - 4, i % 2, Listed.GONE, 0),
-                    Stand.member(i, i % 2, Listed.READY, 0))));
+            stand.hear(new Members(CatalogUpdateKind.DELTA, i, List.of(Stand.member(i - 4, i % 2, Availability.GONE, 0),
+                    Stand.member(i, i % 2, Availability.READY, 0))));
             stand.second();
             last += i >= machines - 96 ? (System.nanoTime() - before) / 1e3 / 100 : 0;
             stand.all.clear();
--- a/src/test/java/rowanmoor/RecordTest.java
+++ b/src/test/java/rowanmoor/RecordTest.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.Locale;
 import org.junit.jupiter.api.Test;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Log;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
@@ -59,7 +59,7 @@
     }
 
     private static ControlApi.ClassSpec spec(long aim, double worth) {
-        return new ControlApi.ClassSpec(aim, 3 * aim, worth, 0.2, ControlApi.Effect.SAFE, ControlApi.Group.ZONE, 2 * SECOND, false,
+        return new ControlApi.ClassSpec(aim, 3 * aim, worth, 0.2, ControlApi.Idempotency.SAFE, ControlApi.DedupScope.ZONE, 2 * SECOND, false,
                 false, java.util.Set.of(), java.util.Set.of());
     }
 
@@ -141,11 +141,11 @@
         Stand stand = new Stand(TestSettings.plain()).start(0, 0);
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < 1000; i++) {
-            members.add(Stand.member(i, i % 2, Listed.READY, 0));
+            members.add(Stand.member(i, i % 2, Availability.READY, 0));
         }
-        stand.hear(new Members(ListKind.FULL, 2, members));
+        stand.hear(new Members(CatalogUpdateKind.FULL, 2, members));
         stand.second();
-        stand.hear(new Members(ListKind.FULL, 3, List.of()));
+        stand.hear(new Members(CatalogUpdateKind.FULL, 3, List.of()));
         stand.second();
         List<String> lines = logs(stand, "withdrawn");
         assertEquals(1, lines.size());
--- a/src/test/java/rowanmoor/Stand.java
+++ b/src/test/java/rowanmoor/Stand.java
@@ -10,8 +10,8 @@
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Bind;
 import rowanmoor.ControlApi.Event;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Mark;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
@@ -45,7 +45,7 @@
         return new Backend(0x0a000000_1f40L + ((long) i << 16));
     }
 
-    static Member member(int i, int zone, Listed listed, long startedAt) {
+    static Member member(int i, int zone, Availability listed, long startedAt) {
         return new Member(backend(i), zone, i % 2, 0, listed, 1, startedAt);
     }
 
@@ -53,9 +53,9 @@
     Stand start(int backendCount, int proxyCount) {
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < backendCount; i++) {
-            members.add(member(i, i % 2, Listed.READY, 0));
+            members.add(member(i, i % 2, Availability.READY, 0));
         }
-        hear(new Members(ListKind.CACHED, 1, members));
+        hear(new Members(CatalogUpdateKind.CACHED, 1, members));
         for (int p = 0; p < proxyCount; p++) {
             hear(new ProxyJoined(p, p % 2, 20, true));
         }
@@ -95,15 +95,15 @@
             tables.computeIfAbsent(line.table(), t -> new HashMap<>()).put(line.backend(), line.weight());
         } else if (action instanceof Bind bind) {
             for (int c = 0; c < settings.classes().size(); c++) {
-                if (bind.classes() == 0 || (bind.classes() >> c & 1) == 1) {
+                if (bind.classMask() == 0 || (bind.classMask() >> c & 1) == 1) {
                     bound.computeIfAbsent(bind.proxy(), p -> new HashMap<>()).put(c, bind.table());
                 }
             }
         } else if (action instanceof Withdraw withdraw) {
-            withdrawn.put(withdraw.backend(), withdraw.out());
+            withdrawn.put(withdraw.backend(), withdraw.withdrawn());
         } else if (action instanceof Admit admit) {
             for (int c = 0; c < settings.classes().size(); c++) {
-                if ((admit.classes() >> c & 1) == 1) {
+                if ((admit.classMask() >> c & 1) == 1) {
                     levels.computeIfAbsent(c, k -> new HashMap<>()).put(admit.table(), admit);
                 }
             }
@@ -120,7 +120,7 @@
 
     /** The lines that the last reply puts into the channel, by the wire's prices. */
     double lastLines() {
-        return lines.values().stream().mapToDouble(n -> n + settings.channel().head() + 1).sum();
+        return lines.values().stream().mapToDouble(n -> n + settings.channel().messageOverhead() + 1).sum();
     }
 
     /** The proxies that the last reply writes to. */
@@ -131,7 +131,7 @@
     /** Books an order at each proxy concerned, as the proxies are bound when it is given. */
     private void price(Action action) {
         if (action instanceof Bind bind) {
-            double classes = Integer.bitCount(bind.classes());
+            double classes = Integer.bitCount(bind.classMask());
             Map<Backend, Double> table = tables.getOrDefault(bind.table(), Map.of());
             double shutOut = table.keySet().stream().filter(b -> withdrawn.getOrDefault(b, false)).count();
             lines.merge(bind.proxy(), 1 + table.size() + shutOut + classes, Double::sum);
--- a/src/test/java/rowanmoor/TestSettings.java
+++ b/src/test/java/rowanmoor/TestSettings.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 import java.util.Set;
-import rowanmoor.ControlApi.Admission;
+import rowanmoor.ControlApi.AdmissionMode;
 import rowanmoor.ControlApi.Channel;
 import rowanmoor.ControlApi.ClassSpec;
-import rowanmoor.ControlApi.Effect;
-import rowanmoor.ControlApi.Group;
+import rowanmoor.ControlApi.Idempotency;
+import rowanmoor.ControlApi.DedupScope;
 import rowanmoor.ControlApi.ReportColumns;
 import rowanmoor.ControlApi.Rules;
 import rowanmoor.ControlApi.Settings;
@@ -19,9 +19,9 @@
 
     private TestSettings() { }
 
-    static ClassSpec spec(Effect effect, double worth, Set<Integer> onlyZones) {
-        return new ClassSpec(SECOND, 3 * SECOND, worth, 0.2, effect, Group.ZONE, 2 * SECOND,
-                effect != Effect.SAFE, false, onlyZones, Set.of());
+    static ClassSpec spec(Idempotency effect, double worth, Set<Integer> onlyZones) {
+        return new ClassSpec(SECOND, 3 * SECOND, worth, 0.2, effect, DedupScope.ZONE, 2 * SECOND,
+                effect != Idempotency.SAFE, false, onlyZones, Set.of());
     }
 
     /**
@@ -29,7 +29,7 @@
      * tables.
      */
     public static Settings plain() {
-        return with(List.of(spec(Effect.SAFE, 1, Set.of()), spec(Effect.UNSAFE, 5, Set.of())), false, 0, 0);
+        return with(List.of(spec(Idempotency.SAFE, 1, Set.of()), spec(Idempotency.UNSAFE, 5, Set.of())), false, 0, 0);
     }
 
     static Settings with(List<ClassSpec> classes, boolean mustAsk, int messagesMost, int slices) {
@@ -55,7 +55,7 @@
 
     private static Settings of(List<ClassSpec> classes, boolean mustAsk, int slices, int proxies,
             double hearsPerSecond, int busyColumn, int ejects, Channel channel) {
-        return new Settings(1, 2, classes, mustAsk, false, Admission.RATE, ejects, proxies, slices, SECOND,
+        return new Settings(1, 2, classes, mustAsk, false, AdmissionMode.RATE, ejects, proxies, slices, SECOND,
                 hearsPerSecond, 0.05, new ReportColumns(-1, busyColumn),
                 new Rules(3 * SECOND, 2 * SECOND, 10 * SECOND, 0.2, 4, 2 * SECOND, 10 * SECOND),
                 channel);
--- a/src/test/java/rowanmoor/benchlink/LinkTest.java
+++ b/src/test/java/rowanmoor/benchlink/LinkTest.java
@@ -20,7 +20,7 @@
 import rowanmoor.ControlApi.Admit;
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Bind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Log;
 import rowanmoor.ControlApi.Mark;
 import rowanmoor.ControlApi.Member;
@@ -29,7 +29,7 @@
 import rowanmoor.ControlApi.Probed;
 import rowanmoor.ControlApi.ProxyJoined;
 import rowanmoor.ControlApi.ProxyLeft;
-import rowanmoor.ControlApi.Retry;
+import rowanmoor.ControlApi.RetryPolicy;
 import rowanmoor.ControlApi.SetLine;
 import rowanmoor.ControlApi.Tally;
 import rowanmoor.ControlApi.TimerAt;
@@ -75,7 +75,7 @@
             in.writeBytes(batch);
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Link().serve(new ByteArrayInputStream(in.toByteArray()), out);
+        new BenchServer().serve(new ByteArrayInputStream(in.toByteArray()), out);
         return out.toByteArray();
     }
 
@@ -99,17 +99,17 @@
         String entry = B_HEX + "0100 0000 0200 01 0000c03f 0500000000000000";
         reader.next(record(150, "0300 01000000" + entry));
         Members members = (Members) event(reader, 20, "03000000 00 29000000 0300");
-        assertEquals(List.of(new Member(B, 1, 0, 2, Listed.READY, 1.5, 5)), members.entries());
+        assertEquals(List.of(new Member(B, 1, 0, 2, Availability.READY, 1.5, 5)), members.entries());
         reader.next(record(150, "0300 00000000"));
         assertEquals(List.of(), ((Members) event(reader, 20, "03000000 01 2a000000 0300")).entries());
-        assertThrows(MalformedInput.class, () -> event(reader, 20, "03000000 01 2a000000 0400"));
+        assertThrows(MalformedBatchException.class, () -> event(reader, 20, "03000000 01 2a000000 0400"));
     }
 
     @Test
     void actionsAreWrittenAsTheirFrames() {
         Writer writer = new Writer();
         writer.add(3, new Watch(true));
-        writer.add(3, new Admit(117, 2, 0.75, Retry.ONCE_UNRUN));
+        writer.add(3, new Admit(117, 2, 0.75, RetryPolicy.ONCE_UNRUN));
         writer.add(3, new Log("ab"));
         writer.add(3, new Mark(12));
         writer.add(3, new Probe(B));
@@ -142,12 +142,12 @@
         byte[] whole = batch(1, 9, record(30, "03000000 0700000000000000"));
         for (int cut = 1; cut < whole.length; cut++) {
             byte[] part = java.util.Arrays.copyOf(whole, cut);
-            MalformedInput e = assertThrows(MalformedInput.class, () -> serve(part));
+            MalformedBatchException e = assertThrows(MalformedBatchException.class, () -> serve(part));
             assertTrue(e.getMessage().contains("ends within"), e.getMessage());
         }
-        assertThrows(MalformedInput.class, () -> serve(hex("01000000 02000000 00000000 00000000")));
-        assertThrows(MalformedInput.class, () -> serve(batch(1, 9, record(30, "03000000"))));
-        assertThrows(MalformedInput.class, () -> serve(batch(1, 9, record(20, "03000000 09 00000000 0000"))));
+        assertThrows(MalformedBatchException.class, () -> serve(hex("01000000 02000000 00000000 00000000")));
+        assertThrows(MalformedBatchException.class, () -> serve(batch(1, 9, record(30, "03000000"))));
+        assertThrows(MalformedBatchException.class, () -> serve(batch(1, 9, record(20, "03000000 09 00000000 0000"))));
     }
 
     @Test
--- a/src/test/java/rowanmoor/channel/CodecTest.java
+++ b/src/test/java/rowanmoor/channel/CodecTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.Retry;
+import rowanmoor.ControlApi.RetryPolicy;
 
 class CodecTest {
 
@@ -21,7 +21,7 @@
 
     static List<Frame> samples(Random random) {
         Backend backend = new Backend(random.nextLong() >>> 16);
-        Frame.Level level = new Frame.Level(random.nextInt(65536), random.nextDouble() * 1e6, Retry.ONCE);
+        Frame.Level level = new Frame.Level(random.nextInt(65536), random.nextDouble() * 1e6, RetryPolicy.ONCE);
         Frame.Table table = new Frame.Table(random.nextInt(65535), List.of(new Frame.Line(backend, 2.5)),
                 List.of(level));
         return List.of(
--- a/src/test/java/rowanmoor/controller/ControllerTest.java
+++ b/src/test/java/rowanmoor/controller/ControllerTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.channel.ChannelException;
 import rowanmoor.channel.ChannelLimits;
 import rowanmoor.channel.Codec;
@@ -45,7 +45,7 @@
         roster = new RosterServer(loop, ANY, "backends");
         for (int i = 0; i < 6; i++) {
             roster.put(new RosterServer.Instance(backend(i), i % 2 == 0 ? "north" : "south", "fast", 4,
-                    Listed.READY, 0, 0));
+                    Availability.READY, 0, 0));
         }
         controller = make();
         net.runFor(200 * MS);
@@ -92,7 +92,7 @@
             Peer peer = new Peer(hello(1, 1 + run));
             for (int i = 0; i < 40; i++) {
                 roster.put(new RosterServer.Instance(backend(i % 6), "north", "fast", 4,
-                        i % 2 == 0 ? Listed.DRAINING : Listed.READY, 0, 0));
+                        i % 2 == 0 ? Availability.DRAINING : Availability.READY, 0, 0));
                 net.runFor(500 * MS);
             }
             updates[run] = peer.heard(Frame.Update.class).size();
@@ -185,11 +185,11 @@
         List<Peer> peers = new ArrayList<>();
         for (int p = 0; p < 12; p++) {
             peers.add(new Peer(hello(p, p)));
-            roster.put(roster.instance(backend(p % 6)).with(p % 2 == 0 ? Listed.DRAINING : Listed.READY));
+            roster.put(roster.instance(backend(p % 6)).with(p % 2 == 0 ? Availability.DRAINING : Availability.READY));
             net.runFor(20 * MS);
         }
         for (int i = 0; i < 6; i++) {
-            roster.put(roster.instance(backend(i)).with(Listed.READY));
+            roster.put(roster.instance(backend(i)).with(Availability.READY));
         }
         net.runFor(5000 * MS);
         peers.forEach(ControllerTest::assertInOrder);
@@ -376,8 +376,8 @@
         Peer good = joined(9);
         stuck.connection.pause();
         for (int round = 0; round < 40 && controller.driver().hasJoined(8); round++) {
-            roster.put(roster.instance(backend(round % 6)).with(round / 6 % 2 == 0 ? Listed.DRAINING
-                    : Listed.READY));
+            roster.put(roster.instance(backend(round % 6)).with(round / 6 % 2 == 0 ? Availability.DRAINING
+                    : Availability.READY));
             net.runFor(500 * MS);
         }
         assertFalse(controller.driver().hasJoined(8), "silent and unread, it still counts as joined");
--- a/src/test/java/rowanmoor/controller/DriverPartsTest.java
+++ b/src/test/java/rowanmoor/controller/DriverPartsTest.java
@@ -15,8 +15,8 @@
 import rowanmoor.ControlApi.Action;
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Event;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
 import rowanmoor.ControlApi.Settings;
@@ -126,9 +126,9 @@
         }, () -> 0);
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            members.add(new Member(new Backend(100 + i), i % 2, 0, 0, Listed.READY, 1, 0));
+            members.add(new Member(new Backend(100 + i), i % 2, 0, 0, Availability.READY, 1, 0));
         }
-        driver.onMembers(new Members(ListKind.FULL, 1, members));
+        driver.onMembers(new Members(CatalogUpdateKind.FULL, 1, members));
         for (int p = 0; p < 10; p++) {
             driver.onProxyJoined(START, new Frame.Hello(1, p, p, p % 2, 5, true, 0, 0, "p"));
         }
@@ -141,7 +141,7 @@
             }
             if (now == START + 5 * SECOND) {
                 driver.onProxyLeft(3);
-                driver.onMembers(new Members(ListKind.DELTA, 2, List.of(members.get(2).gone())));
+                driver.onMembers(new Members(CatalogUpdateKind.DELTA, 2, List.of(members.get(2).asGone())));
             }
             driver.tick(now);
         }
@@ -163,12 +163,12 @@
         try (Trace trace = new Trace(file, settings, 3, why -> { })) {
             minute(3, trace);
         }
-        Trace.Replay replay = Trace.replay(file);
+        Trace.ReplayResult replay = Trace.replay(file);
         assertNull(replay.difference());
-        assertTrue(replay.ticks() > 10 && !replay.cut());
+        assertTrue(replay.ticks() > 10 && !replay.truncated());
         String text = Files.readString(file);
         Files.writeString(file, text.substring(0, text.length() - 40));
-        assertTrue(Trace.replay(file).cut());
+        assertTrue(Trace.replay(file).truncated());
         Files.writeString(file, text.replaceFirst("\"seed\":3", "\"seed\":4")
                 .replaceFirst("\"listed\":\"READY\"", "\"listed\":\"DRAINING\""));
         assertNotNull(Trace.replay(file).difference());
@@ -217,9 +217,9 @@
         long now = START;
         for (int i = 0; i < 2000; i++) {
             now += 10 * SECOND;
-            driver.onMembers(new Members(i == 0 ? ListKind.FULL : ListKind.DELTA, i, List.of(
-                    new Member(new Backend(100 + i), 0, 0, 0, Listed.READY, 1, 0),
-                    new Member(new Backend(99 + i), 0, 0, 0, Listed.GONE, 1, 0))));
+            driver.onMembers(new Members(i == 0 ? CatalogUpdateKind.FULL : CatalogUpdateKind.DELTA, i, List.of(
+                    new Member(new Backend(100 + i), 0, 0, 0, Availability.READY, 1, 0),
+                    new Member(new Backend(99 + i), 0, 0, 0, Availability.GONE, 1, 0))));
             driver.tick(now);
             driver.tick(now + 2 * SECOND);
         }
@@ -229,8 +229,8 @@
     @Test
     void aProxyThatAsksForSnapshotsWithoutEndHasOneWaiting() throws ConfigError {
         Driver driver = driver();
-        driver.onMembers(new Members(ListKind.FULL, 1, List.of(
-                new Member(new Backend(100), 0, 0, 0, Listed.READY, 1, 0))));
+        driver.onMembers(new Members(CatalogUpdateKind.FULL, 1, List.of(
+                new Member(new Backend(100), 0, 0, 0, Availability.READY, 1, 0))));
         driver.onProxyJoined(START, new Frame.Hello(1, 1, 1, 0, 5, true, 0, 0, "p"));
         driver.tick(START);
         double before = driver.queuedLines();
--- a/src/test/java/rowanmoor/discovery/RosterViewTest.java
+++ b/src/test/java/rowanmoor/discovery/RosterViewTest.java
@@ -11,8 +11,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Members;
 
 class RosterViewTest {
@@ -21,7 +21,7 @@
     private static final long NOW = 1000 * SECOND;
     private final RosterView view = new RosterView(3 * SECOND);
 
-    private static RosterAnswer.Entry entry(int i, Listed listed, long started) {
+    private static RosterAnswer.Entry entry(int i, Availability listed, long started) {
         return new RosterAnswer.Entry(new Backend(i), 0, 0, 0, listed, 1, started, true);
     }
 
@@ -35,58 +35,58 @@
 
     @Test
     void theFirstAnswerIsWholeAndLaterOnesAreChanges() {
-        assertEquals(ListKind.FULL, told(NOW, 5, answer(entry(1, Listed.READY, 0), entry(2, Listed.READY, 0)))
+        assertEquals(CatalogUpdateKind.FULL, told(NOW, 5, answer(entry(1, Availability.READY, 0), entry(2, Availability.READY, 0)))
                 .kind());
-        assertNull(told(NOW, 6, answer(entry(1, Listed.READY, 0), entry(2, Listed.READY, 0))));
-        Members changed = told(NOW, 7, answer(entry(2, Listed.DRAINING, 0), entry(3, Listed.READY, 0)));
-        assertEquals(ListKind.DELTA, changed.kind());
+        assertNull(told(NOW, 6, answer(entry(1, Availability.READY, 0), entry(2, Availability.READY, 0))));
+        Members changed = told(NOW, 7, answer(entry(2, Availability.DRAINING, 0), entry(3, Availability.READY, 0)));
+        assertEquals(CatalogUpdateKind.DELTA, changed.kind());
         List<String> changes = new ArrayList<>();
-        changed.entries().forEach(m -> changes.add(m.backend().id() + " " + m.listed()));
+        changed.entries().forEach(m -> changes.add(m.backend().id() + " " + m.availability()));
         assertEquals(List.of("1 GONE", "2 DRAINING", "3 READY"), changes);
     }
 
     @Test
     void theRosterEmptiesForOneAnswerAndComesBack() {
-        told(NOW, 5, answer(entry(1, Listed.READY, 0)));
+        told(NOW, 5, answer(entry(1, Availability.READY, 0)));
         RosterView.Step empty = view.answer(NOW + SECOND, 0, 6, answer());
         assertFalse(empty.usable());
-        assertEquals(ListKind.FAILED, empty.event().kind());
+        assertEquals(CatalogUpdateKind.FAILED, empty.event().kind());
         view.restart();
-        Members back = told(NOW + 2 * SECOND, 7, answer(entry(1, Listed.READY, 0)));
-        assertEquals(ListKind.DELTA, back.kind());
+        Members back = told(NOW + 2 * SECOND, 7, answer(entry(1, Availability.READY, 0)));
+        assertEquals(CatalogUpdateKind.DELTA, back.kind());
         assertEquals(List.of(), back.entries());
     }
 
     @Test
     void aListThatStaysEmptyIsBelievedInTheEnd() {
-        told(NOW, 5, answer(entry(1, Listed.READY, 0)));
+        told(NOW, 5, answer(entry(1, Availability.READY, 0)));
         view.answer(NOW, 0, 6, answer());
         assertFalse(view.answer(NOW + 2 * SECOND, 0, 6, answer()).usable());
         Members gone = told(NOW + 3 * SECOND, 6, answer());
-        assertEquals(Listed.GONE, gone.entries().get(0).listed());
+        assertEquals(Availability.GONE, gone.entries().get(0).availability());
     }
 
     @Test
     void anIndexThatGoesBackStartsOverAndTheListMayBeStale() {
-        told(NOW, 50, answer(entry(1, Listed.READY, 0)));
-        RosterView.Step step = view.answer(NOW, 0, 3, answer(entry(1, Listed.READY, 0)));
+        told(NOW, 50, answer(entry(1, Availability.READY, 0)));
+        RosterView.Step step = view.answer(NOW, 0, 3, answer(entry(1, Availability.READY, 0)));
         assertEquals(0, step.index());
-        assertEquals(ListKind.CACHED, step.event().kind());
-        assertEquals(3, view.answer(NOW, 0, 3, answer(entry(1, Listed.READY, 0))).index());
+        assertEquals(CatalogUpdateKind.CACHED, step.event().kind());
+        assertEquals(3, view.answer(NOW, 0, 3, answer(entry(1, Availability.READY, 0))).index());
     }
 
     @Test
     void aStartIsToldInTheModulesClockAndStaysWhatItWas() {
         long wall = 10_000_000;
-        Members first = view.answer(NOW, wall, 5, answer(entry(1, Listed.READY, wall - 4000))).event();
+        Members first = view.answer(NOW, wall, 5, answer(entry(1, Availability.READY, wall - 4000))).event();
         assertEquals(NOW - 4 * SECOND, first.entries().get(0).startedAt());
         assertNull(view.answer(NOW + 9 * SECOND, wall + 9004, 6,
-                answer(entry(1, Listed.READY, wall - 4000))).event());
+                answer(entry(1, Availability.READY, wall - 4000))).event());
         Members again = view.answer(NOW + 20 * SECOND, wall + 20_000, 7,
-                answer(entry(1, Listed.READY, wall + 19_000))).event();
+                answer(entry(1, Availability.READY, wall + 19_000))).event();
         assertEquals(NOW + 19 * SECOND, again.entries().get(0).startedAt());
         Members ahead = view.answer(NOW + 30 * SECOND, wall, 8,
-                answer(entry(1, Listed.READY, wall + 99_000))).event();
+                answer(entry(1, Availability.READY, wall + 99_000))).event();
         assertEquals(NOW + 30 * SECOND, ahead.entries().get(0).startedAt(), "a clock ahead of ours");
     }
 
@@ -111,8 +111,8 @@
     @Test
     void machinesReplacedForYearsAreNotRememberedForGood() {
         for (int i = 1; i <= 20_000; i++) {
-            view.answer(NOW + i * 5 * SECOND, 5_000_000, 4 + i, answer(entry(i, Listed.READY, 7),
-                    entry(i + 1, Listed.READY, 7)));
+            view.answer(NOW + i * 5 * SECOND, 5_000_000, 4 + i, answer(entry(i, Availability.READY, 7),
+                    entry(i + 1, Availability.READY, 7)));
         }
         assertTrue(view.remembered() < 300, view.remembered() + " remembered of 20000");
     }
--- a/src/test/java/rowanmoor/host/FanoutTest.java
+++ b/src/test/java/rowanmoor/host/FanoutTest.java
@@ -23,19 +23,19 @@
         for (int proxy = 1; proxy <= 3; proxy++) {
             fanout.join(proxy);
         }
-        fanout.messages(List.of(new SetLine(0, BACKEND, 1), new SetLine(1, new Backend(8), 1), new Bind(1, 0, 0),
+        fanout.ordersByProxy(List.of(new SetLine(0, BACKEND, 1), new SetLine(1, new Backend(8), 1), new Bind(1, 0, 0),
                 new Bind(2, 1, 0)));
-        assertEquals(Set.of(1, 3), fanout.messages(List.of(new Withdraw(BACKEND, true))).keySet());
-        assertEquals(Set.of(1), fanout.messages(List.of(new Withdraw(BACKEND, true, true))).keySet());
-        fanout.messages(List.of(new Bind(3, 1, 1))); // of its other class nothing is known yet
-        assertEquals(Set.of(1, 3), fanout.messages(List.of(new Withdraw(BACKEND, false))).keySet());
-        assertEquals(Set.of(1), fanout.messages(List.of(new Withdraw(BACKEND, true, true))).keySet());
+        assertEquals(Set.of(1, 3), fanout.ordersByProxy(List.of(new Withdraw(BACKEND, true))).keySet());
+        assertEquals(Set.of(1), fanout.ordersByProxy(List.of(new Withdraw(BACKEND, true, true))).keySet());
+        fanout.ordersByProxy(List.of(new Bind(3, 1, 1))); // of its other class nothing is known yet
+        assertEquals(Set.of(1, 3), fanout.ordersByProxy(List.of(new Withdraw(BACKEND, false))).keySet());
+        assertEquals(Set.of(1), fanout.ordersByProxy(List.of(new Withdraw(BACKEND, true, true))).keySet());
     }
 
     @Test
     void whatABindLetsBackIsToldBehindItsTable() {
         fanout.join(1);
-        List<Frame.Order> told = fanout.messages(List.of(new SetLine(0, BACKEND, 1),
+        List<Frame.Order> told = fanout.ordersByProxy(List.of(new SetLine(0, BACKEND, 1),
                 new Bind(1, 0, 0, List.of(BACKEND)))).get(1);
         assertEquals(2, told.size());
         assertEquals(new Frame.Withdraw(BACKEND, false), told.get(1));
--- a/src/test/java/rowanmoor/host/TurnsTest.java
+++ b/src/test/java/rowanmoor/host/TurnsTest.java
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.Test;
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Event;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
 import rowanmoor.ControlApi.ProxyJoined;
@@ -22,28 +22,28 @@
     private final Turns turns = new Turns(TestSettings.plain(), 1, () -> 0);
 
     private static Members listed() {
-        return new Members(ListKind.FULL, 1, List.of(new Member(new Backend(1), 0, 0, 0, Listed.READY, 1, 0)));
+        return new Members(CatalogUpdateKind.FULL, 1, List.of(new Member(new Backend(1), 0, 0, 0, Availability.READY, 1, 0)));
     }
 
     @Test
     void streamsThatComeAndGoBeforeTheFirstListLeaveNothing() {
         for (int i = 0; i < 1000; i++) {
-            turns.hearStream(new ProxyJoined(i % 3, 0, 5, true));
-            turns.hearStream(new ProxyLeft(i % 3));
+            turns.onStreamEvent(new ProxyJoined(i % 3, 0, 5, true));
+            turns.onStreamEvent(new ProxyLeft(i % 3));
         }
-        turns.hearStream(new ProxyJoined(7, 0, 5, true));
-        turns.hearList(listed());
-        List<Event> events = turns.turn(SECOND).events();
+        turns.onStreamEvent(new ProxyJoined(7, 0, 5, true));
+        turns.onCatalog(listed());
+        List<Event> events = turns.runTick(SECOND).events();
         assertEquals(List.of(listed(), new ProxyJoined(7, 0, 5, true)), events);
     }
 
     @Test
     void aJoinALeaveAndAJoinInOneTurnAreToldAsTheyCame() {
-        turns.hearList(listed());
-        turns.turn(SECOND);
+        turns.onCatalog(listed());
+        turns.runTick(SECOND);
         List<Event> came = List.of(new ProxyJoined(1, 0, 5, true), new ProxyLeft(1), new ProxyJoined(1, 0, 6, false),
                 new ProxyLeft(2));
-        came.forEach(turns::hearStream);
-        assertEquals(came, turns.turn(2 * SECOND).events().subList(0, 4), "a leave of one never seen among them");
+        came.forEach(turns::onStreamEvent);
+        assertEquals(came, turns.runTick(2 * SECOND).events().subList(0, 4), "a leave of one never seen among them");
     }
 }
--- a/src/test/java/rowanmoor/lab/Histories.java
+++ b/src/test/java/rowanmoor/lab/Histories.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.function.Function;
 import java.util.stream.Stream;
-import rowanmoor.ControlApi.Retry;
+import rowanmoor.ControlApi.RetryPolicy;
 import rowanmoor.channel.Frame;
 import rowanmoor.config.ConfigError;
 import rowanmoor.config.Section;
@@ -86,7 +86,7 @@
             "repeats-unsafe", day -> {
                 Player.Mutant told = orders(day, order -> order instanceof Frame.Bind b
                         ? new Frame.Bind(b.classMask(), new Frame.Table(b.table().number(), b.table().lines(),
-                                List.of(new Frame.Level(0, 1e6, Retry.ONCE))), b.withdrawn()) : order);
+                                List.of(new Frame.Level(0, 1e6, RetryPolicy.ONCE))), b.withdrawn()) : order);
                 return new Player.Mutant(day, parts -> new Router(parts.site(), parts.standing(), parts.random(),
                         parts.now()) {
                     @Override
--- a/src/test/java/rowanmoor/lab/JudgeTest.java
+++ b/src/test/java/rowanmoor/lab/JudgeTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.channel.Codec;
 import rowanmoor.channel.Frame;
 import rowanmoor.config.ConfigError;
@@ -40,7 +40,7 @@
         read(at, new Frame.Snapshot(7, 0, 0, 0, List.of(), List.of(), List.of(), List.of()));
     }
 
-    private void told(double at, Listed listed, double startedAt) {
+    private void told(double at, Availability listed, double startedAt) {
         answers.add(new RosterServer.Answered("rowanmoor-0", (long) (at * SECOND), List.of(new RosterServer.Instance(B,
                 "north", "fast", 1, listed, (long) (startedAt * 1000), (long) (startedAt * SECOND)))));
     }
@@ -54,7 +54,7 @@
 
     @Test
     void aBackendThatGetsWarmBetweenTwoAnswersEndsTheExcuseOfABareProxy() throws ConfigError {
-        told(100, Listed.READY, 100);
+        told(100, Availability.READY, 100);
         joins(101);
         Judge.Verdict bare = verdict("no proxy without a backend", 120, List.of());
         assertTrue(bare.broken(), bare.toString()); // warm at 108, bare for more than 3 s from there
@@ -64,7 +64,7 @@
 
     @Test
     void aDrainHoldsForAControllerThatNeverSawTheBackendReady() throws ConfigError {
-        told(100, Listed.DRAINING, 0);
+        told(100, Availability.DRAINING, 0);
         joins(101);
         ledger.open(B, "r1", "/preview/1", 0, 1, 103 * SECOND);
         assertFalse(verdict("drains kept", 120, List.of(B)).broken(), "2 s after the join");
--- a/src/test/java/rowanmoor/perf/WireBenchmark.java
+++ b/src/test/java/rowanmoor/perf/WireBenchmark.java
@@ -15,7 +15,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.Retry;
+import rowanmoor.ControlApi.RetryPolicy;
 import rowanmoor.channel.ChannelException;
 import rowanmoor.channel.ChannelLimits;
 import rowanmoor.channel.Codec;
@@ -53,7 +53,7 @@
             table.add(new Frame.Line(new Backend(1000 + i), 1.5));
         }
         return new Frame.Update(1, 2, 3, 4, List.of(new Frame.Bind(3, new Frame.Table(7, table,
-                List.of(new Frame.Level(1, 10, Retry.ONCE_UNRUN))), List.of()), new Frame.Mark(7)));
+                List.of(new Frame.Level(1, 10, RetryPolicy.ONCE_UNRUN))), List.of()), new Frame.Mark(7)));
     }
 
     private static byte[] encoded(Frame frame) {
--- a/src/test/java/rowanmoor/platform/CatalogViewTest.java
+++ b/src/test/java/rowanmoor/platform/CatalogViewTest.java
@@ -16,8 +16,8 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
 
@@ -47,21 +47,21 @@
 
     @Test
     void wholeListsChangesAndWhatIsGone() throws IOException {
-        assertEquals(ListKind.CACHED, view.take(START, WALL, list(4, true, List.of(in("s-1"), in("s-2"))), true,
+        assertEquals(CatalogUpdateKind.CACHED, view.take(START, WALL, list(4, true, List.of(in("s-1"), in("s-2"))), true,
                 problems).kind());
         assertEquals(4, view.generation());
         Members change = take(5, false, instance("s-1", "north", "terminating", 0, AT));
-        assertEquals(ListKind.DELTA, change.kind());
-        assertEquals(Listed.DRAINING, change.entries().get(0).listed());
+        assertEquals(CatalogUpdateKind.DELTA, change.kind());
+        assertEquals(Availability.DRAINING, change.entries().get(0).availability());
         assertNull(take(6, false, instance("s-1", "north", "terminating", 0, AT)), "nothing has changed");
-        assertEquals(Listed.GONE, take(7, false, instance("s-1", "north", "terminated", 0, AT)).entries().get(0)
-                .listed());
+        assertEquals(Availability.GONE, take(7, false, instance("s-1", "north", "terminated", 0, AT)).entries().get(0)
+                .availability());
         Members whole = take(8, true, in("s-3"));
-        assertEquals(ListKind.FULL, whole.kind());
+        assertEquals(CatalogUpdateKind.FULL, whole.kind());
         assertEquals(1, whole.entries().size(), "the module takes what a whole list lacks for gone");
         assertNull(take(9, true, in("s-3")), "the same list again");
         assertThrows(IOException.class, () -> take(3, false, in("s-1")), "changes that go back");
-        assertEquals(ListKind.FULL, take(2, true, in("s-1")).kind(), "a whole list may go back");
+        assertEquals(CatalogUpdateKind.FULL, take(2, true, in("s-1")).kind(), "a whole list may go back");
         assertEquals(2, view.generation());
     }
 
@@ -102,10 +102,10 @@
         assertNull(older, "nothing is undone: " + older);
         assertEquals(5, view.generation(), "it is followed from what it has said");
         assertNull(take(6, false, instance("s-1", "north", "terminating", 0, AT)), "and said again");
-        assertEquals(Listed.READY, take(7, false, in("s-1")).entries().get(0).listed(), "a newer one may");
+        assertEquals(Availability.READY, take(7, false, in("s-1")).entries().get(0).availability(), "a newer one may");
         take(8, false, instance("s-1", "north", "terminated", 0, AT));
-        assertEquals(Listed.READY, take(4, true, instance("s-1", "north", "in_service", WALL - 500, AT), in("s-2"),
-                in("s-3")).entries().get(0).listed(), "started anew");
+        assertEquals(Availability.READY, take(4, true, instance("s-1", "north", "in_service", WALL - 500, AT), in("s-2"),
+                in("s-3")).entries().get(0).availability(), "started anew");
     }
 
     @Test
@@ -120,7 +120,7 @@
         assertThrows(IOException.class, () -> view.take(START + 6 * SECOND, WALL, empty, false, problems),
                 "something was said meanwhile");
         Members gone = view.take(START + 12 * SECOND, WALL, empty, false, problems);
-        assertEquals(ListKind.FULL, gone.kind());
+        assertEquals(CatalogUpdateKind.FULL, gone.kind());
         assertEquals(List.of(), gone.entries());
     }
 
--- a/src/test/java/rowanmoor/platform/PlatformConfigTest.java
+++ b/src/test/java/rowanmoor/platform/PlatformConfigTest.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rowanmoor.ControlApi.Effect;
+import rowanmoor.ControlApi.Idempotency;
 
 /** What is missing or makes no sense at the start is named in one line, and nothing starts. */
 class PlatformConfigTest {
@@ -40,9 +40,9 @@
         assertEquals(8500, config.discovery().getPort());
         assertEquals(256, config.sockets());
         assertEquals(2, config.told().settings().classes().size());
-        assertEquals(Effect.UNSAFE, config.told().settings().classes().get(1).effect());
-        assertTrue(config.told().settings().classes().get(1).write());
-        assertEquals(0, config.told().settings().columns().queue());
+        assertEquals(Idempotency.UNSAFE, config.told().settings().classes().get(1).idempotency());
+        assertTrue(config.told().settings().classes().get(1).mutating());
+        assertEquals(0, config.told().settings().reportColumns().queue());
         assertEquals("pay", config.told().classes().get(1));
         assertEquals(5_000_000, config.told().tick());
     }
--- a/src/test/java/rowanmoor/platform/SocketPlatform.java
+++ b/src/test/java/rowanmoor/platform/SocketPlatform.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import rowanmoor.net.Loop;
-import rowanmoor.resp.RespError;
+import rowanmoor.resp.RespException;
 import rowanmoor.resp.RespReader;
 import rowanmoor.resp.RespWriter;
 
@@ -128,7 +128,7 @@
     /** One connection to the controller's address. */
     final class Peer implements AutoCloseable {
         final Socket socket;
-        private final RespReader reader = new RespReader(RespReader.MESSAGE_MOST, 256);
+        private final RespReader reader = new RespReader(RespReader.MAX_MESSAGE_BYTES, 256);
         private ByteBuffer read = ByteBuffer.allocate(0);
 
         Peer() throws IOException {
@@ -161,7 +161,7 @@
                     }
                     read = ByteBuffer.wrap(into, 0, count);
                 }
-            } catch (RespError e) {
+            } catch (RespException e) {
                 throw new AssertionError(e);
             }
         }
--- a/src/test/java/rowanmoor/platform/TestPlatform.java
+++ b/src/test/java/rowanmoor/platform/TestPlatform.java
@@ -14,11 +14,11 @@
 import rowanmoor.net.Handler;
 import rowanmoor.net.Loop;
 import rowanmoor.net.MemoryNet;
-import rowanmoor.resp.RespError;
+import rowanmoor.resp.RespException;
 import rowanmoor.resp.RespReader;
 import rowanmoor.resp.RespWriter;
 import rowanmoor.settings.SettingsReader;
-import rowanmoor.settings.SettingsReader.Told;
+import rowanmoor.settings.SettingsReader.NamedSettings;
 
 /** A platform in memory, on a clock that the test moves: catalog, backends, and peers that say anything. */
 final class TestPlatform {
@@ -60,8 +60,8 @@
         }
     }
 
-    static Told told() {
-        return SettingsReader.ofTree(json(SETTINGS));
+    static NamedSettings told() {
+        return SettingsReader.fromTree(json(SETTINGS));
     }
 
     /** An entry of the catalog's. */
@@ -218,7 +218,7 @@
     /** One connection to the controller's address. */
     final class Client implements Handler {
         final List<List<String>> heard = new ArrayList<>();
-        private final RespReader reader = new RespReader(RespReader.MESSAGE_MOST, 64);
+        private final RespReader reader = new RespReader(RespReader.MAX_MESSAGE_BYTES, 64);
         final Connection connection;
         Close over;
 
@@ -250,7 +250,7 @@
                         say("ack node " + node + " nonce " + m.get(mark + 1) + " latency 12.5");
                     }
                 }
-            } catch (RespError e) {
+            } catch (RespException e) {
                 throw new AssertionError(e);
             }
         }
