--- a/src/test/java/rowanmoor/platform/TranslatorTest.java
+++ b/src/test/java/rowanmoor/platform/TranslatorTest.java
@@ -13,14 +13,14 @@
 import rowanmoor.ControlApi.Admit;
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Bind;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Log;
 import rowanmoor.ControlApi.Mark;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
 import rowanmoor.ControlApi.Probe;
-import rowanmoor.ControlApi.Retry;
+import rowanmoor.ControlApi.RetryPolicy;
 import rowanmoor.ControlApi.SetLine;
 import rowanmoor.ControlApi.TimerAt;
 import rowanmoor.ControlApi.Watch;
@@ -39,8 +39,8 @@
 
     @BeforeEach
     void listed() {
-        fanout.hearList(new Members(ListKind.FULL, 1, List.of(one, two, three).stream()
-                .map(b -> new Member(b, 0, 0, 0, Listed.READY, 1, 0)).toList()));
+        fanout.onCatalog(new Members(CatalogUpdateKind.FULL, 1, List.of(one, two, three).stream()
+                .map(b -> new Member(b, 0, 0, 0, Availability.READY, 1, 0)).toList()));
         fanout.join(7);
         fanout.join(8);
     }
@@ -51,7 +51,7 @@
     }
 
     private List<String> written(int proxy, Action... actions) {
-        var orders = fanout.messages(List.of(actions)).get(proxy);
+        var orders = fanout.ordersByProxy(List.of(actions)).get(proxy);
         return orders == null ? List.of() : translator.push(proxy, orders).stream()
                 .map(m -> String.join(" ", m)).toList();
     }
@@ -66,7 +66,7 @@
 
     @Test
     void aBindIsTheWholeTableWithItsLevelsAndWithdrawals() {
-        written(new SetLine(3, one, 1.5), new SetLine(3, two, 2), new Admit(3, 3, 4.5, Retry.ONCE_UNRUN),
+        written(new SetLine(3, one, 1.5), new SetLine(3, two, 2), new Admit(3, 3, 4.5, RetryPolicy.ONCE_UNRUN),
                 new Withdraw(two, true));
         assertEquals(List.of("push full 1 endpoints " + lines(one, "1.5", two, "2") + " admit 4.5 policy 1"
                 + " eject s-2 nonce_out 9"), written(new Bind(7, 3, 0), new Mark(9)));
@@ -97,14 +97,14 @@
     @Test
     void aLevelGoesWithItsWayOfTryingAgain() {
         written(new SetLine(3, one, 1), new Bind(7, 3, 0));
-        assertEquals(List.of("push admit 0.5 policy 3"), written(new Admit(3, 0, 0.5, Retry.TWICE)));
-        assertEquals(List.of("push routes pay admit 2 policy 0"), written(new Admit(3, 2, 2, Retry.NEVER)));
+        assertEquals(List.of("push admit 0.5 policy 3"), written(new Admit(3, 0, 0.5, RetryPolicy.TWICE)));
+        assertEquals(List.of("push routes pay admit 2 policy 0"), written(new Admit(3, 2, 2, RetryPolicy.NEVER)));
         assertEquals(List.of("push endpoints s-2:1 continued 1", "push routes read admit 1 policy 1 continued 1",
                 "push routes pay admit 3 policy 1 nonce_out 6"),
-                written(new SetLine(3, two, 1), new Admit(3, 1, 1, Retry.ONCE_UNRUN),
-                        new Admit(3, 2, 3, Retry.ONCE_UNRUN), new Mark(6)));
+                written(new SetLine(3, two, 1), new Admit(3, 1, 1, RetryPolicy.ONCE_UNRUN),
+                        new Admit(3, 2, 3, RetryPolicy.ONCE_UNRUN), new Mark(6)));
         assertEquals(List.of("push endpoints s-2:2 admit 7 policy 1"), written(new SetLine(3, two, 2),
-                new Admit(3, 1, 7, Retry.ONCE_UNRUN), new Admit(3, 2, 7, Retry.ONCE_UNRUN)),
+                new Admit(3, 1, 7, RetryPolicy.ONCE_UNRUN), new Admit(3, 2, 7, RetryPolicy.ONCE_UNRUN)),
                 "equal levels of all classes are one");
     }
 
@@ -141,7 +141,7 @@
     @Test
     void everyActionHasItsOrder() {
         List<Action> writing = List.of(new SetLine(3, one, 1), new Withdraw(one, true),
-                new Admit(3, 0, 1, Retry.ONCE), new Bind(7, 3, 0), new Mark(1));
+                new Admit(3, 0, 1, RetryPolicy.ONCE), new Bind(7, 3, 0), new Mark(1));
         List<Action> elsewhere = List.of(new Watch(true), new Probe(one), new TimerAt(1, 1), new Log("x"));
         TreeSet<String> kinds = new TreeSet<>();
         new ArrayList<>(writing).forEach(a -> kinds.add(a.getClass().getSimpleName()));
--- a/src/test/java/rowanmoor/proxy/RouterTest.java
+++ b/src/test/java/rowanmoor/proxy/RouterTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.Retry;
+import rowanmoor.ControlApi.RetryPolicy;
 import rowanmoor.channel.Frame;
 import rowanmoor.config.ConfigError;
 import rowanmoor.config.Site;
@@ -122,13 +122,13 @@
     @Test
     void aLevelLetsInItsRateAndZeroNothing() {
         joined();
-        update(9, 1, new Frame.Bind(0, table(0, new Frame.Level(3, 10, Retry.NEVER), A), List.of()));
+        update(9, 1, new Frame.Bind(0, table(0, new Frame.Level(3, 10, RetryPolicy.NEVER), A), List.of()));
         int in = 0;
         for (long now = 0; now < 10 * SECOND; now += SECOND / 100) {
             in += router.tryAdmit(0, now) ? 1 : 0;
         }
         assertTrue(in >= 99 && in <= 103, in + " of about 100");
-        update(9, 2, new Frame.Admit(0, new Frame.Level(1, 0, Retry.NEVER)));
+        update(9, 2, new Frame.Admit(0, new Frame.Level(1, 0, RetryPolicy.NEVER)));
         assertFalse(router.tryAdmit(0, 100 * SECOND) && router.tryAdmit(0, 100 * SECOND));
     }
 
@@ -140,12 +140,12 @@
         assertFalse(router.mayRetry(1, 2, true, left));
         assertFalse(router.mayRetry(1, 1, true, left / 20), "too little time is left");
         joined();
-        update(9, 1, new Frame.Bind(0, table(0, new Frame.Level(3, 1e6, Retry.TWICE), A, B), List.of()));
+        update(9, 1, new Frame.Bind(0, table(0, new Frame.Level(3, 1e6, RetryPolicy.TWICE), A, B), List.of()));
         assertTrue(router.mayRetry(0, 2, false, left));
         assertFalse(router.mayRetry(1, 1, false, left), "unsafe, whatever is ordered");
         assertTrue(router.tryTimeoutNs(0) > 0);
         assertEquals(0, router.tryTimeoutNs(1));
-        update(9, 2, new Frame.Admit(0, new Frame.Level(3, 1e6, Retry.NEVER)));
+        update(9, 2, new Frame.Admit(0, new Frame.Level(3, 1e6, RetryPolicy.NEVER)));
         assertFalse(router.mayRetry(0, 1, true, left));
     }
 
@@ -224,9 +224,9 @@
     @Test
     void aLevelThatRisesIsNoBurst() {
         joined();
-        update(9, 1, new Frame.Admit(rowanmoor.ControlApi.ALL_TABLES, new Frame.Level(0, 1, Retry.NEVER)));
+        update(9, 1, new Frame.Admit(rowanmoor.ControlApi.ALL_TABLES, new Frame.Level(0, 1, RetryPolicy.NEVER)));
         admitted(router, SECOND, 2 * SECOND, 50);
-        update(9, 2, new Frame.Admit(rowanmoor.ControlApi.ALL_TABLES, new Frame.Level(0, 100, Retry.NEVER)));
+        update(9, 2, new Frame.Admit(rowanmoor.ControlApi.ALL_TABLES, new Frame.Level(0, 100, RetryPolicy.NEVER)));
         int atOnce = admitted(router, 10 * SECOND, 10 * SECOND + 1000, 50);
         assertTrue(atOnce <= 9, atOnce + " at once after eight quiet seconds at one a second");
         int after = admitted(router, 11 * SECOND, 21 * SECOND, 5000);
@@ -291,7 +291,7 @@
     void aControllerSilentForYearsSavesNoBurstUpAndTheLevelsStand() {
         long years = 90L * 365 * 86_400 * SECOND;
         joined();
-        update(9, 1, new Frame.Admit(rowanmoor.ControlApi.ALL_TABLES, new Frame.Level(0, 20, Retry.NEVER)));
+        update(9, 1, new Frame.Admit(rowanmoor.ControlApi.ALL_TABLES, new Frame.Level(0, 20, RetryPolicy.NEVER)));
         admitted(router, SECOND, 2 * SECOND, 50);
         int atOnce = admitted(router, years, years + 1000, 500);
         assertTrue(atOnce <= 6, atOnce + " at once, a quarter of a second's");
--- a/src/test/java/rowanmoor/settings/SettingsReaderTest.java
+++ b/src/test/java/rowanmoor/settings/SettingsReaderTest.java
@@ -6,7 +6,7 @@
 
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import rowanmoor.ControlApi.Effect;
+import rowanmoor.ControlApi.Idempotency;
 import rowanmoor.ControlApi.Settings;
 
 public class SettingsReaderTest {
@@ -29,15 +29,15 @@
 
     @Test
     void settingsAreReadAndUnknownKeysSkipped() {
-        Settings settings = SettingsReader.ofLines(SETTINGS);
+        Settings settings = SettingsReader.parseLines(SETTINGS);
         assertEquals(2, settings.classes().size());
-        assertEquals(Effect.KEYED, settings.classes().get(1).effect());
+        assertEquals(Idempotency.KEYED, settings.classes().get(1).idempotency());
         assertEquals(Set.of(1), settings.classes().get(1).onlyKinds());
-        assertTrue(settings.classes().get(1).write());
-        assertEquals(0, settings.columns().busy());
-        assertEquals(-1, settings.columns().queue());
+        assertTrue(settings.classes().get(1).mutating());
+        assertEquals(0, settings.reportColumns().utilization());
+        assertEquals(-1, settings.reportColumns().queue());
         assertEquals(2_500_000_000L, settings.rules().drainGrace());
-        assertEquals(7, settings.channel().head());
+        assertEquals(7, settings.channel().messageOverhead());
     }
 
     @Test
@@ -47,12 +47,12 @@
             if (key.startsWith("some.") || key.endsWith("only_kinds")) {
                 continue;
             }
-            SettingsError missing = assertThrows(SettingsError.class,
-                    () -> SettingsReader.ofLines(SETTINGS.replace(line + "\n", "")), key);
+            InvalidSettingsException missing = assertThrows(InvalidSettingsException.class,
+                    () -> SettingsReader.parseLines(SETTINGS.replace(line + "\n", "")), key);
             assertTrue(missing.getMessage().contains(key), missing.getMessage());
         }
-        SettingsError wrong = assertThrows(SettingsError.class,
-                () -> SettingsReader.ofLines(SETTINGS.replace("extra.ejects=0", "extra.ejects=x")));
+        InvalidSettingsException wrong = assertThrows(InvalidSettingsException.class,
+                () -> SettingsReader.parseLines(SETTINGS.replace("extra.ejects=0", "extra.ejects=x")));
         assertTrue(wrong.getMessage().contains("setting extra.ejects is not a number"), wrong.getMessage());
     }
 }
