--- a/src/main/java/rowanmoor/controller/Driver.java
+++ b/src/main/java/rowanmoor/controller/Driver.java
@@ -21,14 +21,14 @@
 import rowanmoor.ControlApi.Watch;
 import rowanmoor.channel.Frame;
 import rowanmoor.host.Fanout;
-import rowanmoor.host.Turns;
+import rowanmoor.host.TickRunner;
 
 /**
  * One {@link RoutingPolicy} and all that stands between it and the sockets, without any I/O: feeds it what was
  * heard, in one order; turns what it orders into one message for each proxy concerned; paces the channel.
  * Its caller passes the time and carries out what {@link Environment} asks.
  *
- * <p>The order within a tick is that of {@link Turns}.
+ * <p>The order within a tick is that of {@link TickRunner}.
  */
 public final class Driver {
 
@@ -65,7 +65,7 @@
     private final Settings settings;
     private final long epoch;
     private final Environment outside;
-    private final Turns turns;
+    private final TickRunner turns;
     private final Fanout fanout;
     private final Intake intake;
     private final Outbox<Draft> outbox;
@@ -80,7 +80,7 @@
     public Driver(Settings settings, long seed, long epoch, long now, Environment outside,
             LongSupplier stopwatch) {
         this.settings = settings;
-        this.turns = new Turns(settings, seed, stopwatch);
+        this.turns = new TickRunner(settings, seed, stopwatch);
         this.fanout = new Fanout(settings.classes().size());
         this.epoch = epoch;
         this.outside = outside;
@@ -166,7 +166,7 @@
         if (turns.hasSeenBackends()) {
             intake.release(now, turns::onReport);
         }
-        Turns.TickResult turn = turns.runTick(now);
+        TickRunner.TickResult turn = turns.runTick(now);
         if (turn != null) {
             carryOut(now, turn.actions());
             outside.onDecision(now, turn.events(), turn.actions(), turn.decisionTime());
--- a/src/main/java/rowanmoor/host/Turns.java
+++ b/src/main/java/rowanmoor/host/TickRunner.java
@@ -22,7 +22,7 @@
  * came, report lines, probes, timers by time and then in the order in which they were set. Then it decides,
  * once. No I/O: its host passes the time and carries out the orders.
  */
-public final class Turns {
+public final class TickRunner {
 
     /** What was fed and what was ordered in one turn; {@code took} is the module's time, ns. */
     public record TickResult(List<Event> events, List<Action> actions, long decisionTime) { }
@@ -47,7 +47,7 @@
     private boolean everListed;
 
     /** @param stopwatch a clock for measuring how long the module takes, and for nothing else */
-    public Turns(Settings settings, long seed, LongSupplier stopwatch) {
+    public TickRunner(Settings settings, long seed, LongSupplier stopwatch) {
         this.logic = new RoutingPolicy(settings, seed);
         this.stopwatch = stopwatch;
     }
--- a/src/main/java/rowanmoor/lab/ResultStore.java
+++ b/src/main/java/rowanmoor/lab/ResultStore.java
@@ -29,7 +29,7 @@
             Emulator.class);
     private static final List<String> MORE = List.of("/rowanmoor/FleetState.class", "/rowanmoor/FleetState$Path.class",
             "/rowanmoor/controller/Intake.class", "/rowanmoor/controller/Outbox.class",
-            "/rowanmoor/host/TableStore.class", "/rowanmoor/host/Turns.class",
+            "/rowanmoor/host/TableStore.class", "/rowanmoor/host/TickRunner.class",
             "/rowanmoor/host/Fanout.class", "/rowanmoor/emulator/Station.class",
             "/rowanmoor/emulator/Agenda.class", "/rowanmoor/emulator/Model.class");
 
--- a/src/main/java/rowanmoor/platform/Service.java
+++ b/src/main/java/rowanmoor/platform/Service.java
@@ -30,7 +30,7 @@
 import rowanmoor.channel.Frame;
 import rowanmoor.discovery.Prober;
 import rowanmoor.host.Fanout;
-import rowanmoor.host.Turns;
+import rowanmoor.host.TickRunner;
 import rowanmoor.net.Bound;
 import rowanmoor.net.Connection;
 import rowanmoor.net.Loop;
@@ -65,7 +65,7 @@
     private final Names names = new Names();
     private final CatalogView view;
     private final Fanout fanout;
-    private final Turns turns;
+    private final TickRunner turns;
     private final Translator translator;
     private final Catalog catalog;
     private final Prober prober;
@@ -102,7 +102,7 @@
         this.messages = new Messages(config.told());
         this.view = new CatalogView(config.told(), names);
         this.fanout = new Fanout(settings.classes().size());
-        this.turns = new Turns(settings, config.seed(), System::nanoTime);
+        this.turns = new TickRunner(settings, config.seed(), System::nanoTime);
         this.ticks = new Ticks(loop, config.told().tick(), this::turn, turns::nextTickAt);
         this.translator = new Translator(config.told().classes(), names, fanout);
         this.listener = loop.listen(config.listen(), Connection.Options.usual()
@@ -351,7 +351,7 @@
     // ---- turns ---------------------------------------------------------------------------------------
 
     private void turn(long now) {
-        Turns.TickResult turn = turns.runTick(now);
+        TickRunner.TickResult turn = turns.runTick(now);
         if (turn != null) {
             decides++;
             decideTime += turn.decisionTime();
--- a/src/test/java/rowanmoor/host/TurnsTest.java
+++ b/src/test/java/rowanmoor/host/TurnsTest.java
@@ -19,7 +19,7 @@
 
     private static final long SECOND = 1_000_000_000L;
 
-    private final Turns turns = new Turns(TestSettings.plain(), 1, () -> 0);
+    private final TickRunner turns = new TickRunner(TestSettings.plain(), 1, () -> 0);
 
     private static Members listed() {
         return new Members(CatalogUpdateKind.FULL, 1, List.of(new Member(new Backend(1), 0, 0, 0, Availability.READY, 1, 0)));
