--- a/src/main/java/rowanmoor/ControlApi.java
+++ b/src/main/java/rowanmoor/ControlApi.java
@@ -138,10 +138,10 @@
 
         /** Equal for classes open to the same backends; those of confined classes sort first. */
         public String eligibilityKey() {
-            return !isRestricted() + "/" + onlyZones + "/" + onlyKinds + "/" + ownZoneOnly;
+            return !restricted() + "/" + onlyZones + "/" + onlyKinds + "/" + ownZoneOnly;
         }
 
-        public boolean isRestricted() {
+        public boolean restricted() {
             return ownZoneOnly || !onlyZones.isEmpty() || !onlyKinds.isEmpty();
         }
 
--- a/src/main/java/rowanmoor/RoutingPolicy.java
+++ b/src/main/java/rowanmoor/RoutingPolicy.java
@@ -430,7 +430,7 @@
             for (BackendState state : backends.values()) {
                 Backend backend = state.member.backend();
                 if (room.get(backend) > 0 && spec(g).isEligible(state.member)) {
-                    double rest = spec(g).isRestricted() ? room.get(backend) : left.get(backend);
+                    double rest = spec(g).restricted() ? room.get(backend) : left.get(backend);
                     part.put(backend, Math.max(1e-9, rest));
                 }
             }
--- a/src/main/java/rowanmoor/plan/Diagnosis.java
+++ b/src/main/java/rowanmoor/plan/Diagnosis.java
@@ -82,7 +82,7 @@
             List<Finding> all) {
         for (int c = 0; c < model.shares().length; c++) {
             ClassSpec spec = model.site().classes().get(c);
-            if (!spec.isRestricted()) {
+            if (!spec.restricted()) {
                 continue;
             }
             List<Integer> open = new ArrayList<>();
