--- a/src/main/java/rowanmoor/channel/Codec.java
+++ b/src/main/java/rowanmoor/channel/Codec.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import rowanmoor.ControlApi;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.Retry;
+import rowanmoor.ControlApi.RetryPolicy;
 
 /**
  * Encodes frames to bytes and decodes them. All numbers are big-endian; the formats of the fields are in
@@ -351,7 +351,7 @@
 
         private Frame.Level level() throws ChannelException {
             return new Frame.Level(u16(), nonNegativeDouble("level"),
-                    enumValue(Retry.values(), "retry policy"));
+                    enumValue(RetryPolicy.values(), "retry policy"));
         }
 
         /** Checks a list's count before reading it: a forged count cannot cause a large allocation. */
--- a/src/main/java/rowanmoor/channel/Frame.java
+++ b/src/main/java/rowanmoor/channel/Frame.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.Retry;
+import rowanmoor.ControlApi.RetryPolicy;
 
 /**
  * The messages on a stream. Times and durations are in nanoseconds; bit k of a class mask stands for
@@ -82,7 +82,7 @@
     record Line(Backend backend, double weight) { }
 
     /** The admission level of some classes, and when a proxy retries their requests. */
-    record Level(int classMask, double level, Retry retry) { }
+    record Level(int classMask, double level, RetryPolicy retry) { }
 
     /** A routing table with the admission levels that belong to it. */
     record Table(int number, List<Line> lines, List<Level> levels) { }
--- a/src/main/java/rowanmoor/controller/Driver.java
+++ b/src/main/java/rowanmoor/controller/Driver.java
@@ -21,14 +21,14 @@
 import rowanmoor.ControlApi.Watch;
 import rowanmoor.channel.Frame;
 import rowanmoor.host.Fanout;
-import rowanmoor.host.Turns;
+import rowanmoor.host.TickRunner;
 
 /**
  * Drives one {@link RoutingPolicy} without doing any I/O. It feeds the policy its events in a fixed order,
  * turns its actions into one message per affected proxy, and paces the messages at the channel's line rate.
  * The caller passes in the time, in nanoseconds, and implements {@link Environment}.
  *
- * <p>{@link Turns} defines the order of events within a tick.
+ * <p>{@link TickRunner} defines the order of events within a tick.
  */
 public final class Driver {
 
@@ -74,7 +74,7 @@
     private final Settings settings;
     private final long epoch;
     private final Environment environment;
-    private final Turns turns;
+    private final TickRunner turns;
     private final Fanout fanout;
     private final Intake intake;
     private final Outbox<PendingMessage> outbox;
@@ -90,11 +90,11 @@
     public Driver(Settings settings, long seed, long epoch, long now, Environment environment,
             LongSupplier stopwatch) {
         this.settings = settings;
-        this.turns = new Turns(settings, seed, stopwatch);
+        this.turns = new TickRunner(settings, seed, stopwatch);
         this.fanout = new Fanout(settings.classes().size());
         this.epoch = epoch;
         this.environment = environment;
-        this.intake = new Intake(settings.hearsPerSecond(), settings.period(), now);
+        this.intake = new Intake(settings.reportLinesPerSecond(), settings.reportInterval(), now);
         this.outbox = new Outbox<>(settings.channel().linesPerSecond(), now);
     }
 
@@ -102,13 +102,13 @@
 
     /** Handles an update of the roster's list of backends. */
     public void onMembers(Members members) {
-        fanout.hearList(members);
-        turns.hearList(members);
+        fanout.onCatalog(members);
+        turns.onCatalog(members);
     }
 
     /** Handles the result of a probe. */
     public void onProbeResult(ControlApi.Probed probed) {
-        turns.hearProbe(probed);
+        turns.onProbeResult(probed);
     }
 
     /** Handles a new stream. Sends a snapshot without bindings, on which the proxy keeps its state. */
@@ -116,7 +116,7 @@
         fanout.join(hello.proxy());
         JoinedProxy joined = new JoinedProxy(hello.zone());
         proxies.put(hello.proxy(), joined);
-        turns.hearStream(new ProxyJoined(hello.proxy(), hello.zone(), hello.requestsPerSecond(),
+        turns.onStreamEvent(new ProxyJoined(hello.proxy(), hello.zone(), hello.requestsPerSecond(),
                 hello.fresh()));
         environment.send(hello.proxy(), snapshot(hello.proxy(), joined, now));
     }
@@ -125,7 +125,7 @@
     public void onProxyLeft(int proxy) {
         if (proxies.remove(proxy) != null) {
             fanout.leave(proxy);
-            turns.hearStream(new ProxyLeft(proxy));
+            turns.onStreamEvent(new ProxyLeft(proxy));
             outbox.discard(proxy);
         }
     }
@@ -134,7 +134,7 @@
     public void onApplied(long now, int proxy, Frame.Applied applied) {
         Long issuedAt = applied.epoch() == epoch ? markTimesNs.get(applied.mark()) : null;
         if (issuedAt != null && proxies.containsKey(proxy)) {
-            turns.hearStream(new Applied(proxy, applied.mark(), now - issuedAt));
+            turns.onStreamEvent(new Applied(proxy, applied.mark(), now - issuedAt));
         }
     }
 
@@ -144,7 +144,7 @@
         if (joined == null) {
             return;
         }
-        List<Frame.Tally> knownTallies = report.tallies().stream().filter(t -> fanout.knows(t.backend()))
+        List<Frame.Tally> knownTallies = report.tallies().stream().filter(t -> fanout.isKnown(t.backend()))
                 .toList();
         List<Frame.Use> knownUsages = report.usages().stream()
                 .filter(u -> u.cls() < settings.classes().size()).toList();
@@ -159,7 +159,7 @@
         if (joined != null && !joined.snapshotQueued) {
             joined.snapshotQueued = true; // at most one snapshot per proxy is queued, however often it asks
             Frame.Snapshot full = snapshot(proxy, joined, now);
-            double lines = settings.channel().head() + full.withdrawn().size() + full.tables().stream()
+            double lines = settings.channel().messageOverhead() + full.withdrawn().size() + full.tables().stream()
                     .mapToInt(t -> 1 + t.lines().size() + t.levels().size()).sum();
             outbox.add(now, proxy, new PendingMessage(null, full), lines);
         }
@@ -170,35 +170,35 @@
         List<Frame.Binding> bound = new ArrayList<>();
         bindings.forEach((table, classes) -> bound.add(new Frame.Binding(table, classes)));
         return new Frame.Snapshot(epoch, joined.version, now, Math.round(outbox.queuedLines()),
-                bindings.keySet().stream().map(fanout.store()::whole).toList(), bound,
-                List.copyOf(fanout.withdrawnOf(bindings.keySet())), List.of());
+                bindings.keySet().stream().map(fanout.store()::snapshot).toList(), bound,
+                List.copyOf(fanout.withdrawnIn(bindings.keySet())), List.of());
     }
 
     // ---- a tick --------------------------------------------------------------------------------------
 
     /** Feeds pending events, lets the policy decide if there were any, and sends due messages. */
     public void tick(long now) {
-        if (turns.knowsBackends()) {
-            intake.release(now, turns::hearReport);
+        if (turns.hasSeenBackends()) {
+            intake.release(now, turns::onReport);
         }
-        Turns.Turn turn = turns.turn(now);
+        TickRunner.TickResult turn = turns.runTick(now);
         if (turn != null) {
             execute(now, turn.actions());
-            environment.onDecision(now, turn.events(), turn.actions(), turn.took());
+            environment.onDecision(now, turn.events(), turn.actions(), turn.decisionTime());
         }
         sendDueMessages(now);
     }
 
     /** Returns when the next tick is due if no further event arrives. */
     public long nextTickAt() {
-        long nextReportLine = turns.knowsBackends() ? intake.nextReleaseAt() : Long.MAX_VALUE;
-        return Math.min(turns.nextAt(), Math.min(nextReportLine, outbox.nextSendAt()));
+        long nextReportLine = turns.hasSeenBackends() ? intake.nextReleaseAt() : Long.MAX_VALUE;
+        return Math.min(turns.nextTickAt(), Math.min(nextReportLine, outbox.nextSendAt()));
     }
 
     private void execute(long now, List<Action> actions) {
-        fanout.messages(actions).forEach((proxy, orders) -> outbox.add(now, proxy,
+        fanout.ordersByProxy(actions).forEach((proxy, orders) -> outbox.add(now, proxy,
                 new PendingMessage(List.copyOf(orders), null),
-                settings.channel().head() + orders.stream().mapToInt(Frame::lineCount).sum()));
+                settings.channel().messageOverhead() + orders.stream().mapToInt(Frame::lineCount).sum()));
         for (Action action : actions) {
             if (action instanceof Mark a) {
                 markTimesNs.put(a.number(), now);
@@ -273,7 +273,7 @@
 
     /** Returns the number of backends whose tallies count: listed, or gone but still held by the policy. */
     int knownBackendCount() {
-        return fanout.backendsKnown();
+        return fanout.knownBackendCount();
     }
 
     /** Returns the number of ignored report lines: of backends never listed or classes that do not exist. */
--- a/src/test/java/rowanmoor/controller/ControllerTest.java
+++ b/src/test/java/rowanmoor/controller/ControllerTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.channel.ChannelException;
 import rowanmoor.channel.ChannelLimits;
 import rowanmoor.channel.Codec;
@@ -45,7 +45,7 @@
         roster = new RosterServer(loop, ANY_PORT, "backends");
         for (int i = 0; i < 6; i++) {
             roster.put(new RosterServer.Instance(backend(i), i % 2 == 0 ? "north" : "south", "fast", 4,
-                    Listed.READY, 0, 0));
+                    Availability.READY, 0, 0));
         }
         controller = newController();
         net.runFor(200 * NS_PER_MS);
@@ -92,7 +92,7 @@
             Peer peer = new Peer(hello(1, 1 + run));
             for (int i = 0; i < 40; i++) {
                 roster.put(new RosterServer.Instance(backend(i % 6), "north", "fast", 4,
-                        i % 2 == 0 ? Listed.DRAINING : Listed.READY, 0, 0));
+                        i % 2 == 0 ? Availability.DRAINING : Availability.READY, 0, 0));
                 net.runFor(500 * NS_PER_MS);
             }
             updateCounts[run] = peer.received(Frame.Update.class).size();
@@ -186,11 +186,11 @@
         List<Peer> peers = new ArrayList<>();
         for (int p = 0; p < 12; p++) {
             peers.add(new Peer(hello(p, p)));
-            roster.put(roster.instance(backend(p % 6)).with(p % 2 == 0 ? Listed.DRAINING : Listed.READY));
+            roster.put(roster.instance(backend(p % 6)).with(p % 2 == 0 ? Availability.DRAINING : Availability.READY));
             net.runFor(20 * NS_PER_MS);
         }
         for (int i = 0; i < 6; i++) {
-            roster.put(roster.instance(backend(i)).with(Listed.READY));
+            roster.put(roster.instance(backend(i)).with(Availability.READY));
         }
         net.runFor(5000 * NS_PER_MS);
         peers.forEach(ControllerTest::assertConsecutiveUpdates);
@@ -379,8 +379,8 @@
         Peer good = joinedPeer(9);
         stalled.connection.pause();
         for (int round = 0; round < 40 && controller.driver().hasJoined(8); round++) {
-            roster.put(roster.instance(backend(round % 6)).with(round / 6 % 2 == 0 ? Listed.DRAINING
-                    : Listed.READY));
+            roster.put(roster.instance(backend(round % 6)).with(round / 6 % 2 == 0 ? Availability.DRAINING
+                    : Availability.READY));
             net.runFor(500 * NS_PER_MS);
         }
         assertFalse(controller.driver().hasJoined(8), "a proxy that neither reads nor sends is still joined");
