--- a/src/main/java/rowanmoor/controller/Controller.java
+++ b/src/main/java/rowanmoor/controller/Controller.java
@@ -58,7 +58,7 @@
      *
      * @param seed seed of the policy's random numbers
      * @param epoch identifies this start; must differ at every start
-     * @param wallClockMs wall clock in milliseconds since 1970, used for the start times of backends in the roster
+     * @param wallClockMs wall clock in milliseconds since 1970, to which the roster's start times refer
      * @throws IOException if the address cannot be bound or an output file cannot be opened
      */
     public Controller(ControllerConfig config, Loop loop, long seed, long epoch, LongSupplier wallClockMs)
@@ -75,8 +75,8 @@
         this.ticks = new Ticks(loop, config.tick(), now -> driver().tick(now), () -> driver().nextTickAt());
         this.driver = new Driver(settings, seed, epoch, loop.now(), this, System::nanoTime);
         this.roster = new RosterClient(loop, config.roster(), config.service(), "rowanmoor-" + config.rank(),
-                config.rosterWait(), config.emptyHold(), config.site().zones(), config.site().kinds(), wallClockMs,
-                members -> {
+                config.rosterWait(), config.emptyHold(), config.site().zones(), config.site().kinds(),
+                wallClockMs, members -> {
                     driver.onMembers(members);
                     members.entries().forEach(this::captureMember);
                     ticks.soon();
--- a/src/main/java/rowanmoor/controller/Driver.java
+++ b/src/main/java/rowanmoor/controller/Driver.java
@@ -74,7 +74,7 @@
     private final Settings settings;
     private final long epoch;
     private final Environment environment;
-    private final TickRunner turns;
+    private final TickRunner tickRunner;
     private final Fanout fanout;
     private final Intake intake;
     private final Outbox<PendingMessage> outbox;
@@ -90,7 +90,7 @@
     public Driver(Settings settings, long seed, long epoch, long now, Environment environment,
             LongSupplier stopwatch) {
         this.settings = settings;
-        this.turns = new TickRunner(settings, seed, stopwatch);
+        this.tickRunner = new TickRunner(settings, seed, stopwatch);
         this.fanout = new Fanout(settings.classes().size());
         this.epoch = epoch;
         this.environment = environment;
@@ -103,12 +103,12 @@
     /** Handles an update of the roster's list of backends. */
     public void onMembers(Members members) {
         fanout.onCatalog(members);
-        turns.onCatalog(members);
+        tickRunner.onCatalog(members);
     }
 
     /** Handles the result of a probe. */
     public void onProbeResult(ControlApi.Probed probed) {
-        turns.onProbeResult(probed);
+        tickRunner.onProbeResult(probed);
     }
 
     /** Handles a new stream. Sends a snapshot without bindings, on which the proxy keeps its state. */
@@ -116,7 +116,7 @@
         fanout.join(hello.proxy());
         JoinedProxy joined = new JoinedProxy(hello.zone());
         proxies.put(hello.proxy(), joined);
-        turns.onStreamEvent(new ProxyJoined(hello.proxy(), hello.zone(), hello.requestsPerSecond(),
+        tickRunner.onStreamEvent(new ProxyJoined(hello.proxy(), hello.zone(), hello.requestsPerSecond(),
                 hello.fresh()));
         environment.send(hello.proxy(), snapshot(hello.proxy(), joined, now));
     }
@@ -125,7 +125,7 @@
     public void onProxyLeft(int proxy) {
         if (proxies.remove(proxy) != null) {
             fanout.leave(proxy);
-            turns.onStreamEvent(new ProxyLeft(proxy));
+            tickRunner.onStreamEvent(new ProxyLeft(proxy));
             outbox.discard(proxy);
         }
     }
@@ -134,7 +134,7 @@
     public void onApplied(long now, int proxy, Frame.Applied applied) {
         Long issuedAt = applied.epoch() == epoch ? markTimesNs.get(applied.mark()) : null;
         if (issuedAt != null && proxies.containsKey(proxy)) {
-            turns.onStreamEvent(new Applied(proxy, applied.mark(), now - issuedAt));
+            tickRunner.onStreamEvent(new Applied(proxy, applied.mark(), now - issuedAt));
         }
     }
 
@@ -159,8 +159,8 @@
         if (joined != null && !joined.snapshotQueued) {
             joined.snapshotQueued = true; // at most one snapshot per proxy is queued, however often it asks
             Frame.Snapshot full = snapshot(proxy, joined, now);
-            double lines = settings.channel().messageOverhead() + full.withdrawn().size() + full.tables().stream()
-                    .mapToInt(t -> 1 + t.lines().size() + t.levels().size()).sum();
+            double lines = settings.channel().messageOverhead() + full.withdrawn().size()
+                    + full.tables().stream().mapToInt(t -> 1 + t.lines().size() + t.levels().size()).sum();
             outbox.add(now, proxy, new PendingMessage(null, full), lines);
         }
     }
@@ -168,7 +168,7 @@
     private Frame.Snapshot snapshot(int proxy, JoinedProxy joined, long now) {
         TreeMap<Integer, Integer> bindings = fanout.bindings(proxy);
         List<Frame.Binding> bound = new ArrayList<>();
-        bindings.forEach((table, classes) -> bound.add(new Frame.Binding(table, classes)));
+        bindings.forEach((table, classMask) -> bound.add(new Frame.Binding(table, classMask)));
         return new Frame.Snapshot(epoch, joined.version, now, Math.round(outbox.queuedLines()),
                 bindings.keySet().stream().map(fanout.store()::snapshot).toList(), bound,
                 List.copyOf(fanout.withdrawnIn(bindings.keySet())), List.of());
@@ -178,21 +178,21 @@
 
     /** Feeds pending events, lets the policy decide if there were any, and sends due messages. */
     public void tick(long now) {
-        if (turns.hasSeenBackends()) {
-            intake.release(now, turns::onReport);
+        if (tickRunner.hasSeenBackends()) {
+            intake.release(now, tickRunner::onReport);
         }
-        TickRunner.TickResult turn = turns.runTick(now);
-        if (turn != null) {
-            execute(now, turn.actions());
-            environment.onDecision(now, turn.events(), turn.actions(), turn.decisionTime());
+        TickRunner.TickResult result = tickRunner.runTick(now);
+        if (result != null) {
+            execute(now, result.actions());
+            environment.onDecision(now, result.events(), result.actions(), result.decisionTime());
         }
         sendDueMessages(now);
     }
 
     /** Returns when the next tick is due if no further event arrives. */
     public long nextTickAt() {
-        long nextReportLine = turns.hasSeenBackends() ? intake.nextReleaseAt() : Long.MAX_VALUE;
-        return Math.min(turns.nextTickAt(), Math.min(nextReportLine, outbox.nextSendAt()));
+        long nextReportLine = tickRunner.hasSeenBackends() ? intake.nextReleaseAt() : Long.MAX_VALUE;
+        return Math.min(tickRunner.nextTickAt(), Math.min(nextReportLine, outbox.nextSendAt()));
     }
 
     private void execute(long now, List<Action> actions) {
