--- a/src/main/java/rowanmoor/controller/Intake.java
+++ b/src/main/java/rowanmoor/controller/Intake.java
@@ -74,7 +74,7 @@
         this.lastReleaseNs = now;
     }
 
-    /** Adds two non-negative durations and saturates at {@link Long#MAX_VALUE} instead of overflowing. */
+    /** Adds two durations, each at least 0; saturates at {@link Long#MAX_VALUE} instead of overflowing. */
     private static long saturatingAdd(long a, long b) {
         return a + b < 0 ? Long.MAX_VALUE : a + b;
     }
