--- a/src/main/java/rowanmoor/RoutingPolicy.java
+++ b/src/main/java/rowanmoor/RoutingPolicy.java
@@ -183,7 +183,7 @@
     }
 
     /** What is held of each backend now. */
-    public List<BackendEstimate> beliefs(long now) {
+    public List<BackendEstimate> backendEstimates(long now) {
         return backends.values().stream().map(s -> new BackendEstimate(s.member.backend(), s.member.availability(), s.load(),
                 Arrays.stream(s.paths).map(p -> p.health).toList(), s.correction, s.warmth(now),
                 s.all.tries, s.withdrawn)).toList();
--- a/src/main/java/rowanmoor/host/TickRunner.java
+++ b/src/main/java/rowanmoor/host/TickRunner.java
@@ -126,7 +126,7 @@
 
     /** What the module holds of each backend. */
     public List<BackendEstimate> backendEstimates(long now) {
-        return logic.beliefs(now);
+        return logic.backendEstimates(now);
     }
 
     /** When a turn is next due, if nothing more is heard. */
