--- a/src/main/java/rowanmoor/ControlApi.java
+++ b/src/main/java/rowanmoor/ControlApi.java
@@ -3,13 +3,17 @@
 import java.util.List;
 import java.util.Set;
 
-/** What a {@link RoutingPolicy} hears, what it may order, and the settings it starts with. Free of any wire. */
+/**
+ * The events that a {@link RoutingPolicy} handles, the actions that it returns, and its settings. Independent
+ * of any wire format. All times and durations are in nanoseconds. Trace files hold these records by the names
+ * of the types and, unless {@code Trace} states another name, of the components.
+ */
 public interface ControlApi {
 
-    /** Never a table's number: on the channel it stands for all tables at once. */
+    /** On the channel: all tables at once. No table has this number. */
     int ALL_TABLES = 65535;
 
-    /** A backend's address: four bytes and a port, packed big end first. Ordered, and otherwise opaque. */
+    /** A backend's address: four bytes of IPv4 address and a port, packed in big-endian order. */
     record Backend(long id) implements Comparable<Backend> {
         @Override
         public int compareTo(Backend other) {
@@ -23,161 +27,255 @@
         }
     }
 
-    /** What the list says of a backend. */
+    /** The state of a backend in the catalog. */
     enum Availability { GONE, READY, DRAINING }
 
-    /** How a {@link Members} event applies to the list held so far. */
+    /** How a {@link Members} event changes the catalog that is held. */
     enum CatalogUpdateKind { DELTA, FULL, CACHED, FAILED }
 
-    /** What a repeat of a class's request does: no harm, dropped within a window, or takes effect again. */
+    /** The effect of repeating a request: harmless, dropped within a window, or carried out again. */
     enum Idempotency { SAFE, KEYED, UNSAFE }
 
-    /** Which backends drop a keyed repeat. */
+    /** The backends among which a repeat of a {@link Idempotency#KEYED} request is recognised. */
     enum DedupScope { ALL, ZONE, CELL }
 
-    /** When a proxy tries a request again. */
+    /** When a proxy retries a request; {@code ONCE_UNRUN}: only if no backend has processed it. */
     enum RetryPolicy { NEVER, ONCE_UNRUN, ONCE, TWICE }
 
-    /** What a level of {@link Admit} counts. */
+    /** The unit of a level in {@link Admit}: share of the requests, requests per second, or no admission. */
     enum AdmissionMode { SHARE, RATE, OFF }
 
-    /** One backend of the list. {@code startedAt} is 0 when that was long ago. */
+    /**
+     * One backend in the catalog.
+     *
+     * @param zone index of its zone
+     * @param kind index of its kind
+     * @param cell number of its cell within the zone, for {@link DedupScope#CELL}
+     * @param startedAt when its process started; 0 if that was long ago
+     */
     record Member(Backend backend, int zone, int kind, int cell, Availability availability, double weight,
             long startedAt) {
 
-        /** The same backend, missing from a whole list. */
+        /** Returns the same backend as one that a full catalog no longer lists. */
         public Member asGone() {
             return new Member(backend, zone, kind, cell, Availability.GONE, weight, startedAt);
         }
     }
 
-    /** What one instance hears. Times are nanoseconds of the instance's own clock. */
+    /** Input of one instance. Points in time are those of the instance's own clock. */
     sealed interface Event { }
 
+    /**
+     * A catalog update, or a failed request for one.
+     *
+     * @param entries the changed backends, or all of them if the update is a full one
+     */
     record Members(CatalogUpdateKind kind, long version, List<Member> entries) implements Event { }
 
+    /** A timer set by {@link TimerAt} has expired. */
     record Timer(long token) implements Event { }
 
-    /** One probe's answer; {@code load} has the values named in the settings, or is empty. */
+    /** The result of one probe; {@code load} has the figures named in the settings, or is empty. */
     record Probed(Backend backend, boolean ok, int status, long latency,
             List<Double> load) implements Event { }
 
+    /**
+     * A proxy has opened its stream.
+     *
+     * @param rate requests per second that it receives
+     * @param fresh whether it holds only its standing table
+     */
     record ProxyJoined(int proxy, int zone, double rate, boolean fresh) implements Event { }
 
+    /** A proxy's stream has ended. */
     record ProxyLeft(int proxy) implements Event { }
 
-    /** A proxy has applied the message that carried this mark and all before it. */
+    /**
+     * A proxy has applied the message that carried this mark, and all messages before it.
+     *
+     * @param roundTrip time from sending the mark to its acknowledgement
+     */
     record Applied(int proxy, int mark, long roundTrip) implements Event { }
 
-    /** What the joined proxies of a zone met at a backend. {@code latency} is 0 if no try succeeded. */
+    /**
+     * Results of tries that the joined proxies of a zone sent to a backend.
+     *
+     * @param latency mean latency of successful tries; 0 if no try succeeded
+     * @param span length of the interval that the counts cover
+     * @param load the load figures named in the settings, or empty
+     */
     record Tally(Backend backend, int zone, long tries, long failed, long latency, long span,
             List<Double> load) implements Event { }
 
-    /** What came to a proxy. {@code failed} were let in and never answered. */
+    /**
+     * Requests of one class that arrived at a proxy.
+     *
+     * @param failed requests that were admitted and never answered
+     * @param span length of the interval that the counts cover
+     */
     record Usage(int proxy, int classIndex, long requests, long failed, long span) implements Event { }
 
-    /** What one instance orders. All orders of one round become one message for each proxy concerned. */
+    /** Output of one instance. All actions of one round form one message for each proxy concerned. */
     sealed interface Action { }
 
+    /** Starts or stops watching the catalog. */
     record Watch(boolean on) implements Action { }
 
+    /** Sends a probe to a backend; {@link Probed} has the result. */
     record Probe(Backend backend) implements Action { }
 
+    /** Sets the weight of a backend in a table; weight 0 removes the line. */
     record SetLine(int table, Backend backend, double weight) implements Action { }
 
     /**
-     * Shuts a backend out of the tables of joined proxies, or lets it back.
+     * Withdraws a backend from the tables of joined proxies, or readmits it.
      *
-     * @param boundOnly whether only those are told that are bound to this instance's tables; the tables of
-     *        others are not known, and they get new ones with their bind
+     * @param boundOnly whether to notify only the proxies that are bound to tables of this instance; the
+     *        tables of other proxies are unknown, and they receive new ones with their bind
      */
     record Withdraw(Backend backend, boolean withdrawn, boolean boundOnly) implements Action {
 
-        /** Tells all who may hold it. */
+        /** Notifies every proxy that may hold the backend. */
         public Withdraw(Backend backend, boolean out) {
             this(backend, out, false);
         }
     }
 
-    /** {@code classMask} is a bit set by class number; 0 means all. */
+    /**
+     * Sets the admission level and retry policy of a table.
+     *
+     * @param classMask bit set of class numbers; 0 means all classes
+     */
     record Admit(int table, int classMask, double level, RetryPolicy retry) implements Action { }
 
+    /** Adds a mark to the messages of this round; {@link Applied} acknowledges it. */
     record Mark(int number) implements Action { }
 
     /**
-     * From now on the proxy uses this table for these classes.
+     * Makes a proxy use a table for some classes.
      *
-     * @param readmitted backends of the table that the proxy may still shut out on an earlier instance's order
+     * @param classMask bit set of class numbers; 0 means all classes
+     * @param readmitted backends of the table that an earlier instance may have withdrawn at the proxy
      */
     record Bind(int proxy, int table, int classMask, List<Backend> readmitted) implements Action {
 
-        /** Of a proxy that shuts out none of the table's backends. */
+        /** Binds a proxy at which none of the table's backends is withdrawn. */
         public Bind(int proxy, int table, int classes) {
             this(proxy, table, classes, List.of());
         }
     }
 
+    /** Sets a timer; {@link Timer} returns its token. */
     record TimerAt(long time, long token) implements Action { }
 
+    /** Writes a line to the log. */
     record Log(String text) implements Action { }
 
     /**
-     * What an instance holds of one backend; for records only, nothing is decided by it.
+     * The state that an instance keeps for one backend; used in logs only, not in decisions.
      *
-     * @param load latency as it is judged, ns, or reported use, 0 to 1; 0 where it is not known
-     * @param health by region, 0 resting to 1
-     * @param tries the smoothed count by which it is judged
-     * @param shutOut withdrawn, since it drains, is gone or is held back for being cold
+     * @param load smoothed latency in ns, or reported utilization from 0 to 1; 0 if unknown
+     * @param health by region, from 0 (resting) to 1
+     * @param correction factor by which its weight in the catalog is corrected
+     * @param warmth fraction of its capacity that it has while it warms up
+     * @param tries smoothed number of tries on which the estimate is based
+     * @param withdrawn whether it is withdrawn: it drains, is gone, or is held back because it is cold
      */
-    record BackendEstimate(Backend backend, Availability availability, double load, List<Double> health, double correction,
-            double warmth, double tries, boolean withdrawn) { }
+    record BackendEstimate(Backend backend, Availability availability, double load, List<Double> health,
+            double correction, double warmth, double tries, boolean withdrawn) { }
 
-    /** One request class. Empty sets of zones or kinds mean that every backend is open to it. */
-    record ClassSpec(long aim, long deadline, double worth, double lateWorth, Idempotency idempotency, DedupScope dedupScope,
-            long dedupWindow, boolean mutating, boolean ownZoneOnly, Set<Integer> onlyZones, Set<Integer> onlyKinds) {
+    /**
+     * One request class.
+     *
+     * @param aim latency at which an answer still counts in full
+     * @param deadline latency after which an answer counts for nothing
+     * @param worth value of an answer within the aim
+     * @param lateWorth fraction of the worth of an answer between aim and deadline
+     * @param dedupWindow how long a backend recognises a repeat of a keyed request
+     * @param ownZoneOnly whether proxies may use only backends of their own zone
+     * @param onlyZones indices of the zones whose backends it may use; empty for all
+     * @param onlyKinds indices of the kinds of backends that it may use; empty for all
+     */
+    record ClassSpec(long aim, long deadline, double worth, double lateWorth, Idempotency idempotency,
+            DedupScope dedupScope, long dedupWindow, boolean mutating, boolean ownZoneOnly,
+            Set<Integer> onlyZones, Set<Integer> onlyKinds) {
 
-        /** Equal for classes open to the same backends; those of confined classes sort first. */
+        /** Returns a key equal for classes that may use the same backends; restricted classes sort first. */
         public String eligibilityKey() {
             return !restricted() + "/" + onlyZones + "/" + onlyKinds + "/" + ownZoneOnly;
         }
 
+        /** Returns whether the settings bar the class from some backends. */
         public boolean restricted() {
             return ownZoneOnly || !onlyZones.isEmpty() || !onlyKinds.isEmpty();
         }
 
-        /** Whether the settings allow this class at a backend, whatever the proxy's own zone. */
+        /** Returns whether the settings allow the class at a backend, regardless of the proxy's zone. */
         public boolean isEligible(Member member) {
             return (onlyZones.isEmpty() || onlyZones.contains(member.zone()))
                     && (onlyKinds.isEmpty() || onlyKinds.contains(member.kind()));
         }
     }
 
-    /** Which figures of load reports are heard, by place; -1 where the site has no such figure. */
+    /** Positions of figures in load reports; -1 if the site does not report the figure. */
     record ReportColumns(int queue, int utilization) { }
 
-    /** The rules' figures. */
+    /**
+     * Parameters of the operating rules.
+     *
+     * @param maxTimeWithoutBackend how long a proxy may be without a usable backend
+     * @param drainGrace time from the start of a drain until the backend must have left all tables
+     * @param warmUpTime time from the start of a backend until it has its full capacity
+     * @param initialWarmth fraction of its capacity that a backend has when it starts
+     * @param overloadFactor load, as a multiple of its capacity, at which a cold backend fails
+     * @param overloadSpan how long that load must last
+     * @param maxCatalogRetryDelay time within which the catalog must be requested again after a failure
+     */
     record Rules(long maxTimeWithoutBackend, long drainGrace, long warmUpTime, double initialWarmth,
             double overloadFactor, long overloadSpan, long maxCatalogRetryDelay) {
 
-        /** The least part of its capacity that a backend has by now, going by the stated ramp. */
+        /** Returns the minimum fraction of its capacity that a backend has now, by the configured ramp. */
         public double warmth(long startedAt, long now) {
             double age = startedAt <= 0 ? 1 : (now - startedAt) / (double) warmUpTime;
             return Math.min(1, initialWarmth + (1 - initialWarmth) * Math.max(0, age));
         }
     }
 
-    /** The channel to the proxies: its limits and its usual pace. */
-    record Channel(double linesPerSecond, double messageOverhead, double maxBacklog, int maxMessages, long messageWindow,
-            long typicalDelay, long maxDelay) {
+    /**
+     * Limits and usual delays of the channel to the proxies.
+     *
+     * @param linesPerSecond rate at which the channel sends lines
+     * @param messageOverhead cost of a message in lines, in addition to its own lines
+     * @param maxBacklog maximum number of lines that may be queued
+     * @param maxMessages maximum number of messages to one proxy per window; 0 for no limit
+     * @param messageWindow length of that window
+     * @param typicalDelay usual delay of a message
+     * @param maxDelay maximum delay of a message
+     */
+    record Channel(double linesPerSecond, double messageOverhead, double maxBacklog, int maxMessages,
+            long messageWindow, long typicalDelay, long maxDelay) {
 
-        /** The least mean time between messages to one proxy; 0 where they are not limited. */
+        /** Returns the minimum mean time between messages to one proxy; 0 if they are not limited. */
         public double messageGap() {
             return maxMessages <= 0 ? 0 : (double) messageWindow / maxMessages;
         }
     }
 
-    /** All that an instance is told at its start. */
-    record Settings(int instances, int zones, List<ClassSpec> classes, boolean catalogOnRequest, boolean probesAllowed,
-            AdmissionMode admission, int ejectAfterFailures, int proxies, int keyRanges, long reportInterval, double reportLinesPerSecond,
-            double crossZonePrice, ReportColumns reportColumns, Rules rules, Channel channel) { }
+    /**
+     * Settings of an instance.
+     *
+     * @param instances number of instances
+     * @param zones number of zones
+     * @param catalogOnRequest whether the catalog arrives only after {@link Watch}
+     * @param ejectAfterFailures failures in a row after which a proxy avoids a backend; 0 for never
+     * @param proxies expected number of proxies
+     * @param keyRanges number of ranges into which request keys are split; 0 if they are not
+     * @param reportInterval time between reports of a proxy
+     * @param reportLinesPerSecond report lines that an instance receives per second
+     * @param crossZonePrice cost of sending a request to another zone
+     */
+    record Settings(int instances, int zones, List<ClassSpec> classes, boolean catalogOnRequest,
+            boolean probesAllowed, AdmissionMode admission, int ejectAfterFailures, int proxies,
+            int keyRanges, long reportInterval, double reportLinesPerSecond, double crossZonePrice,
+            ReportColumns reportColumns, Rules rules, Channel channel) { }
 }
--- a/src/main/java/rowanmoor/benchlink/Reader.java
+++ b/src/main/java/rowanmoor/benchlink/BatchDecoder.java
@@ -20,33 +20,36 @@
 import rowanmoor.ControlApi.Timer;
 import rowanmoor.ControlApi.Usage;
 
-/** Decodes one batch, record by record. Lists are numbered, and a number is reused, so order matters. */
-final class Reader {
+/**
+ * Decodes one batch, record by record. A catalog is stored in a numbered slot before the events that refer to
+ * it, and slots are reused: records must be decoded in order. Numbers are little-endian.
+ */
+final class BatchDecoder {
 
-    /** One record: which instance it is for, and what it says. */
-    sealed interface Item { }
+    /** One record, with the instance that it is for. */
+    sealed interface Message { }
 
-    record Launch(long who, long seed, String setup) implements Item { }
+    record StartInstance(long instance, long seed, String settings) implements Message { }
 
-    record Halt(long who) implements Item { }
+    record StopInstance(long instance) implements Message { }
 
-    record Heard(long who, Event event) implements Item { }
+    record InstanceEvent(long instance, Event event) implements Message { }
 
-    private static final int TOLD = 50;
-    private static final int STATUS_OK = 10;
-    private static final int LIST_SLOTS = 16;
+    private static final int PEER_MESSAGE = 50;
+    private static final int PROBE_STATUS_OK = 10;
+    private static final int CATALOG_SLOTS = 16;
     private static final int ENTRY_BYTES = 25;
 
-    private final List<List<Member>> lists = new ArrayList<>();
+    private final List<List<Member>> catalogs = new ArrayList<>();
 
-    Reader() {
-        for (int i = 0; i < LIST_SLOTS; i++) {
-            lists.add(null);
+    BatchDecoder() {
+        for (int i = 0; i < CATALOG_SLOTS; i++) {
+            catalogs.add(null);
         }
     }
 
-    /** Decodes the record at the buffer's position; null for one that is skipped or only a list. */
-    Item next(ByteBuffer batch) {
+    /** Decodes the record at the buffer's position; returns null for a catalog or one that is skipped. */
+    Message next(ByteBuffer batch) {
         int code;
         ByteBuffer fields;
         try {
@@ -67,19 +70,19 @@
         }
     }
 
-    private Item decode(int code, ByteBuffer in) {
+    private Message decode(int code, ByteBuffer in) {
         if (code == 150) {
-            readList(in);
+            readCatalog(in);
             return null;
         }
-        if (code < 10 || code > 110 || code % 10 != 0 || code == TOLD) {
-            return null; // peers' messages and slices: nothing here hears of them
+        if (code < 10 || code > 110 || code % 10 != 0 || code == PEER_MESSAGE) {
+            return null; // messages between peers and key ranges, which are not supported
         }
-        long who = in.getInt() & 0xffffffffL;
+        long instance = in.getInt() & 0xffffffffL;
         return switch (code) {
-            case 10 -> new Launch(who, in.getLong(), text(in));
-            case 60 -> new Halt(who);
-            default -> new Heard(who, event(code, in));
+            case 10 -> new StartInstance(instance, in.getLong(), text(in));
+            case 60 -> new StopInstance(instance);
+            default -> new InstanceEvent(instance, event(code, in));
         };
     }
 
@@ -87,13 +90,13 @@
         return switch (code) {
             case 20 -> members(in);
             case 30 -> new Timer(in.getLong());
-            case 40 -> probed(in);
+            case 40 -> probeResult(in);
             case 70 -> new ProxyJoined(u16(in), u16(in), in.getFloat(), in.get() != 0);
             case 80 -> new ProxyLeft(u16(in));
             case 90 -> new Applied(u16(in), in.getInt(), in.getLong());
             case 100 -> tally(in);
             case 110 -> new Usage(u16(in), u16(in), u32(in), u32(in), in.getLong());
-            default -> throw new MalformedBatchException("record of code " + code + " has no meaning");
+            default -> throw new MalformedBatchException("record of code " + code + " is unknown");
         };
     }
 
@@ -108,17 +111,17 @@
         if (kind == CatalogUpdateKind.FAILED) {
             return new Members(kind, version, List.of());
         }
-        if (slot >= LIST_SLOTS || lists.get(slot) == null) {
+        if (slot >= CATALOG_SLOTS || catalogs.get(slot) == null) {
             throw new MalformedBatchException("topology record names list " + slot + ", which was not sent");
         }
-        return new Members(kind, version, lists.get(slot));
+        return new Members(kind, version, catalogs.get(slot));
     }
 
-    private Event probed(ByteBuffer in) {
+    private Event probeResult(ByteBuffer in) {
         int status = u16(in);
         long latency = in.getLong();
         Backend backend = backend(in);
-        return new Probed(backend, status == STATUS_OK, status, latency, load(in));
+        return new Probed(backend, status == PROBE_STATUS_OK, status, latency, load(in));
     }
 
     private Event tally(ByteBuffer in) {
@@ -131,17 +134,17 @@
         return new Tally(backend, zone, tries, failed, latency, span, load(in));
     }
 
-    private void readList(ByteBuffer in) {
+    private void readCatalog(ByteBuffer in) {
         int slot = u16(in);
         long count = u32(in);
-        if (slot >= LIST_SLOTS || count * ENTRY_BYTES > in.remaining()) {
+        if (slot >= CATALOG_SLOTS || count * ENTRY_BYTES > in.remaining()) {
             throw new MalformedBatchException("census record has list " + slot + " of " + count + " entries");
         }
         List<Member> members = new ArrayList<>();
         for (long i = 0; i < count; i++) {
             members.add(member(in));
         }
-        lists.set(slot, List.copyOf(members));
+        catalogs.set(slot, List.copyOf(members));
     }
 
     private static Member member(ByteBuffer in) {
@@ -149,11 +152,12 @@
         int zone = u16(in);
         int kind = u16(in);
         int cell = u16(in);
-        int listed = in.get() & 0xff;
-        if (listed >= Availability.values().length) {
-            throw new MalformedBatchException("census entry has an unknown availability: " + listed);
+        int availability = in.get() & 0xff;
+        if (availability >= Availability.values().length) {
+            throw new MalformedBatchException("census entry has an unknown availability: " + availability);
         }
-        return new Member(backend, zone, kind, cell, Availability.values()[listed], in.getFloat(), in.getLong());
+        return new Member(backend, zone, kind, cell, Availability.values()[availability], in.getFloat(),
+                in.getLong());
     }
 
     static Backend backend(ByteBuffer in) {
--- a/src/main/java/rowanmoor/benchlink/MalformedBatchException.java
+++ b/src/main/java/rowanmoor/benchlink/MalformedBatchException.java
@@ -1,6 +1,6 @@
 package rowanmoor.benchlink;
 
-/** What came in is not the wire; the message is one plain line. */
+/** The input does not follow the protocol; the message is one line that says how. */
 public final class MalformedBatchException extends IllegalArgumentException {
 
     private static final long serialVersionUID = 1;
--- a/src/main/java/rowanmoor/benchlink/package-info.java
+++ b/src/main/java/rowanmoor/benchlink/package-info.java
@@ -1,2 +1,2 @@
-/** Runs the decision module on the bench's wire: codec and loop. Decides nothing. */
+/** Runs the routing policy on the test bench's binary protocol: decoder, encoder and request loop. */
 package rowanmoor.benchlink;
--- a/src/main/java/rowanmoor/host/Fanout.java
+++ b/src/main/java/rowanmoor/host/Fanout.java
@@ -18,91 +18,99 @@
 import rowanmoor.channel.Frame;
 
 /**
- * Which joined proxy each order concerns: keeps the tables as ordered and who is bound to which, and turns
- * one decision's orders into one message's worth for each proxy. No I/O, no decision.
+ * Translates the actions of a decision into the orders of one message for each joined proxy. Keeps the tables
+ * and which proxy is bound to which of them. No I/O, no decisions.
  */
 public final class Fanout {
 
-    /** A joined proxy's table by class, -1 for none. */
-    private static final class Peer {
+    /** The table to which a joined proxy is bound, by class; -1 if it is not bound. */
+    private static final class ProxyTables {
         private final int[] tables;
 
-        Peer(int classes) {
+        ProxyTables(int classes) {
             this.tables = new int[classes];
             Arrays.fill(tables, -1);
         }
 
-        /** Of a class that is not bound it is unknown what the proxy uses: it may hold anything. */
+        /** Returns whether the proxy may hold a backend; the table of an unbound class is unknown. */
         boolean holds(TableStore store, Backend backend, boolean boundOnly) {
             return Arrays.stream(tables).anyMatch(t -> t < 0 ? !boundOnly : store.contains(t, backend));
         }
 
-        int classesOn(int table) {
-            int classes = 0;
+        int boundClasses(int table) {
+            int classMask = 0;
             for (int c = 0; c < tables.length; c++) {
-                classes |= tables[c] == table ? 1 << c : 0;
+                classMask |= tables[c] == table ? 1 << c : 0;
             }
-            return classes;
+            return classMask;
         }
     }
 
     private final int classes;
     private final TableStore store;
-    private final TreeMap<Integer, Peer> peers = new TreeMap<>();
-    private final TreeMap<Backend, Availability> listed = new TreeMap<>();
+    private final TreeMap<Integer, ProxyTables> proxies = new TreeMap<>();
+    private final TreeMap<Backend, Availability> availability = new TreeMap<>();
 
     public Fanout(int classes) {
         this.classes = classes;
         this.store = new TableStore(classes);
     }
 
+    /** Returns the tables. */
     public TableStore store() {
         return store;
     }
 
+    /** Applies a catalog update. */
     public void onCatalog(Members members) {
         if (members.kind() == CatalogUpdateKind.FULL || members.kind() == CatalogUpdateKind.CACHED) {
-            listed.replaceAll((backend, was) -> Availability.GONE);
+            availability.replaceAll((backend, was) -> Availability.GONE);
         }
-        members.entries().forEach(m -> listed.put(m.backend(), m.availability()));
+        members.entries().forEach(m -> availability.put(m.backend(), m.availability()));
     }
 
-    /** Whether a backend is listed, or gone but not yet let go by the module. */
+    /** Returns whether a backend is listed, or gone and not yet released by the policy. */
     public boolean isKnown(Backend backend) {
-        return listed.containsKey(backend);
+        return availability.containsKey(backend);
     }
 
+    /** Returns the number of backends for which {@link #isKnown} holds. */
     public int knownBackendCount() {
-        return listed.size();
+        return availability.size();
     }
 
+    /**
+     * Adds a proxy that is not bound to any table.
+     *
+     * @throws IllegalStateException if it has joined already
+     */
     public void join(int proxy) {
-        if (peers.putIfAbsent(proxy, new Peer(classes)) != null) {
+        if (proxies.putIfAbsent(proxy, new ProxyTables(classes)) != null) {
             throw new IllegalStateException("proxy " + proxy + " has joined already");
         }
     }
 
-    /** Whether it had joined. */
+    /** Removes a proxy; returns whether it had joined. */
     public boolean leave(int proxy) {
-        return peers.remove(proxy) != null;
+        return proxies.remove(proxy) != null;
     }
 
-    /** The classes of a joined proxy that are bound to a table, as a set of bits. */
+    /** Returns the classes for which a joined proxy is bound to a table, as a bit set. */
     public int boundClasses(int proxy, int table) {
-        Peer peer = peers.get(proxy);
-        return peer == null ? 0 : peer.classesOn(table);
+        ProxyTables bound = proxies.get(proxy);
+        return bound == null ? 0 : bound.boundClasses(table);
     }
 
     /**
-     * What part of one proxy's picks its tables give a backend, summed over joined proxies and classes; by
-     * the weights alone, shut-out backends left out.
+     * Returns, by backend, the fraction of a proxy's picks that its tables give it, summed over the joined
+     * proxies and their classes. Based on the weights alone, without withdrawn backends.
      */
     public TreeMap<Backend, Double> pickShares() {
         TreeMap<Backend, Double> picks = new TreeMap<>();
-        TreeMap<Integer, Integer> users = new TreeMap<>();
-        peers.values().forEach(peer -> Arrays.stream(peer.tables).filter(t -> t >= 0)
-                .forEach(t -> users.merge(t, 1, Integer::sum)));
-        users.forEach((table, count) -> {
+        TreeMap<Integer, Integer> tableUsers = new TreeMap<>();
+        proxies.values().forEach(bound -> Arrays.stream(bound.tables).filter(t -> t >= 0)
+                .forEach(t -> tableUsers.merge(t, 1, Integer::sum)));
+        tableUsers.forEach((table, count) -> {
             TreeMap<Backend, Double> lines = new TreeMap<>(store.weights(table));
             lines.keySet().removeAll(store.withdrawnIn(table));
             double sum = lines.values().stream().mapToDouble(w -> w).sum();
@@ -111,10 +119,10 @@
         return picks;
     }
 
-    /** A joined proxy's tables, each with the classes bound to it. */
+    /** Returns the tables of a joined proxy, each with the bit set of classes bound to it. */
     public TreeMap<Integer, Integer> bindings(int proxy) {
         TreeMap<Integer, Integer> bindings = new TreeMap<>();
-        int[] tables = peers.get(proxy).tables;
+        int[] tables = proxies.get(proxy).tables;
         for (int c = 0; c < tables.length; c++) {
             if (tables[c] >= 0) {
                 bindings.merge(tables[c], 1 << c, (a, b) -> a | b);
@@ -123,27 +131,28 @@
         return bindings;
     }
 
-    /** Which backends of the tables named are withdrawn. */
+    /** Returns the withdrawn backends of some tables. */
     public TreeSet<Backend> withdrawnIn(Iterable<Integer> tables) {
         TreeSet<Backend> withdrawn = new TreeSet<>();
         tables.forEach(t -> withdrawn.addAll(store.withdrawnIn(t)));
         return withdrawn;
     }
 
-    /** Keeps one decision's orders; answers, by proxy, what each joined one concerned is to be told. */
+    /** Applies the actions of one decision and returns the orders for each joined proxy concerned. */
     public TreeMap<Integer, List<Frame.Order>> ordersByProxy(List<Action> actions) {
         TreeMap<Integer, List<Frame.Order>> messages = new TreeMap<>();
         for (Action action : actions) {
             if (action instanceof SetLine a) {
                 store.setLine(a.table(), a.backend(), a.weight());
                 Frame.Line line = new Frame.Line(a.backend(), a.weight());
-                toUsers(messages, a.table(), new Frame.SetLine(a.table(), line));
+                addForUsers(messages, a.table(), new Frame.SetLine(a.table(), line));
             } else if (action instanceof Withdraw a) {
                 withdraw(messages, a);
             } else if (action instanceof Admit a) {
                 store.admit(a.table(), a);
-                toUsers(messages, a.table(), new Frame.Admit(a.table(), TableStore.levelFrame(a, classes)));
-            } else if (action instanceof Bind a && peers.containsKey(a.proxy())) {
+                Frame.Level level = TableStore.levelFrame(a, classes);
+                addForUsers(messages, a.table(), new Frame.Admit(a.table(), level));
+            } else if (action instanceof Bind a && proxies.containsKey(a.proxy())) {
                 bind(messages, a);
             } else if (action instanceof Mark a) {
                 messages.values().forEach(orders -> orders.add(new Frame.Mark(a.number())));
@@ -152,39 +161,41 @@
         return messages;
     }
 
-    private void withdraw(TreeMap<Integer, List<Frame.Order>> messages, Withdraw a) {
-        store.withdraw(a.backend(), a.withdrawn());
-        if (!a.withdrawn() && listed.get(a.backend()) == Availability.GONE) {
-            listed.remove(a.backend()); // the module has let it go
+    private void withdraw(TreeMap<Integer, List<Frame.Order>> messages, Withdraw withdraw) {
+        Backend backend = withdraw.backend();
+        boolean withdrawn = withdraw.withdrawn();
+        store.withdraw(backend, withdrawn);
+        if (!withdrawn && availability.get(backend) == Availability.GONE) {
+            availability.remove(backend); // the policy has released it
         }
-        peers.forEach((proxy, peer) -> {
-            if (peer.holds(store, a.backend(), a.boundOnly())) {
-                add(messages, proxy, new Frame.Withdraw(a.backend(), a.withdrawn()));
+        proxies.forEach((proxy, bound) -> {
+            if (bound.holds(store, backend, withdraw.boundOnly())) {
+                addOrder(messages, proxy, new Frame.Withdraw(backend, withdrawn));
             }
         });
     }
 
     private void bind(TreeMap<Integer, List<Frame.Order>> messages, Bind bind) {
-        Peer peer = peers.get(bind.proxy());
-        int set = bind.classMask() == 0 ? (1 << classes) - 1 : bind.classMask();
+        ProxyTables bound = proxies.get(bind.proxy());
+        int classMask = bind.classMask() == 0 ? (1 << classes) - 1 : bind.classMask();
         for (int c = 0; c < classes; c++) {
-            if ((set >> c & 1) == 1) {
-                peer.tables[c] = bind.table();
+            if ((classMask >> c & 1) == 1) {
+                bound.tables[c] = bind.table();
             }
         }
-        add(messages, bind.proxy(), new Frame.Bind(set, store.snapshot(bind.table()),
+        addOrder(messages, bind.proxy(), new Frame.Bind(classMask, store.snapshot(bind.table()),
                 store.withdrawnIn(bind.table())));
-        bind.readmitted().forEach(b -> add(messages, bind.proxy(), new Frame.Withdraw(b, false)));
+        bind.readmitted().forEach(b -> addOrder(messages, bind.proxy(), new Frame.Withdraw(b, false)));
     }
 
-    private static void add(TreeMap<Integer, List<Frame.Order>> messages, int proxy, Frame.Order order) {
+    private static void addOrder(TreeMap<Integer, List<Frame.Order>> messages, int proxy, Frame.Order order) {
         messages.computeIfAbsent(proxy, p -> new ArrayList<>()).add(order);
     }
 
-    private void toUsers(TreeMap<Integer, List<Frame.Order>> messages, int table, Frame.Order order) {
-        peers.forEach((proxy, peer) -> {
-            if (peer.classesOn(table) != 0) {
-                add(messages, proxy, order);
+    private void addForUsers(TreeMap<Integer, List<Frame.Order>> messages, int table, Frame.Order order) {
+        proxies.forEach((proxy, bound) -> {
+            if (bound.boundClasses(table) != 0) {
+                addOrder(messages, proxy, order);
             }
         });
     }
--- a/src/main/java/rowanmoor/host/TableStore.java
+++ b/src/main/java/rowanmoor/host/TableStore.java
@@ -10,7 +10,7 @@
 import rowanmoor.ControlApi.RetryPolicy;
 import rowanmoor.channel.Frame;
 
-/** All tables, levels and withdrawals as ordered so far. */
+/** All tables, admission levels and withdrawn backends, as set by the actions so far. */
 public final class TableStore {
 
     private static final class Table {
@@ -22,6 +22,7 @@
     private final TreeMap<Integer, Table> tables = new TreeMap<>();
     private final TreeSet<Backend> withdrawn = new TreeSet<>();
 
+    /** @param classes number of request classes */
     public TableStore(int classes) {
         this.classes = classes;
     }
@@ -30,7 +31,7 @@
         return tables.computeIfAbsent(number, n -> new Table());
     }
 
-    /** Weight 0 removes the line. */
+    /** Sets the weight of a backend in a table; weight 0 removes the line. */
     public void setLine(int number, Backend backend, double weight) {
         if (weight > 0) {
             table(number).lines.put(backend, weight);
@@ -39,14 +40,16 @@
         }
     }
 
-    public void withdraw(Backend backend, boolean out) {
-        if (out) {
+    /** Withdraws a backend in all tables, or readmits it. */
+    public void withdraw(Backend backend, boolean isWithdrawn) {
+        if (isWithdrawn) {
             withdrawn.add(backend);
         } else {
             withdrawn.remove(backend);
         }
     }
 
+    /** Sets the level of a table for some classes. */
     public void admit(int number, Admit admit) {
         Map<Integer, Frame.Level> levels = table(number).levels;
         for (int c = 0; c < classes; c++) {
@@ -56,10 +59,12 @@
         }
     }
 
+    /** Returns whether a table has a line for a backend, withdrawn or not. */
     public boolean contains(int number, Backend backend) {
         return tables.containsKey(number) && tables.get(number).lines.containsKey(backend);
     }
 
+    /** Returns a table with all its lines and levels. */
     public Frame.Table snapshot(int number) {
         Table table = table(number);
         List<Frame.Line> lines = new ArrayList<>();
@@ -67,18 +72,20 @@
         return new Frame.Table(number, List.copyOf(lines), List.copyOf(table.levels.values()));
     }
 
+    /** Returns the withdrawn backends that have a line in a table. */
     public List<Backend> withdrawnIn(int number) {
         return table(number).lines.keySet().stream().filter(withdrawn::contains).toList();
     }
 
-    /** The weights ordered for a table; for readers outside the wire. */
+    /** Returns the weights of a table by backend. */
     public Map<Backend, Double> weights(int number) {
         return Map.copyOf(table(number).lines);
     }
 
+    /** Translates an admission level to its form on the channel, which lists classes explicitly. */
     public static Frame.Level levelFrame(Admit admit, int classCount) {
-        int set = admit.classMask() == 0 ? (1 << classCount) - 1 : admit.classMask();
+        int classMask = admit.classMask() == 0 ? (1 << classCount) - 1 : admit.classMask();
         RetryPolicy retry = admit.retry();
-        return new Frame.Level(set, admit.level(), retry);
+        return new Frame.Level(classMask, admit.level(), retry);
     }
 }
--- a/src/main/java/rowanmoor/host/TickRunner.java
+++ b/src/main/java/rowanmoor/host/TickRunner.java
@@ -18,75 +18,82 @@
 import rowanmoor.RoutingPolicy;
 
 /**
- * One {@link RoutingPolicy} and the order in which it hears: the list, then streams (joins, leaves, marks) as they
- * came, report lines, probes, timers by time and then in the order in which they were set. Then it decides,
- * once. No I/O: its host passes the time and carries out the orders.
+ * One {@link RoutingPolicy} and the order in which it receives the events of a tick: catalog updates, stream
+ * events (joins, leaves, acknowledged marks) in order of arrival, report lines, probe results, and timers by
+ * time, those of equal time in the order in which they were set. The policy then decides once. No I/O: the
+ * host supplies the time and carries out the actions.
  */
 public final class TickRunner {
 
-    /** What was fed and what was ordered in one turn; {@code took} is the module's time, ns. */
+    /** The events and actions of one tick; {@code decisionTime} is the time spent in the policy, ns. */
     public record TickResult(List<Event> events, List<Action> actions, long decisionTime) { }
 
-    private record Alarm(long time, long number, long token) implements Comparable<Alarm> {
+    private record PendingTimer(long time, long number, long token) implements Comparable<PendingTimer> {
         @Override
-        public int compareTo(Alarm other) {
+        public int compareTo(PendingTimer other) {
             int byTime = Long.compare(time, other.time);
             return byTime != 0 ? byTime : Long.compare(number, other.number);
         }
     }
 
-    private final RoutingPolicy logic;
+    private final RoutingPolicy policy;
     private final LongSupplier stopwatch;
-    private final ArrayDeque<Event> lists = new ArrayDeque<>();
-    private final ArrayDeque<Event> streams = new ArrayDeque<>();
+    private final ArrayDeque<Event> catalogUpdates = new ArrayDeque<>();
+    private final ArrayDeque<Event> streamEvents = new ArrayDeque<>();
     private final ArrayDeque<Event> reports = new ArrayDeque<>();
-    private final ArrayDeque<Event> probes = new ArrayDeque<>();
-    private final PriorityQueue<Alarm> alarms = new PriorityQueue<>();
-    private long alarmNumber;
+    private final ArrayDeque<Event> probeResults = new ArrayDeque<>();
+    private final PriorityQueue<PendingTimer> timers = new PriorityQueue<>();
+    private long nextTimerNumber;
     private boolean started;
-    private boolean everListed;
+    private boolean backendsSeen;
 
-    /** @param stopwatch a clock for measuring how long the module takes, and for nothing else */
+    /**
+     * Creates a runner with a new policy.
+     *
+     * @param stopwatch clock, ns, used only to measure the time spent in the policy
+     */
     public TickRunner(Settings settings, long seed, LongSupplier stopwatch) {
-        this.logic = new RoutingPolicy(settings, seed);
+        this.policy = new RoutingPolicy(settings, seed);
         this.stopwatch = stopwatch;
     }
 
+    /** Queues a catalog update. */
     public void onCatalog(Members members) {
-        everListed |= !members.entries().isEmpty();
-        lists.add(members);
+        backendsSeen |= !members.entries().isEmpty();
+        catalogUpdates.add(members);
     }
 
-    /** A join, a leave or a mark answered. */
+    /** Queues a join, a leave or an acknowledged mark. */
     public void onStreamEvent(Event event) {
-        if (!everListed && event instanceof ProxyLeft left) {
-            // Its join waits, and the module has never heard of it: nothing is owed on either side.
-            streams.removeIf(e -> e instanceof ProxyJoined joined && joined.proxy() == left.proxy());
+        if (!backendsSeen && event instanceof ProxyLeft left) {
+            // The join is still queued: the policy does not know the proxy, so both events can be dropped.
+            streamEvents.removeIf(e -> e instanceof ProxyJoined joined && joined.proxy() == left.proxy());
         } else {
-            streams.add(event);
+            streamEvents.add(event);
         }
     }
 
-    /** A report line; before a backend was ever listed nothing can be made of it. */
+    /** Queues a report line; drops it while no backend has been listed, since it refers to none. */
     public void onReport(Event event) {
-        if (everListed) {
+        if (backendsSeen) {
             reports.add(event);
         }
     }
 
+    /** Queues a probe result. */
     public void onProbeResult(Probed probed) {
-        probes.add(probed);
+        probeResults.add(probed);
     }
 
     /**
-     * Whether a backend was ever listed. Before that the module hears of no proxy: it could bind one to an
-     * empty table only, in place of what the proxy holds and can work by.
+     * Returns whether a backend was ever listed. Until then stream events are held back: the policy could
+     * only bind a proxy to an empty table, in place of the working one that the proxy holds.
      */
     public boolean hasSeenBackends() {
-        return everListed;
+        return backendsSeen;
     }
 
-    /** Feeds what was heard and lets the module decide; null if there was nothing to hear. */
+    /** Delivers the queued events and lets the policy decide; returns null if there were no events. */
     public TickResult runTick(long now) {
         List<Event> events = gather(now);
         if (events.isEmpty() && started) {
@@ -94,12 +101,12 @@
         }
         started = true;
         long before = stopwatch.getAsLong();
-        events.forEach(event -> logic.handle(now, event));
-        List<Action> actions = logic.decide(now);
+        events.forEach(event -> policy.handle(now, event));
+        List<Action> actions = policy.decide(now);
         long took = stopwatch.getAsLong() - before;
         for (Action action : actions) {
             if (action instanceof TimerAt a) {
-                alarms.add(new Alarm(a.time(), alarmNumber++, a.token()));
+                timers.add(new PendingTimer(a.time(), nextTimerNumber++, a.token()));
             }
         }
         return new TickResult(events, actions, took);
@@ -107,32 +114,35 @@
 
     private List<Event> gather(long now) {
         List<Event> events = new ArrayList<>();
-        drain(lists, events);
-        if (everListed) {
-            drain(streams, events);
-            drain(reports, events);
+        moveAll(catalogUpdates, events);
+        if (backendsSeen) {
+            moveAll(streamEvents, events);
+            moveAll(reports, events);
         }
-        drain(probes, events);
-        while (!alarms.isEmpty() && alarms.peek().time() <= now) {
-            events.add(new ControlApi.Timer(alarms.poll().token()));
+        moveAll(probeResults, events);
+        while (!timers.isEmpty() && timers.peek().time() <= now) {
+            events.add(new ControlApi.Timer(timers.poll().token()));
         }
         return events;
     }
 
-    private static void drain(ArrayDeque<Event> from, List<Event> into) {
+    private static void moveAll(ArrayDeque<Event> from, List<Event> into) {
         into.addAll(from);
         from.clear();
     }
 
-    /** What the module holds of each backend. */
+    /** Returns the state that the policy keeps for each backend. */
     public List<BackendEstimate> backendEstimates(long now) {
-        return logic.beliefs(now);
+        return policy.beliefs(now);
     }
 
-    /** When a turn is next due, if nothing more is heard. */
+    /**
+     * Returns when the next tick is due if no more events arrive: {@link Long#MIN_VALUE} for at once,
+     * {@link Long#MAX_VALUE} for never.
+     */
     public long nextTickAt() {
-        boolean heard = !started || !lists.isEmpty() || !probes.isEmpty() || !reports.isEmpty()
-                || !streams.isEmpty() && everListed;
-        return heard ? Long.MIN_VALUE : alarms.isEmpty() ? Long.MAX_VALUE : alarms.peek().time();
+        boolean pending = !started || !catalogUpdates.isEmpty() || !probeResults.isEmpty()
+                || !reports.isEmpty() || !streamEvents.isEmpty() && backendsSeen;
+        return pending ? Long.MIN_VALUE : timers.isEmpty() ? Long.MAX_VALUE : timers.peek().time();
     }
 }
--- a/src/main/java/rowanmoor/host/package-info.java
+++ b/src/main/java/rowanmoor/host/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What every process that hosts the decision module shares, free of wire and I/O: the order in which events
- * are told, timers, one decision a turn, and which proxy each order concerns. Thread rule: belongs to the
- * thread of its host.
+ * Code shared by all processes that host a routing policy, without wire formats or I/O: the order in which
+ * events are delivered, timers, one decision per tick, and the proxies that each action concerns. Not thread
+ * safe: all calls come from the thread of the host.
  */
 package rowanmoor.host;
--- a/src/main/java/rowanmoor/resp/RespException.java
+++ b/src/main/java/rowanmoor/resp/RespException.java
@@ -1,6 +1,6 @@
 package rowanmoor.resp;
 
-/** What came is not a RESP2 array of bulk strings, or one too large; nothing after it can be read. */
+/** The input is not a RESP2 array of bulk strings, or exceeds a limit; the rest of the stream is unusable. */
 public final class RespException extends Exception {
 
     private static final long serialVersionUID = 1;
--- a/src/main/java/rowanmoor/resp/RespReader.java
+++ b/src/main/java/rowanmoor/resp/RespReader.java
@@ -7,75 +7,82 @@
 import java.util.List;
 
 /**
- * Reads one array of bulk strings after another (RESP2: {@code *2 CR LF $3 CR LF foo CR LF ...}). Strict:
+ * Incremental decoder for arrays of bulk strings (RESP2: {@code *2 CR LF $3 CR LF foo CR LF ...}). Strict:
  * lengths are plain decimal digits, lines end in CR LF, no other type, no null, no empty array. Memory grows
- * with the bytes that came, never with a length that was only announced. A reader that has thrown is of no
- * further use.
+ * with the bytes received, never with a length that is only announced. A reader that has thrown cannot be
+ * used again.
  */
 public final class RespReader {
 
-    /** The most bytes of one message, its framing included. */
+    /** Upper limit on the bytes of one message, including its framing. */
     public static final int MAX_MESSAGE_BYTES = 1 << 20;
 
-    private static final int LENGTH_DIGITS = 7;
-    private static final int FIRST_BYTES = 32;
+    private static final int MAX_LENGTH_DIGITS = 7;
+    private static final int INITIAL_PART_BYTES = 32;
 
     private enum Step { TYPE, LENGTH, LENGTH_END, BYTES, BYTES_CR, BYTES_LF, BROKEN }
 
-    private final int partsMost;
-    private int bytesMost;
+    private final int maxParts;
+    private int maxMessageBytes;
     private Step step = Step.TYPE;
-    private boolean array = true;
+    private boolean expectArray = true;
     private int digits;
     private int length;
     private int partsLeft;
-    private int taken;
-    private byte[] part = new byte[FIRST_BYTES];
-    private int partLength;
+    private int messageBytes;
+    private byte[] part = new byte[INITIAL_PART_BYTES];
+    private int partBytes;
     private List<String> parts = new ArrayList<>();
 
     /**
-     * @param bytesMost bytes of one message, up to {@link #MAX_MESSAGE_BYTES}
-     * @param partsMost strings in one message
+     * Creates a reader at the start of a message.
+     *
+     * @param maxMessageBytes maximum bytes of one message, up to {@link #MAX_MESSAGE_BYTES}
+     * @param maxParts maximum number of strings in one message
      */
-    public RespReader(int bytesMost, int partsMost) {
-        this.bytesMost = bytesMost;
-        this.partsMost = partsMost;
+    public RespReader(int maxMessageBytes, int maxParts) {
+        this.maxMessageBytes = maxMessageBytes;
+        this.maxParts = maxParts;
     }
 
-    /** From the next message on (and for the rest of one begun), so many bytes are allowed. */
+    /** Changes the limit on the bytes of a message, including one that has begun. */
     public void setMaxMessageBytes(int bytes) {
-        bytesMost = bytes;
+        maxMessageBytes = bytes;
     }
 
-    /** Whether a message has begun and is not whole. */
+    /** Returns whether a message has begun and is incomplete. */
     public boolean inMessage() {
-        return taken > 0;
+        return messageBytes > 0;
     }
 
-    /** Reads up to the end of one message and leaves the rest; null if the bytes end before it does. */
+    /**
+     * Reads to the end of one message and leaves the remaining bytes; returns null if it is incomplete.
+     *
+     * @throws RespException if the bytes are not valid or exceed a limit
+     */
     public List<String> next(ByteBuffer bytes) throws RespException {
         while (bytes.hasRemaining()) {
             if (step == Step.BYTES) {
                 copy(bytes);
-            } else if (take(bytes.get())) {
-                List<String> whole = parts;
-                parts = new ArrayList<>(whole.size());
-                taken = 0;
-                array = true;
-                return whole;
+            } else if (readFraming(bytes.get())) {
+                List<String> message = parts;
+                parts = new ArrayList<>(message.size());
+                messageBytes = 0;
+                expectArray = true;
+                return message;
             }
         }
         return null;
     }
 
-    /** Takes one byte of framing; true if it ends a message. */
-    private boolean take(byte b) throws RespException {
-        count(1);
+    /** Reads one byte of framing; returns true if it ends a message. */
+    private boolean readFraming(byte b) throws RespException {
+        countBytes(1);
         switch (step) {
             case TYPE -> {
-                if (b != (array ? '*' : '$')) {
-                    throw broken(array ? "no array of bulk strings" : "a part is no bulk string");
+                if (b != (expectArray ? '*' : '$')) {
+                    throw fail(expectArray ? "not an array of bulk strings"
+                            : "array element is not a bulk string");
                 }
                 digits = 0;
                 length = 0;
@@ -84,15 +91,15 @@
             case LENGTH -> {
                 if (b == '\r' && digits > 0) {
                     step = Step.LENGTH_END;
-                } else if (b < '0' || b > '9' || ++digits > LENGTH_DIGITS) {
-                    throw broken("a length is no number, or impossible");
+                } else if (b < '0' || b > '9' || ++digits > MAX_LENGTH_DIGITS) {
+                    throw fail("length is not a number or has more than " + MAX_LENGTH_DIGITS + " digits");
                 } else {
                     length = length * 10 + b - '0';
                 }
             }
             case LENGTH_END -> {
                 expect(b, '\n');
-                begin();
+                onLength();
             }
             case BYTES_CR -> {
                 expect(b, '\r');
@@ -100,61 +107,61 @@
             }
             case BYTES_LF -> {
                 expect(b, '\n');
-                parts.add(new String(part, 0, partLength, StandardCharsets.UTF_8));
+                parts.add(new String(part, 0, partBytes, StandardCharsets.UTF_8));
                 step = Step.TYPE;
                 return --partsLeft == 0;
             }
-            default -> throw broken("already unreadable");
+            default -> throw fail("the stream has failed before");
         }
         return false;
     }
 
-    private void begin() throws RespException {
-        if (array) {
-            if (length < 1 || length > partsMost) {
-                throw broken("an array of " + length + " parts");
+    private void onLength() throws RespException {
+        if (expectArray) {
+            if (length < 1 || length > maxParts) {
+                throw fail("array of " + length + " elements, allowed are 1 to " + maxParts);
             }
             partsLeft = length;
-            array = false;
+            expectArray = false;
             step = Step.TYPE;
             return;
         }
-        if (length > bytesMost - taken) {
-            throw broken("a message of more than " + bytesMost + " bytes");
+        if (length > maxMessageBytes - messageBytes) {
+            throw fail("message of more than " + maxMessageBytes + " bytes");
         }
-        partLength = 0;
-        if (part.length > 16 * FIRST_BYTES) {
-            part = new byte[FIRST_BYTES]; // a long part's room is not kept
+        partBytes = 0;
+        if (part.length > 16 * INITIAL_PART_BYTES) {
+            part = new byte[INITIAL_PART_BYTES]; // releases the buffer of a long part
         }
         step = length == 0 ? Step.BYTES_CR : Step.BYTES;
     }
 
     private void copy(ByteBuffer bytes) throws RespException {
-        int some = Math.min(length - partLength, bytes.remaining());
-        count(some);
-        if (part.length < partLength + some) {
-            part = Arrays.copyOf(part, Math.min(length, Math.max(partLength + some, 2 * part.length)));
+        int available = Math.min(length - partBytes, bytes.remaining());
+        countBytes(available);
+        if (part.length < partBytes + available) {
+            part = Arrays.copyOf(part, Math.min(length, Math.max(partBytes + available, 2 * part.length)));
         }
-        bytes.get(part, partLength, some);
-        partLength += some;
-        step = partLength == length ? Step.BYTES_CR : Step.BYTES;
+        bytes.get(part, partBytes, available);
+        partBytes += available;
+        step = partBytes == length ? Step.BYTES_CR : Step.BYTES;
     }
 
-    private void count(int bytes) throws RespException {
-        taken += bytes;
-        if (taken > bytesMost) {
-            throw broken("a message of more than " + bytesMost + " bytes");
+    private void countBytes(int bytes) throws RespException {
+        messageBytes += bytes;
+        if (messageBytes > maxMessageBytes) {
+            throw fail("message of more than " + maxMessageBytes + " bytes");
         }
     }
 
     private void expect(byte b, char wanted) throws RespException {
         if (b != wanted) {
-            throw broken("a line or a part does not end where it should");
+            throw fail("line or bulk string does not end with CR LF");
         }
     }
 
-    private RespException broken(String why) {
+    private RespException fail(String reason) {
         step = Step.BROKEN;
-        return new RespException(why);
+        return new RespException(reason);
     }
 }
--- a/src/main/java/rowanmoor/resp/package-info.java
+++ b/src/main/java/rowanmoor/resp/package-info.java
@@ -1,5 +1,5 @@
 /**
- * RESP2 arrays of bulk strings: reading from bytes that come in any pieces, and writing. Job: framing only;
- * strict, bounded, no I/O. Thread rule: a reader belongs to its connection's thread.
+ * Encoding and incremental decoding of RESP2 arrays of bulk strings: strict, bounded, without I/O. A reader
+ * is confined to the thread of its connection.
  */
 package rowanmoor.resp;
--- a/src/main/java/rowanmoor/settings/SettingsReader.java
+++ b/src/main/java/rowanmoor/settings/SettingsReader.java
@@ -17,19 +17,19 @@
 import rowanmoor.ControlApi.Settings;
 
 /**
- * Turns what an instance is told at its start into {@link Settings}: the path=value lines of the bench, or
- * the platform's nested object, flattened to the same paths. Keys it does not know are skipped.
+ * Reads {@link Settings} from the path=value lines of the test bench, or from the nested object of the
+ * platform, which is flattened to the same paths. Unknown keys are ignored.
  */
 public final class SettingsReader {
 
     /**
-     * The settings, and the names that the platform's messages use where the module counts.
+     * The settings, and the names that stand in the platform's messages for the indices in the settings.
      *
-     * @param columns names of the load report's figures, in the settings' own words
-     * @param tick least time between two decisions, ns
+     * @param columns names of the figures in load reports, in order
+     * @param tick minimum time between two decisions, ns
      */
-    public record NamedSettings(Settings settings, List<String> zones, List<String> kinds, List<String> classes,
-            List<String> columns, long tick) { }
+    public record NamedSettings(Settings settings, List<String> zones, List<String> kinds,
+            List<String> classes, List<String> columns, long tick) { }
 
     private final Map<String, String> values;
 
@@ -37,7 +37,11 @@
         this.values = values;
     }
 
-    /** Reads path=value lines. */
+    /**
+     * Reads path=value lines.
+     *
+     * @throws InvalidSettingsException if a setting is missing or invalid
+     */
     public static Settings parseLines(String text) {
         Map<String, String> values = new HashMap<>();
         for (String line : text.split("\n")) {
@@ -49,7 +53,11 @@
         return new SettingsReader(values).settings();
     }
 
-    /** Reads a nested object of maps, lists, texts, numbers and truths. */
+    /**
+     * Reads a nested object of maps, lists, strings, numbers and booleans.
+     *
+     * @throws InvalidSettingsException if a setting is missing or invalid
+     */
     public static NamedSettings fromTree(Map<String, Object> tree) {
         Map<String, String> values = new HashMap<>();
         tree.forEach((key, value) -> flatten(key, value, values));
@@ -60,52 +68,54 @@
             names.add(reader.text("classes." + i + ".name"));
         }
         return new NamedSettings(settings, reader.list("dcs"), reader.list("kinds"), List.copyOf(names),
-                reader.list("report.columns"), Math.max(1, reader.time("tick_ns")));
+                reader.list("report.columns"), Math.max(1, reader.nanoseconds("tick_ns")));
     }
 
-    /** The same paths as the bench's lines have: plain lists joined by commas, objects counted. */
-    private static void flatten(String path, Object value, Map<String, String> into) {
+    /** Flattens a value to the paths of the bench: joins lists by commas, gives lists of objects a count. */
+    private static void flatten(String path, Object value, Map<String, String> values) {
         if (value instanceof Map<?, ?> map) {
-            map.forEach((key, inner) -> flatten(path + "." + key, inner, into));
+            map.forEach((key, inner) -> flatten(path + "." + key, inner, values));
         } else if (value instanceof List<?> list && list.stream().anyMatch(Map.class::isInstance)) {
-            into.put(path + ".count", Integer.toString(list.size()));
+            values.put(path + ".count", Integer.toString(list.size()));
             for (int i = 0; i < list.size(); i++) {
-                flatten(path + "." + i, list.get(i), into);
+                flatten(path + "." + i, list.get(i), values);
             }
         } else if (value instanceof List<?> list) {
-            into.put(path, String.join(",", list.stream().map(String::valueOf).toList()));
+            values.put(path, String.join(",", list.stream().map(String::valueOf).toList()));
         } else {
-            into.put(path, String.valueOf(value));
+            values.put(path, String.valueOf(value));
         }
     }
 
     private Settings settings() {
         List<ClassSpec> classes = new ArrayList<>();
-        int count = whole("classes.count");
+        int count = integer("classes.count");
         if (count < 1 || count > 16) {
             throw new InvalidSettingsException("setting classes.count is out of range: " + count);
         }
         for (int i = 0; i < count; i++) {
             classes.add(classSpec(i));
         }
-        return new Settings(whole("balancers"), list("dcs").size(), List.copyOf(classes),
-                word("registry_mode", Map.of("pushed", false, "on_request", true)), flag("limits.probes"),
-                word("extra.admission", Map.of("fraction", AdmissionMode.SHARE, "per_second", AdmissionMode.RATE,
-                        "off", AdmissionMode.OFF)),
-                whole("extra.ejects"), whole("extra.proxy_count"), whole("extra.key_ranges"),
-                time("extra.interval_ns"), number("extra.hears_per_s"), number("penalties.cross_zone"),
+        return new Settings(integer("balancers"), list("dcs").size(), List.copyOf(classes),
+                oneOf("registry_mode", Map.of("pushed", false, "on_request", true)), flag("limits.probes"),
+                oneOf("extra.admission", Map.of("fraction", AdmissionMode.SHARE,
+                        "per_second", AdmissionMode.RATE, "off", AdmissionMode.OFF)),
+                integer("extra.ejects"), integer("extra.proxy_count"), integer("extra.key_ranges"),
+                nanoseconds("extra.interval_ns"), number("extra.hears_per_s"), number("penalties.cross_zone"),
                 columns(), rules(), channel());
     }
 
-    private ClassSpec classSpec(int i) {
-        String at = "classes." + i + ".";
-        return new ClassSpec(time(at + "aim_ns"), time(at + "deadline_ns"), number(at + "credit"),
-                number(at + "late_worth"),
-                word(at + "effect", Map.of("retryable", Idempotency.SAFE, "dedup", Idempotency.KEYED,
+    private ClassSpec classSpec(int index) {
+        String prefix = "classes." + index + ".";
+        return new ClassSpec(nanoseconds(prefix + "aim_ns"), nanoseconds(prefix + "deadline_ns"),
+                number(prefix + "credit"), number(prefix + "late_worth"),
+                oneOf(prefix + "effect", Map.of("retryable", Idempotency.SAFE, "dedup", Idempotency.KEYED,
                         "fragile", Idempotency.UNSAFE)),
-                word(at + "key_scope", Map.of("all", DedupScope.ALL, "zone", DedupScope.ZONE, "cell", DedupScope.CELL)),
-                time(at + "window_ns"), listFlag("extra.mutating", i), listFlag("extra.home_only", i),
-                places(at + "only_zones"), places(at + "only_kinds"));
+                oneOf(prefix + "key_scope", Map.of("all", DedupScope.ALL, "zone", DedupScope.ZONE,
+                        "cell", DedupScope.CELL)),
+                nanoseconds(prefix + "window_ns"), flagAt("extra.mutating", index),
+                flagAt("extra.home_only", index),
+                indices(prefix + "only_zones"), indices(prefix + "only_kinds"));
     }
 
     private ReportColumns columns() {
@@ -114,16 +124,18 @@
     }
 
     private Rules rules() {
-        return new Rules(time("extra.blackhole_ns"), time("rules.drain_grace_ns"),
-                time("rules.cold_ns"), number("rules.cold_from"),
-                number("rules.overload_factor"), time("rules.fall_ns"),
-                values.containsKey("rules.must_ask_in_ns") ? time("rules.must_ask_in_ns") : Long.MAX_VALUE);
+        return new Rules(nanoseconds("extra.blackhole_ns"), nanoseconds("rules.drain_grace_ns"),
+                nanoseconds("rules.cold_ns"), number("rules.cold_from"),
+                number("rules.overload_factor"), nanoseconds("rules.fall_ns"),
+                values.containsKey("rules.must_ask_in_ns")
+                        ? nanoseconds("rules.must_ask_in_ns") : Long.MAX_VALUE);
     }
 
     private Channel channel() {
         return new Channel(number("extra.egress_per_s"), number("extra.per_message"),
-                number("extra.most_waiting"), whole("extra.messages_most"), time("extra.update_window_ns"),
-                time("extra.late_ns"), time("extra.transit_max_ns"));
+                number("extra.most_waiting"), integer("extra.messages_most"),
+                nanoseconds("extra.update_window_ns"), nanoseconds("extra.late_ns"),
+                nanoseconds("extra.transit_max_ns"));
     }
 
     private String text(String key) {
@@ -142,29 +154,29 @@
                 return parsed;
             }
         } catch (NumberFormatException e) {
-            // reported below, with the key
+            // the exception below names the key
         }
         throw new InvalidSettingsException("setting " + key + " is not a number: " + value);
     }
 
-    private int whole(String key) {
+    private int integer(String key) {
         double value = number(key);
         if (value != Math.rint(value) || Math.abs(value) > Integer.MAX_VALUE) {
-            throw new InvalidSettingsException("setting " + key + " is not a whole number: " + text(key));
+            throw new InvalidSettingsException("setting " + key + " is not an integer: " + text(key));
         }
         return (int) value;
     }
 
-    private long time(String key) {
+    private long nanoseconds(String key) {
         return Math.round(number(key));
     }
 
     private boolean flag(String key) {
-        return word(key, Map.of("true", true, "false", false));
+        return oneOf(key, Map.of("true", true, "false", false));
     }
 
-    private <T> T word(String key, Map<String, T> words) {
-        T meaning = words.get(text(key));
+    private <T> T oneOf(String key, Map<String, T> meanings) {
+        T meaning = meanings.get(text(key));
         if (meaning == null) {
             throw new InvalidSettingsException("setting " + key + " has an unknown value: " + text(key));
         }
@@ -176,22 +188,23 @@
         return value.isEmpty() ? List.of() : Arrays.asList(value.split(","));
     }
 
-    private boolean listFlag(String key, int i) {
+    private boolean flagAt(String key, int index) {
         List<String> flags = list(key);
-        return i < flags.size() && flags.get(i).equals("true");
+        return index < flags.size() && flags.get(index).equals("true");
     }
 
-    private Set<Integer> places(String key) {
-        Set<Integer> places = new TreeSet<>();
+    private Set<Integer> indices(String key) {
+        Set<Integer> indices = new TreeSet<>();
         for (String value : values.getOrDefault(key, "").split(",")) {
             if (!value.isEmpty()) {
                 try {
-                    places.add(Integer.valueOf(value));
+                    indices.add(Integer.valueOf(value));
                 } catch (NumberFormatException e) {
-                    throw new InvalidSettingsException("setting " + key + " is not a list of places: " + value);
+                    throw new InvalidSettingsException(
+                            "setting " + key + " is not a list of indices: " + value);
                 }
             }
         }
-        return places;
+        return indices;
     }
 }
--- a/src/main/java/rowanmoor/settings/package-info.java
+++ b/src/main/java/rowanmoor/settings/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Reads what the platform tells an instance at its start, in both its forms. Job: paths to typed settings.
- * Thread rule: nothing is shared.
+ * Reads the settings of an instance, from key=value lines or from a nested object, into typed settings. No
+ * state is shared between threads.
  */
 package rowanmoor.settings;
--- a/src/test/java/rowanmoor/benchlink/LinkTest.java
+++ b/src/test/java/rowanmoor/benchlink/BenchServerTest.java
@@ -16,7 +16,6 @@
 import java.util.List;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import rowanmoor.settings.SettingsReaderTest;
 import rowanmoor.ControlApi.Admit;
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Bind;
@@ -36,11 +35,13 @@
 import rowanmoor.ControlApi.Usage;
 import rowanmoor.ControlApi.Watch;
 import rowanmoor.ControlApi.Withdraw;
+import rowanmoor.settings.SettingsReaderTest;
 
-class LinkTest {
+/** The bench protocol: decoding, encoding, and several instances on one connection. */
+class BenchServerTest {
 
-    private static final Backend B = new Backend(0x0a0102031f40L);
-    private static final String B_HEX = "0a010203401f";
+    private static final Backend BACKEND = new Backend(0x0a0102031f40L);
+    private static final String BACKEND_HEX = "0a010203401f";
 
     static byte[] hex(String text) {
         return HexFormat.of().parseHex(text.replaceAll("\\s", ""));
@@ -52,8 +53,8 @@
                 .putInt(body.length).put(body).rewind();
     }
 
-    private static Object event(Reader reader, int code, String fields) {
-        return ((Reader.Heard) reader.next(record(code, fields))).event();
+    private static Object event(BatchDecoder decoder, int code, String fields) {
+        return ((BatchDecoder.InstanceEvent) decoder.next(record(code, fields))).event();
     }
 
     static byte[] batch(int number, long now, ByteBuffer... records) {
@@ -80,65 +81,65 @@
     }
 
     @Test
-    void eventsAreReadFromTheirFrames() {
-        Reader reader = new Reader();
-        assertEquals(new ProxyJoined(41, 1, 6.5, true), event(reader, 70, "03000000 2900 0100 0000d040 01"));
-        assertEquals(new ProxyLeft(41), event(reader, 80, "05000000 2900"));
-        assertEquals(new Usage(41, 1, 9, 2, 5), event(reader, 110,
+    void eventsAreDecoded() {
+        BatchDecoder decoder = new BatchDecoder();
+        assertEquals(new ProxyJoined(41, 1, 6.5, true), event(decoder, 70, "03000000 2900 0100 0000d040 01"));
+        assertEquals(new ProxyLeft(41), event(decoder, 80, "05000000 2900"));
+        assertEquals(new Usage(41, 1, 9, 2, 5), event(decoder, 110,
                 "03000000 2900 0100 09000000 02000000 0500000000000000"));
-        assertEquals(new Tally(B, 1, 14, 3, 7, 9, List.of(2.0, 14.5)), event(reader, 100,
-                "03000000 0700000000000000" + B_HEX
+        assertEquals(new Tally(BACKEND, 1, 14, 3, 7, 9, List.of(2.0, 14.5)), event(decoder, 100,
+                "03000000 0700000000000000" + BACKEND_HEX
                         + "0900000000000000 03000000 0100 0e000000 02 00000040 00006841"));
-        assertEquals(new Probed(B, true, 10, 8, List.of()), event(reader, 40,
-                "03000000 0a00 0800000000000000" + B_HEX + "00"));
+        assertEquals(new Probed(BACKEND, true, 10, 8, List.of()), event(decoder, 40,
+                "03000000 0a00 0800000000000000" + BACKEND_HEX + "00"));
     }
 
     @Test
-    void aListIsResolvedByTheNumberItHadWhenTheEventCame() {
-        Reader reader = new Reader();
-        String entry = B_HEX + "0100 0000 0200 01 0000c03f 0500000000000000";
-        reader.next(record(150, "0300 01000000" + entry));
-        Members members = (Members) event(reader, 20, "03000000 00 29000000 0300");
-        assertEquals(List.of(new Member(B, 1, 0, 2, Availability.READY, 1.5, 5)), members.entries());
-        reader.next(record(150, "0300 00000000"));
-        assertEquals(List.of(), ((Members) event(reader, 20, "03000000 01 2a000000 0300")).entries());
-        assertThrows(MalformedBatchException.class, () -> event(reader, 20, "03000000 01 2a000000 0400"));
+    void eventUsesTheCatalogThatItsSlotHeldWhenItArrived() {
+        BatchDecoder decoder = new BatchDecoder();
+        String entry = BACKEND_HEX + "0100 0000 0200 01 0000c03f 0500000000000000";
+        decoder.next(record(150, "0300 01000000" + entry));
+        Members members = (Members) event(decoder, 20, "03000000 00 29000000 0300");
+        assertEquals(List.of(new Member(BACKEND, 1, 0, 2, Availability.READY, 1.5, 5)), members.entries());
+        decoder.next(record(150, "0300 00000000"));
+        assertEquals(List.of(), ((Members) event(decoder, 20, "03000000 01 2a000000 0300")).entries());
+        assertThrows(MalformedBatchException.class, () -> event(decoder, 20, "03000000 01 2a000000 0400"));
     }
 
     @Test
-    void actionsAreWrittenAsTheirFrames() {
-        Writer writer = new Writer();
-        writer.add(3, new Watch(true));
-        writer.add(3, new Admit(117, 2, 0.75, RetryPolicy.ONCE_UNRUN));
-        writer.add(3, new Log("ab"));
-        writer.add(3, new Mark(12));
-        writer.add(3, new Probe(B));
-        writer.add(3, new Withdraw(B, true));
-        writer.add(3, new SetLine(117, B, 0.75));
-        writer.add(3, new TimerAt(7, 77));
-        writer.add(3, new Bind(41, 117, 0));
-        writer.die(3, "x");
+    void actionsAreEncoded() {
+        ReplyEncoder reply = new ReplyEncoder();
+        reply.add(3, new Watch(true));
+        reply.add(3, new Admit(117, 2, 0.75, RetryPolicy.ONCE_UNRUN));
+        reply.add(3, new Log("ab"));
+        reply.add(3, new Mark(12));
+        reply.add(3, new Probe(BACKEND));
+        reply.add(3, new Withdraw(BACKEND, true));
+        reply.add(3, new SetLine(117, BACKEND, 0.75));
+        reply.add(3, new TimerAt(7, 77));
+        reply.add(3, new Bind(41, 117, 0));
+        reply.addFailure(3, "x");
         assertArrayEquals(hex("05000000 a3000000 0a000000"
                 + "0a 05000000 03000000 01"
                 + "14 0d000000 03000000 7500 0200 0000403f 01"
                 + "1e 08000000 03000000 0200 6162"
                 + "32 09000000 03000000 0c000000 00"
-                + "3c 0a000000 03000000" + B_HEX
-                + "46 0b000000 03000000" + B_HEX + "01"
-                + "50 10000000 03000000" + B_HEX + "0000403f 7500"
+                + "3c 0a000000 03000000" + BACKEND_HEX
+                + "46 0b000000 03000000" + BACKEND_HEX + "01"
+                + "50 10000000 03000000" + BACKEND_HEX + "0000403f 7500"
                 + "64 14000000 03000000 0700000000000000 4d00000000000000"
                 + "6e 0a000000 03000000 2900 7500 0000"
-                + "82 07000000 03000000 0100 78"), writer.reply(5));
+                + "82 07000000 03000000 0100 78"), reply.encode(5));
     }
 
     @Test
-    void anEmptyBatchGetsAnEmptyReplyAndTheInputsEndEndsTheLoop() throws IOException {
+    void emptyBatchGetsAnEmptyReplyAndEndOfInputEndsTheServer() throws IOException {
         assertArrayEquals(hex("01000000 04000000 00000000"), serve(batch(1, 9)));
         assertEquals(0, serve().length);
     }
 
     @Test
-    void truncatedAndImpossibleFramesAreNamedInAPlainMessage() {
+    void truncatedAndInvalidBatchesAreReported() {
         byte[] whole = batch(1, 9, record(30, "03000000 0700000000000000"));
         for (int cut = 1; cut < whole.length; cut++) {
             byte[] part = java.util.Arrays.copyOf(whole, cut);
@@ -151,25 +152,25 @@
     }
 
     @Test
-    void unknownEventCodesAreSkipped() throws IOException {
+    void unknownEventCodesAreIgnored() throws IOException {
         assertArrayEquals(hex("02000000 04000000 00000000"),
                 serve(batch(2, 9, record(200, "0102"), record(145, "03000000"), record(5, ""))));
     }
 
-    static ByteBuffer launch(int who, long seed) {
-        byte[] setup = SettingsReaderTest.SETTINGS.getBytes(StandardCharsets.UTF_8);
-        return ByteBuffer.allocate(21 + setup.length).order(ByteOrder.LITTLE_ENDIAN).put((byte) 10)
-                .putInt(16 + setup.length).putInt(who).putLong(seed).putInt(setup.length).put(setup).rewind();
+    static ByteBuffer start(int instance, long seed) {
+        byte[] settings = SettingsReaderTest.SETTINGS.getBytes(StandardCharsets.UTF_8);
+        return ByteBuffer.allocate(21 + settings.length).order(ByteOrder.LITTLE_ENDIAN).put((byte) 10)
+                .putInt(16 + settings.length).putInt(instance).putLong(seed).putInt(settings.length).put(settings).rewind();
     }
 
-    private static ByteBuffer[] starting(int who) {
-        String entry = B_HEX + "0000 0000 0000 01 0000803f 0000000000000000";
-        String id = String.format("%02x000000", who);
-        return new ByteBuffer[] {launch(who, 5), record(150, "0000 01000000" + entry),
+    private static ByteBuffer[] startWithOneBackend(int instance) {
+        String entry = BACKEND_HEX + "0000 0000 0000 01 0000803f 0000000000000000";
+        String id = String.format("%02x000000", instance);
+        return new ByteBuffer[] {start(instance, 5), record(150, "0000 01000000" + entry),
             record(20, id + "02 01000000 0000"), record(70, id + "0100 0000 00000041 01")};
     }
 
-    /** The records of each instance in a run of replies. */
+    /** Returns the records of each instance in a sequence of replies. */
     private static TreeMap<Integer, List<String>> byInstance(byte[] replies) {
         TreeMap<Integer, List<String>> records = new TreeMap<>();
         ByteBuffer in = ByteBuffer.wrap(replies).order(ByteOrder.LITTLE_ENDIAN);
@@ -187,9 +188,9 @@
     }
 
     @Test
-    void twoInterleavedInstancesActAsEachAlone() throws IOException {
-        ByteBuffer[] first = starting(1);
-        ByteBuffer[] second = starting(2);
+    void interleavedInstancesActAsEachAlone() throws IOException {
+        ByteBuffer[] first = startWithOneBackend(1);
+        ByteBuffer[] second = startWithOneBackend(2);
         byte[] both = serve(batch(1, 9, first[0], second[0], first[1], second[2], first[2], second[3],
                 first[3]),
                 batch(2, 2_000_000_009L, record(30, "01000000 0000000000000000"),
@@ -203,10 +204,10 @@
     }
 
     @Test
-    void aKilledInstanceIsSilentAndARelaunchStartsAfresh() throws IOException {
-        byte[] first = serve(batch(1, 9, starting(1)));
-        byte[] again = serve(batch(1, 9, starting(1)), batch(2, 9, record(60, "01000000")),
-                batch(3, 9, record(30, "01000000 0000000000000000")), batch(1, 9, starting(1)));
+    void stoppedInstanceIsSilentAndARestartBeginsAnew() throws IOException {
+        byte[] first = serve(batch(1, 9, startWithOneBackend(1)));
+        byte[] again = serve(batch(1, 9, startWithOneBackend(1)), batch(2, 9, record(60, "01000000")),
+                batch(3, 9, record(30, "01000000 0000000000000000")), batch(1, 9, startWithOneBackend(1)));
         ByteArrayOutputStream expected = new ByteArrayOutputStream();
         expected.writeBytes(first);
         expected.writeBytes(hex("02000000 04000000 00000000 03000000 04000000 00000000"));
@@ -215,10 +216,10 @@
     }
 
     @Test
-    void anExceptionInTheDecisionCodeIsDeclared() throws IOException {
-        // A class that the settings do not have cannot be counted.
-        byte[] reply = serve(batch(1, 9, starting(1)),
+    void exceptionInThePolicyIsReported() throws IOException {
+        // A class that the settings do not have makes the policy throw.
+        byte[] reply = serve(batch(1, 9, startWithOneBackend(1)),
                 batch(2, 9, record(110, "01000000 0100 0900 09000000 00000000 0500000000000000")));
-        assertTrue(byInstance(reply).get(1).stream().anyMatch(r -> r.startsWith("-126")), "die has code 130");
+        assertTrue(byInstance(reply).get(1).stream().anyMatch(r -> r.startsWith("-126")), "a failure has code 130");
     }
 }
--- a/src/test/java/rowanmoor/settings/SettingsReaderTest.java
+++ b/src/test/java/rowanmoor/settings/SettingsReaderTest.java
@@ -11,6 +11,7 @@
 
 public class SettingsReaderTest {
 
+    /** Valid settings with an unknown key in the last line. */
     public static final String SETTINGS = String.join("\n",
             "balancers=1", "dcs=left,right", "classes.count=2",
             "classes.0.aim_ns=700000000", "classes.0.deadline_ns=2000000000", "classes.0.credit=1.0",
@@ -19,8 +20,10 @@
                     "classes.1.deadline_ns=2000000000",
             "classes.1.credit=4.0", "classes.1.late_worth=0.3", "classes.1.effect=dedup",
             "classes.1.key_scope=zone", "classes.1.window_ns=1500000000", "classes.1.only_kinds=1",
-            "registry_mode=pushed", "limits.probes=false",             "extra.admission=per_second",             "extra.ejects=0", "extra.proxy_count=6", "extra.key_ranges=0",             "extra.interval_ns=1000000000", "extra.hears_per_s=200.0", "extra.mutating=false,true",
-            "extra.home_only=false,false", "penalties.cross_zone=0.01",             "report.columns=busy,rif", "extra.blackhole_ns=3000000000",
+            "registry_mode=pushed", "limits.probes=false", "extra.admission=per_second", "extra.ejects=0",
+            "extra.proxy_count=6", "extra.key_ranges=0", "extra.interval_ns=1000000000",
+            "extra.hears_per_s=200.0", "extra.mutating=false,true",
+            "extra.home_only=false,false", "penalties.cross_zone=0.01", "report.columns=busy,rif", "extra.blackhole_ns=3000000000",
             "rules.drain_grace_ns=2500000000", "rules.cold_ns=9000000000", "rules.cold_from=0.2",
             "rules.overload_factor=3.0", "rules.fall_ns=1000000000", "extra.egress_per_s=3000.0",
             "extra.per_message=7.0", "extra.most_waiting=5000.0", "extra.messages_most=0",
@@ -28,7 +31,7 @@
             "some.key.nobody.knows=whatever");
 
     @Test
-    void settingsAreReadAndUnknownKeysSkipped() {
+    void settingsAreReadAndUnknownKeysIgnored() {
         Settings settings = SettingsReader.parseLines(SETTINGS);
         assertEquals(2, settings.classes().size());
         assertEquals(Idempotency.KEYED, settings.classes().get(1).idempotency());
@@ -41,7 +44,7 @@
     }
 
     @Test
-    void aMissingOrUnreadableSettingIsNamed() {
+    void missingOrInvalidSettingIsNamedInTheError() {
         for (String line : SETTINGS.split("\n")) {
             String key = line.substring(0, line.indexOf('='));
             if (key.startsWith("some.") || key.endsWith("only_kinds")) {
@@ -51,8 +54,8 @@
                     () -> SettingsReader.parseLines(SETTINGS.replace(line + "\n", "")), key);
             assertTrue(missing.getMessage().contains(key), missing.getMessage());
         }
-        InvalidSettingsException wrong = assertThrows(InvalidSettingsException.class,
+        InvalidSettingsException invalid = assertThrows(InvalidSettingsException.class,
                 () -> SettingsReader.parseLines(SETTINGS.replace("extra.ejects=0", "extra.ejects=x")));
-        assertTrue(wrong.getMessage().contains("setting extra.ejects is not a number"), wrong.getMessage());
+        assertTrue(invalid.getMessage().contains("setting extra.ejects is not a number"), invalid.getMessage());
     }
 }
