--- a/src/main/java/rowanmoor/ControlApi.java
+++ b/src/main/java/rowanmoor/ControlApi.java
@@ -136,8 +136,8 @@
     record Withdraw(Backend backend, boolean withdrawn, boolean boundOnly) implements Action {
 
         /** Notifies every proxy that may hold the backend. */
-        public Withdraw(Backend backend, boolean out) {
-            this(backend, out, false);
+        public Withdraw(Backend backend, boolean withdrawn) {
+            this(backend, withdrawn, false);
         }
     }
 
@@ -160,8 +160,8 @@
     record Bind(int proxy, int table, int classMask, List<Backend> readmitted) implements Action {
 
         /** Binds a proxy at which none of the table's backends is withdrawn. */
-        public Bind(int proxy, int table, int classes) {
-            this(proxy, table, classes, List.of());
+        public Bind(int proxy, int table, int classMask) {
+            this(proxy, table, classMask, List.of());
         }
     }
 
--- a/src/main/java/rowanmoor/benchlink/ReplyEncoder.java
+++ b/src/main/java/rowanmoor/benchlink/ReplyEncoder.java
@@ -17,7 +17,7 @@
 import rowanmoor.ControlApi.Watch;
 import rowanmoor.ControlApi.Withdraw;
 
-/** Encodes the actions of one reply; numbers are little-endian. */
+/** Encodes the actions of one reply; numbers are little-endian, IPv4 addresses in network order. */
 final class ReplyEncoder {
 
     private static final int MAX_TEXT_BYTES = 60000;
