--- a/src/main/java/rowanmoor/host/TickRunner.java
+++ b/src/main/java/rowanmoor/host/TickRunner.java
@@ -133,7 +133,7 @@
 
     /** Returns the state that the policy keeps for each backend. */
     public List<BackendEstimate> backendEstimates(long now) {
-        return policy.beliefs(now);
+        return policy.backendEstimates(now);
     }
 
     /**
