--- a/src/main/java/rowanmoor/benchlink/BatchDecoder.java
+++ b/src/main/java/rowanmoor/benchlink/BatchDecoder.java
@@ -22,8 +22,8 @@
 
 /**
  * Decodes one batch, record by record. A catalog is stored in a numbered slot before the events that refer to
- * it, and slots are reused: records must be decoded in order. Numbers are little-endian, but the IPv4
- * address of a backend is in network order.
+ * it, and slots are reused: records must be decoded in order. Numbers are little-endian, but the IPv4 address
+ * of a backend is in network order.
  */
 final class BatchDecoder {
 
