--- a/src/test/java/rowanmoor/host/TickRunnerTest.java
+++ b/src/test/java/rowanmoor/host/TickRunnerTest.java
@@ -4,10 +4,10 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.Event;
 import rowanmoor.ControlApi.CatalogUpdateKind;
-import rowanmoor.ControlApi.Availability;
+import rowanmoor.ControlApi.Event;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
 import rowanmoor.ControlApi.ProxyJoined;
