--- a/src/main/java/rowanmoor/controller/Controller.java
+++ b/src/main/java/rowanmoor/controller/Controller.java
@@ -66,29 +66,29 @@
         this.config = config;
         this.loop = loop;
         Settings settings = config.site().settings(config.instances());
-        this.trace = config.trace() == null ? null : new Trace(config.trace(), settings, seed,
+        this.trace = config.traceFile() == null ? null : new Trace(config.traceFile(), settings, seed,
                 why -> LOG.error("trace ended {}", kv("why", why)));
         this.capture = config.capture() == null ? null : new CaptureWriter(config.capture(),
                 new LoadRecord.Start(loop.now(), wallClockMs.getAsLong(), config.rank(), epoch,
                         config.site().zones(), config.site().kinds(), config.site().classNames()),
                 text -> LOG.error("capture {}", kv("what", text)));
-        this.ticks = new Ticks(loop, config.tick(), now -> driver().tick(now), () -> driver().nextTickAt());
+        this.ticks = new Ticks(loop, config.minTickNs(), now -> driver().tick(now), () -> driver().nextTickAt());
         this.driver = new Driver(settings, seed, epoch, loop.now(), this, System::nanoTime);
-        this.roster = new RosterClient(loop, config.roster(), config.service(), "rowanmoor-" + config.rank(),
-                config.rosterWait(), config.emptyHold(), config.site().zones(), config.site().kinds(),
+        this.roster = new RosterClient(loop, config.rosterAddress(), config.serviceName(), "rowanmoor-" + config.rank(),
+                config.rosterWaitNs(), config.emptyRosterHoldNs(), config.site().zones(), config.site().kinds(),
                 wallClockMs, members -> {
                     driver.onMembers(members);
                     members.entries().forEach(this::captureMember);
                     ticks.soon();
                 }, text -> LOG.warn("roster {}", kv("what", text)));
-        LoadColumns columns = new LoadColumns(config.site().columns());
-        this.prober = new Prober(loop, config.probePath(), config.probeWithin(), config.probesAtOnce(),
+        LoadColumns columns = new LoadColumns(config.site().loadColumns());
+        this.prober = new Prober(loop, config.probePath(), config.probeTimeoutNs(), config.maxConcurrentProbes(),
                 Addresses::toSocketAddress, answer -> columns.parse(answer.fields().get(Orca.FIELD)),
                 probed -> {
                     driver.onProbeResult(probed);
                     ticks.soon();
                 });
-        this.listener = loop.listen(config.listen(), connectionOptions(), this::accept);
+        this.listener = loop.listen(config.listenAddress(), connectionOptions(), this::accept);
         driver.onMembers(roster.view().initialMembers());
         ticks.soon();
         logStats();
@@ -98,8 +98,8 @@
 
     private Connection.Options connectionOptions() {
         // A proxy that does not read is disconnected: when it joins again, one message restores its state.
-        return Connection.Options.usual().idleAfter(config.silentAfter())
-                .bound(new Bound(config.queueBytes(), MAX_QUEUED_FRAMES, Bound.Policy.CLOSE));
+        return Connection.Options.usual().idleAfter(config.proxyTimeoutNs())
+                .bound(new Bound(config.maxQueuedBytes(), MAX_QUEUED_FRAMES, Bound.Policy.CLOSE));
     }
 
     /** Returns the address on which proxies connect. */
@@ -113,12 +113,12 @@
     }
 
     private ProxyStream accept(Connection connection) {
-        if (openStreams >= config.streamsMost()) {
+        if (openStreams >= config.maxStreams()) {
             LOG.warn("stream refused: too many {}", kv("open", openStreams));
             return null;
         }
         openStreams++;
-        return new ProxyStream(loop, this, config.helloWithin(), config.silentAfter() / 3);
+        return new ProxyStream(loop, this, config.helloTimeoutNs(), config.proxyTimeoutNs() / 3);
     }
 
     // ---- streams -------------------------------------------------------------------------------------
@@ -280,7 +280,7 @@
                 kv("decideP99us", decisionTimesNs.getValueAtPercentile(99) / 1000),
                 kv("decideMaxUs", decisionTimesNs.getMaxValue() / 1000), kv("cpuMs", cpuMillis()),
                 kv("heapBytes", runtime.totalMemory() - runtime.freeMemory()));
-        loop.after(config.statsEvery(), this::logStats);
+        loop.after(config.statsIntervalNs(), this::logStats);
     }
 
     private static long cpuMillis() {
--- a/src/test/java/rowanmoor/controller/DriverPartsTest.java
+++ b/src/test/java/rowanmoor/controller/DriverPartsTest.java
@@ -23,7 +23,7 @@
 import rowanmoor.ControlApi.Tally;
 import rowanmoor.ControlApi.Usage;
 import rowanmoor.channel.Frame;
-import rowanmoor.config.ConfigError;
+import rowanmoor.config.ConfigException;
 import rowanmoor.config.ControllerConfig;
 
 /** The driver and its parts, on a clock that the test advances. */
@@ -94,7 +94,7 @@
     }
 
     /** Feeds 20 s of scripted events to a driver; returns all of its side effects in order. */
-    private static List<String> runScenario(long seed, Trace trace) throws ConfigError {
+    private static List<String> runScenario(long seed, Trace trace) throws ConfigException {
         Settings settings = ControllerConfig.read(Path.of("conf/controller.kdl")).site().settings(1);
         List<String> effects = new ArrayList<>();
         Driver driver = new Driver(settings, seed, 5, START_NS, new Driver.Environment() {
@@ -151,7 +151,7 @@
     }
 
     @Test
-    void sameEventsGiveTheSameEffects() throws ConfigError {
+    void sameEventsGiveTheSameEffects() throws ConfigException {
         List<String> first = runScenario(3, null);
         assertTrue(first.size() > 50, first.size() + " lines");
         assertEquals(first, runScenario(3, null));
@@ -159,7 +159,7 @@
 
     @Test
     void replayDetectsTruncatedAndModifiedTraces(@TempDir Path dir)
-            throws IOException, ConfigError {
+            throws IOException, ConfigException {
         Path file = dir.resolve("t.trace");
         Settings settings = ControllerConfig.read(Path.of("conf/controller.kdl")).site().settings(1);
         try (Trace trace = new Trace(file, settings, 3, why -> { })) {
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void marksOfAnotherEpochAndUnknownMarksAreIgnored() throws ConfigError {
+    void marksOfAnotherEpochAndUnknownMarksAreIgnored() throws ConfigException {
         Settings settings = ControllerConfig.read(Path.of("conf/controller.kdl")).site().settings(1);
         List<Event> fedEvents = new ArrayList<>();
         Driver driver = new Driver(settings, 1, 5, START_NS, new NoEffects() {
@@ -208,13 +208,13 @@
         public void log(String text) { }
     }
 
-    private static Driver newDriver() throws ConfigError {
+    private static Driver newDriver() throws ConfigException {
         Settings settings = ControllerConfig.read(Path.of("conf/controller.kdl")).site().settings(1);
         return new Driver(settings, 1, 5, START_NS, new NoEffects(), () -> 0);
     }
 
     @Test
-    void replacedBackendsAreEventuallyForgotten() throws ConfigError {
+    void replacedBackendsAreEventuallyForgotten() throws ConfigException {
         Driver driver = newDriver();
         long now = START_NS;
         for (int i = 0; i < 2000; i++) {
@@ -229,7 +229,7 @@
     }
 
     @Test
-    void repeatedResyncsQueueOneSnapshot() throws ConfigError {
+    void repeatedResyncsQueueOneSnapshot() throws ConfigException {
         Driver driver = newDriver();
         driver.onMembers(new Members(CatalogUpdateKind.FULL, 1, List.of(
                 new Member(new Backend(100), 0, 0, 0, Availability.READY, 1, 0))));
