--- a/src/main/java/rowanmoor/channel/FrameReader.java
+++ b/src/main/java/rowanmoor/channel/FrameReader.java
@@ -2,67 +2,79 @@
 
 import java.nio.ByteBuffer;
 
-/** Cuts a stream into frames, however its bytes come. After an error it is of no further use. */
+/**
+ * Splits a byte stream into frames, regardless of how the bytes are fragmented. Unusable after the first
+ * error, because the next frame boundary is then unknown.
+ */
 public final class FrameReader {
 
-    private static final int FIRST_ROOM = 512;
+    private static final int INITIAL_BUFFER_BYTES = 512;
+    private static final int LENGTH_PREFIX_BYTES = 4;
 
     private final ChannelLimits limits;
-    private ByteBuffer held = ByteBuffer.allocate(FIRST_ROOM);
-    private int length = -1;
-    private boolean broken;
+    private ByteBuffer buffer = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
+    private int frameLength = -1;
+    private boolean failed;
 
     public FrameReader(ChannelLimits limits) {
         this.limits = limits;
     }
 
-    /** Whether a frame has begun and is not whole. */
+    /** Returns whether part of a frame has been received and the rest is outstanding. */
     public boolean hasPartialFrame() {
-        return length >= 0 || held.position() > 0;
+        return frameLength >= 0 || buffer.position() > 0;
     }
 
-    /** The next whole frame, or null if the bytes end before it does; leaves the bytes behind it. */
+    /**
+     * Consumes bytes up to the end of the next frame.
+     *
+     * @return the frame, or null if {@code bytes} ran out before the frame was complete
+     * @throws ChannelException if the frame is malformed or too long, or if an earlier call failed
+     */
     public Frame next(ByteBuffer bytes) throws ChannelException {
-        if (broken) {
-            throw new ChannelException("the stream is no longer framed");
+        if (failed) {
+            throw new ChannelException("frame boundary lost after an earlier error");
         }
-        if (length < 0) {
-            take(bytes, 4);
-            if (held.position() < 4) {
+        if (frameLength < 0) {
+            fillBuffer(bytes, LENGTH_PREFIX_BYTES);
+            if (buffer.position() < LENGTH_PREFIX_BYTES) {
                 return null;
             }
-            long stated = held.getInt(0) & 0xffffffffL;
-            if (stated < 1 || stated > limits.maxFrameBytes()) {
-                broken = true;
-                throw new ChannelException("a frame of " + stated + " bytes");
+            long declaredLength = buffer.getInt(0) & 0xffffffffL;
+            if (declaredLength < 1 || declaredLength > limits.maxFrameBytes()) {
+                failed = true;
+                throw new ChannelException("frame length out of range: " + declaredLength + " bytes");
             }
-            length = (int) stated;
-            held.clear();
+            frameLength = (int) declaredLength;
+            buffer.clear();
         }
-        take(bytes, length);
-        if (held.position() < length) {
+        fillBuffer(bytes, frameLength);
+        if (buffer.position() < frameLength) {
             return null;
         }
-        length = -1;
-        ByteBuffer whole = held.flip();
+        frameLength = -1;
+        ByteBuffer frameBytes = buffer.flip();
         try {
-            return Codec.decode(whole, limits);
+            return Codec.decode(frameBytes, limits);
         } catch (ChannelException e) {
-            broken = true;
+            failed = true;
             throw e;
         } finally {
-            held.clear();
+            buffer.clear();
         }
     }
 
-    /** Holds bytes up to a count. Room grows with what has come, never ahead of it. */
-    private void take(ByteBuffer bytes, int upTo) {
-        int count = Math.min(upTo - held.position(), bytes.remaining());
-        if (count > held.remaining()) {
-            int room = Math.min(upTo, Math.max(held.capacity() * 2, held.position() + count));
-            held = ByteBuffer.allocate(room).put(held.flip());
+    /**
+     * Moves bytes into the buffer until it holds {@code targetBytes}. The buffer grows with the bytes
+     * received, never with the declared frame length alone.
+     */
+    private void fillBuffer(ByteBuffer bytes, int targetBytes) {
+        int count = Math.min(targetBytes - buffer.position(), bytes.remaining());
+        if (count > buffer.remaining()) {
+            int capacity = Math.min(targetBytes, Math.max(buffer.capacity() * 2, buffer.position() + count));
+            buffer = ByteBuffer.allocate(capacity).put(buffer.flip());
         }
-        held.put(bytes.slice(bytes.position(), count));
+        buffer.put(bytes.slice(bytes.position(), count));
         bytes.position(bytes.position() + count);
     }
 }
--- a/src/main/java/rowanmoor/controller/Controller.java
+++ b/src/main/java/rowanmoor/controller/Controller.java
@@ -32,12 +32,12 @@
 import rowanmoor.net.Loop;
 import rowanmoor.net.Ticks;
 
-/** The daemon: one {@link Driver} on one loop, with its streams, its roster and its probes. */
+/** The controller process: a {@link Driver} on an event loop, with the proxy streams, roster and prober. */
 public final class Controller implements Driver.Environment, ProxyStream.Owner {
 
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
-    private static final int FRAMES_MOST = 65536;
-    private static final long HIGHEST_TIMED = 60_000_000_000L;
+    private static final int MAX_QUEUED_FRAMES = 65536;
+    private static final long MAX_RECORDED_DECISION_NS = 60_000_000_000L;
 
     private final ControllerConfig config;
     private final Loop loop;
@@ -48,19 +48,20 @@
     private final CaptureWriter capture;
     private final Loop.Listener listener;
     private final Map<Integer, ProxyStream> streams = new TreeMap<>();
-    private final ReportReceiver reports = new ReportReceiver();
-    private final Histogram decided = new Histogram(HIGHEST_TIMED, 3);
+    private final ReportReceiver reportReceiver = new ReportReceiver();
+    private final Histogram decisionTimesNs = new Histogram(MAX_RECORDED_DECISION_NS, 3);
     private final Ticks ticks;
-    private int open;
+    private int openStreams;
 
     /**
-     * Listens at once.
+     * Starts listening.
      *
-     * @param seed seeds the module
-     * @param epoch names this start; another at every start
-     * @param wall milliseconds since 1970, by which the roster states when backends started
+     * @param seed seed of the policy's random numbers
+     * @param epoch identifies this start; must differ at every start
+     * @param wallClockMs wall clock in milliseconds since 1970, to which the roster's start times refer
+     * @throws IOException if the address cannot be bound or an output file cannot be opened
      */
-    public Controller(ControllerConfig config, Loop loop, long seed, long epoch, LongSupplier wall)
+    public Controller(ControllerConfig config, Loop loop, long seed, long epoch, LongSupplier wallClockMs)
             throws IOException {
         this.config = config;
         this.loop = loop;
@@ -68,79 +69,83 @@
         this.trace = config.traceFile() == null ? null : new Trace(config.traceFile(), settings, seed,
                 why -> LOG.error("trace ended {}", kv("why", why)));
         this.capture = config.capture() == null ? null : new CaptureWriter(config.capture(),
-                new LoadRecord.Start(loop.now(), wall.getAsLong(), config.rank(), epoch,
-                        config.site().zones(),
-                        config.site().kinds(), config.site().classNames()), text -> LOG.error("capture {}",
-                                kv("what", text)));
+                new LoadRecord.Start(loop.now(), wallClockMs.getAsLong(), config.rank(), epoch,
+                        config.site().zones(), config.site().kinds(), config.site().classNames()),
+                text -> LOG.error("capture {}", kv("what", text)));
         this.ticks = new Ticks(loop, config.minTickNs(), now -> driver().tick(now), () -> driver().nextTickAt());
         this.driver = new Driver(settings, seed, epoch, loop.now(), this, System::nanoTime);
         this.roster = new RosterClient(loop, config.rosterAddress(), config.serviceName(), "rowanmoor-" + config.rank(),
-                config.rosterWaitNs(),
-                config.emptyRosterHoldNs(), config.site().zones(), config.site().kinds(), wall, members -> {
+                config.rosterWaitNs(), config.emptyRosterHoldNs(), config.site().zones(), config.site().kinds(),
+                wallClockMs, members -> {
                     driver.onMembers(members);
-                    members.entries().forEach(this::captureListed);
+                    members.entries().forEach(this::captureMember);
                     ticks.soon();
                 }, text -> LOG.warn("roster {}", kv("what", text)));
         LoadColumns columns = new LoadColumns(config.site().loadColumns());
         this.prober = new Prober(loop, config.probePath(), config.probeTimeoutNs(), config.maxConcurrentProbes(),
-                Addresses::toSocketAddress, answer -> columns.parse(answer.fields().get(Orca.FIELD)), probed -> {
+                Addresses::toSocketAddress, answer -> columns.parse(answer.fields().get(Orca.FIELD)),
+                probed -> {
                     driver.onProbeResult(probed);
                     ticks.soon();
                 });
-        this.listener = loop.listen(config.listenAddress(), options(), this::accept);
+        this.listener = loop.listen(config.listenAddress(), connectionOptions(), this::accept);
         driver.onMembers(roster.view().initialMembers());
         ticks.soon();
-        stats();
+        logStats();
         LOG.info("listening {} {}", kv("at", address().getAddress().getHostAddress() + ":"
                 + address().getPort()), kv("epoch", epoch));
     }
 
-    private Connection.Options options() {
-        // A proxy that does not read is let go: it joins again and gets what it needs in one message.
+    private Connection.Options connectionOptions() {
+        // A proxy that does not read is disconnected: when it joins again, one message restores its state.
         return Connection.Options.usual().idleAfter(config.proxyTimeoutNs())
-                .bound(new Bound(config.maxQueuedBytes(), FRAMES_MOST, Bound.Policy.CLOSE));
+                .bound(new Bound(config.maxQueuedBytes(), MAX_QUEUED_FRAMES, Bound.Policy.CLOSE));
     }
 
+    /** Returns the address on which proxies connect. */
     public InetSocketAddress address() {
         return listener.address();
     }
 
+    /** Returns the driver, for tests and statistics. */
     public Driver driver() {
         return driver;
     }
 
     private ProxyStream accept(Connection connection) {
-        if (open >= config.maxStreams()) {
-            LOG.warn("stream refused: too many {}", kv("open", open));
+        if (openStreams >= config.maxStreams()) {
+            LOG.warn("stream refused: too many {}", kv("open", openStreams));
             return null;
         }
-        open++;
+        openStreams++;
         return new ProxyStream(loop, this, config.helloTimeoutNs(), config.proxyTimeoutNs() / 3);
     }
 
     // ---- streams -------------------------------------------------------------------------------------
 
     @Override
-    public Frame.Goodbye hello(ProxyStream stream, Frame.Hello hello) {
-        if (hello.protocolVersion() < Frame.MIN_PROTOCOL_VERSION || hello.protocolVersion() > Frame.PROTOCOL_VERSION) {
-            return new Frame.Goodbye(Frame.Reason.VERSION, "this side speaks versions "
-                    + Frame.MIN_PROTOCOL_VERSION + " to " + Frame.PROTOCOL_VERSION + ", not " + hello.protocolVersion());
+    public Frame.Goodbye onHello(ProxyStream stream, Frame.Hello hello) {
+        if (hello.protocolVersion() < Frame.MIN_PROTOCOL_VERSION
+                || hello.protocolVersion() > Frame.PROTOCOL_VERSION) {
+            return new Frame.Goodbye(Frame.Reason.VERSION, "supported protocol versions are "
+                    + Frame.MIN_PROTOCOL_VERSION + " to " + Frame.PROTOCOL_VERSION + ", got "
+                    + hello.protocolVersion());
         }
         if (hello.zone() >= config.site().zones().size()) {
             return new Frame.Goodbye(Frame.Reason.PROTOCOL, "zone " + hello.zone() + " does not exist");
         }
-        ProxyStream other = streams.get(hello.proxy());
-        if (other != null && other.hello().incarnation() != hello.incarnation()) {
-            // Two processes claim one number. The one that is here stays: if it is dead, its silence will
-            // end its stream, and the newcomer's next call is taken.
-            return new Frame.Goodbye(Frame.Reason.ID_IN_USE, "proxy " + hello.proxy() + " is joined from "
-                    + other.connection().remote());
+        ProxyStream existing = streams.get(hello.proxy());
+        if (existing != null && existing.hello().incarnation() != hello.incarnation()) {
+            // Two processes claim the same number. The existing stream stays: if its process is dead, the
+            // idle timeout ends the stream and the new process succeeds when it connects again.
+            return new Frame.Goodbye(Frame.Reason.ID_IN_USE, "proxy number " + hello.proxy()
+                    + " is in use by " + existing.connection().remote());
         }
-        if (other != null) {
-            other.end(Frame.Reason.MOVING, "the same proxy has joined again");
+        if (existing != null) {
+            existing.end(Frame.Reason.MOVING, "replaced by a newer stream of the same proxy process");
         }
         streams.put(hello.proxy(), stream);
-        reports.streamOpened(hello.proxy(), hello.incarnation());
+        reportReceiver.streamOpened(hello.proxy(), hello.incarnation());
         driver.onProxyJoined(loop.now(), hello);
         capture(new LoadRecord.Joined(loop.now(), hello.proxy(), hello.zone(), hello.requestsPerSecond()));
         LOG.info("proxy joined {} {} {}", kv("proxy", hello.proxy()), kv("name", hello.name()),
@@ -150,7 +155,7 @@
     }
 
     @Override
-    public void heard(ProxyStream stream, Frame frame) {
+    public void onFrame(ProxyStream stream, Frame frame) {
         int proxy = stream.hello().proxy();
         if (streams.get(proxy) != stream) {
             return;
@@ -158,9 +163,9 @@
         if (frame instanceof Frame.Applied applied) {
             driver.onApplied(loop.now(), proxy, applied);
         } else if (frame instanceof Frame.Report report) {
-            takeReport(stream, report);
+            acceptReport(stream, report);
         } else if (frame instanceof Frame.NumberedReport numbered) {
-            hearNumbered(stream, numbered);
+            onNumberedReport(stream, numbered);
         } else if (frame instanceof Frame.Resync resync) {
             LOG.warn("proxy asks for a snapshot {} {}", kv("proxy", proxy),
                     kv("held", resync.epoch() + "/" + resync.version()));
@@ -169,45 +174,45 @@
         ticks.soon();
     }
 
-    private void hearNumbered(ProxyStream stream, Frame.NumberedReport numbered) {
+    private void onNumberedReport(ProxyStream stream, Frame.NumberedReport numbered) {
         int proxy = stream.hello().proxy();
-        ReportReceiver.Verdict verdict = reports.receive(proxy, numbered.number());
+        ReportReceiver.Verdict verdict = reportReceiver.receive(proxy, numbered.number());
         if (verdict == ReportReceiver.Verdict.GAP) {
-            stream.end(Frame.Reason.PROTOCOL, "report " + numbered.number() + " does not follow on "
-                    + reports.lastAccepted(proxy));
+            stream.end(Frame.Reason.PROTOCOL, "gap in report numbers: got " + numbered.number() + " after "
+                    + reportReceiver.lastAccepted(proxy));
             return;
         }
         if (verdict == ReportReceiver.Verdict.ACCEPTED) {
-            takeReport(stream, numbered.report());
+            acceptReport(stream, numbered.report());
         }
-        stream.send(new Frame.ReportsTaken(reports.lastAccepted(proxy)));
+        stream.send(new Frame.ReportsTaken(reportReceiver.lastAccepted(proxy)));
     }
 
-    private void takeReport(ProxyStream stream, Frame.Report report) {
+    private void acceptReport(ProxyStream stream, Frame.Report report) {
         driver.onReport(stream.hello().proxy(), report);
         captureReport(stream.hello(), report);
     }
 
     @Override
-    public void over(ProxyStream stream, String why) {
+    public void onStreamEnded(ProxyStream stream, String reason) {
         Frame.Hello hello = stream.hello();
         if (hello == null) {
             LOG.warn("stream over before it joined {} {}", kv("from", String.valueOf(
-                    stream.connection() == null ? null : stream.connection().remote())), kv("why", why));
+                    stream.connection() == null ? null : stream.connection().remote())), kv("why", reason));
         } else if (streams.remove(hello.proxy(), stream)) {
             driver.onProxyLeft(hello.proxy());
             capture(new LoadRecord.Left(loop.now(), hello.proxy()));
-            LOG.info("proxy left {} {}", kv("proxy", hello.proxy()), kv("why", why));
+            LOG.info("proxy left {} {}", kv("proxy", hello.proxy()), kv("why", reason));
             ticks.soon();
         }
     }
 
     @Override
-    public void closed(ProxyStream stream) {
-        open--;
+    public void onStreamClosed(ProxyStream stream) {
+        openStreams--;
     }
 
-    // ---- captured load -------------------------------------------------------------------------------
+    // ---- load capture --------------------------------------------------------------------------------
 
     private void capture(LoadRecord record) {
         if (capture != null) {
@@ -215,7 +220,7 @@
         }
     }
 
-    private void captureListed(Member m) {
+    private void captureMember(Member m) {
         capture(new LoadRecord.Listed(loop.now(), m.backend().toString(), m.zone(), m.kind(),
                 m.availability().toString(), m.weight(), m.startedAt()));
     }
@@ -229,7 +234,7 @@
                 t.backend().toString(), t.tries(), t.failed(), t.latencySum(), t.span())));
     }
 
-    // ---- what the driver asks ------------------------------------------------------------------------
+    // ---- side effects of the driver ------------------------------------------------------------------
 
     @Override
     public void watch(boolean on) {
@@ -255,14 +260,14 @@
     }
 
     @Override
-    public void onDecision(long now, List<Event> events, List<Action> actions, long took) {
-        decided.recordValue(Math.min(took, HIGHEST_TIMED));
+    public void onDecision(long now, List<Event> events, List<Action> actions, long durationNs) {
+        decisionTimesNs.recordValue(Math.min(durationNs, MAX_RECORDED_DECISION_NS));
         if (trace != null) {
             trace.write(now, events, actions);
         }
     }
 
-    private void stats() {
+    private void logStats() {
         Runtime runtime = Runtime.getRuntime();
         LOG.info("stats {} {} {} {} {} {} {} {} {} {} {} {}", kv("joined", driver.joinedProxyCount()),
                 kv("waiting", Math.round(driver.queuedLines())),
@@ -270,12 +275,12 @@
                 kv("lines", Math.round(driver.totalQueuedLines())),
                 kv("mostReportsWaiting", driver.maxPendingReportLines()),
                 kv("captureDropped", capture == null ? 0 : capture.dropped()), kv("decides",
-                        decided.getTotalCount()),
-                kv("decideP50us", decided.getValueAtPercentile(50) / 1000),
-                kv("decideP99us", decided.getValueAtPercentile(99) / 1000),
-                kv("decideMaxUs", decided.getMaxValue() / 1000), kv("cpuMs", cpuMillis()),
+                        decisionTimesNs.getTotalCount()),
+                kv("decideP50us", decisionTimesNs.getValueAtPercentile(50) / 1000),
+                kv("decideP99us", decisionTimesNs.getValueAtPercentile(99) / 1000),
+                kv("decideMaxUs", decisionTimesNs.getMaxValue() / 1000), kv("cpuMs", cpuMillis()),
                 kv("heapBytes", runtime.totalMemory() - runtime.freeMemory()));
-        loop.after(config.statsIntervalNs(), this::stats);
+        loop.after(config.statsIntervalNs(), this::logStats);
     }
 
     private static long cpuMillis() {
@@ -284,13 +289,14 @@
                 ? system.getProcessCpuTime() / 1_000_000 : -1;
     }
 
-    /** Says goodbye to every proxy and takes no more; its loop may then be stopped. */
+    /** Stops listening and ends all streams with a goodbye. The event loop may be stopped afterwards. */
     public void stop() {
         listener.close();
-        List.copyOf(streams.values()).forEach(s -> s.end(Frame.Reason.STOPPING, "the controller stops"));
+        List.copyOf(streams.values()).forEach(s ->
+                s.end(Frame.Reason.STOPPING, "controller is shutting down"));
     }
 
-    /** Ends trace and capture; once the loop has ended. */
+    /** Closes the trace and capture files; must be called after the event loop has ended. */
     public void closeFiles() throws IOException {
         if (capture != null) {
             capture.close();
