--- a/src/main/java/rowanmoor/controller/Controller.java
+++ b/src/main/java/rowanmoor/controller/Controller.java
@@ -26,11 +26,11 @@
 import rowanmoor.discovery.LoadColumns;
 import rowanmoor.discovery.Prober;
 import rowanmoor.discovery.RosterClient;
-import rowanmoor.http.Orca;
-import rowanmoor.net.Bound;
+import rowanmoor.http.OrcaLoadReport;
+import rowanmoor.net.WriteLimit;
 import rowanmoor.net.Connection;
 import rowanmoor.net.Loop;
-import rowanmoor.net.Ticks;
+import rowanmoor.net.TickScheduler;
 
 /** The controller process: a {@link Driver} on an event loop, with the proxy streams, roster and prober. */
 public final class Controller implements Driver.Environment, ProxyStream.Owner {
@@ -50,7 +50,7 @@
     private final Map<Integer, ProxyStream> streams = new TreeMap<>();
     private final ReportReceiver reportReceiver = new ReportReceiver();
     private final Histogram decisionTimesNs = new Histogram(MAX_RECORDED_DECISION_NS, 3);
-    private final Ticks ticks;
+    private final TickScheduler ticks;
     private int openStreams;
 
     /**
@@ -72,25 +72,25 @@
                 new LoadRecord.Start(loop.now(), wallClockMs.getAsLong(), config.rank(), epoch,
                         config.site().zones(), config.site().kinds(), config.site().classNames()),
                 text -> LOG.error("capture {}", kv("what", text)));
-        this.ticks = new Ticks(loop, config.minTickNs(), now -> driver().tick(now), () -> driver().nextTickAt());
+        this.ticks = new TickScheduler(loop, config.minTickNs(), now -> driver().tick(now), () -> driver().nextTickAt());
         this.driver = new Driver(settings, seed, epoch, loop.now(), this, System::nanoTime);
         this.roster = new RosterClient(loop, config.rosterAddress(), config.serviceName(), "rowanmoor-" + config.rank(),
                 config.rosterWaitNs(), config.emptyRosterHoldNs(), config.site().zones(), config.site().kinds(),
                 wallClockMs, members -> {
                     driver.onMembers(members);
                     members.entries().forEach(this::captureMember);
-                    ticks.soon();
+                    ticks.requestTick();
                 }, text -> LOG.warn("roster {}", kv("what", text)));
         LoadColumns columns = new LoadColumns(config.site().loadColumns());
         this.prober = new Prober(loop, config.probePath(), config.probeTimeoutNs(), config.maxConcurrentProbes(),
-                Addresses::toSocketAddress, answer -> columns.parse(answer.fields().get(Orca.FIELD)),
+                Addresses::toSocketAddress, answer -> columns.parse(answer.fields().get(OrcaLoadReport.HEADER_NAME)),
                 probed -> {
                     driver.onProbeResult(probed);
-                    ticks.soon();
+                    ticks.requestTick();
                 });
         this.listener = loop.listen(config.listenAddress(), connectionOptions(), this::accept);
         driver.onMembers(roster.view().initialMembers());
-        ticks.soon();
+        ticks.requestTick();
         logStats();
         LOG.info("listening {} {}", kv("at", address().getAddress().getHostAddress() + ":"
                 + address().getPort()), kv("epoch", epoch));
@@ -98,8 +98,8 @@
 
     private Connection.Options connectionOptions() {
         // A proxy that does not read is disconnected: when it joins again, one message restores its state.
-        return Connection.Options.usual().idleAfter(config.proxyTimeoutNs())
-                .bound(new Bound(config.maxQueuedBytes(), MAX_QUEUED_FRAMES, Bound.Policy.CLOSE));
+        return Connection.Options.defaults().idleAfter(config.proxyTimeoutNs())
+                .bound(new WriteLimit(config.maxQueuedBytes(), MAX_QUEUED_FRAMES, WriteLimit.OverflowPolicy.CLOSE));
     }
 
     /** Returns the address on which proxies connect. */
@@ -150,7 +150,7 @@
         capture(new LoadRecord.Joined(loop.now(), hello.proxy(), hello.zone(), hello.requestsPerSecond()));
         LOG.info("proxy joined {} {} {}", kv("proxy", hello.proxy()), kv("name", hello.name()),
                 kv("held", hello.epoch() + "/" + hello.version()));
-        ticks.soon();
+        ticks.requestTick();
         return null;
     }
 
@@ -171,7 +171,7 @@
                     kv("held", resync.epoch() + "/" + resync.version()));
             driver.onResync(loop.now(), proxy);
         }
-        ticks.soon();
+        ticks.requestTick();
     }
 
     private void onNumberedReport(ProxyStream stream, Frame.NumberedReport numbered) {
@@ -203,7 +203,7 @@
             driver.onProxyLeft(hello.proxy());
             capture(new LoadRecord.Left(loop.now(), hello.proxy()));
             LOG.info("proxy left {} {}", kv("proxy", hello.proxy()), kv("why", reason));
-            ticks.soon();
+            ticks.requestTick();
         }
     }
 
--- a/src/main/java/rowanmoor/controller/ProxyStream.java
+++ b/src/main/java/rowanmoor/controller/ProxyStream.java
@@ -6,9 +6,9 @@
 import rowanmoor.channel.Codec;
 import rowanmoor.channel.Frame;
 import rowanmoor.channel.FrameReader;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 import rowanmoor.net.Loop;
 import rowanmoor.net.Timer;
 
@@ -16,7 +16,7 @@
  * The controller's side of one proxy stream. States: waiting for the hello, joined, ended. A protocol error
  * of the peer ends this stream only, with a reason.
  */
-final class ProxyStream implements Handler {
+final class ProxyStream implements ConnectionHandler {
 
     /** Receives the events of streams. */
     interface Owner {
@@ -65,13 +65,13 @@
     }
 
     @Override
-    public void opened(Connection newConnection) {
+    public void onOpen(Connection newConnection) {
         connection = newConnection;
         timer = loop.after(helloTimeoutNs, () -> end(Frame.Reason.SILENT, "no hello within the time limit"));
     }
 
     @Override
-    public void received(Connection source, ByteBuffer bytes) {
+    public void onData(Connection source, ByteBuffer bytes) {
         try {
             while (bytes.hasRemaining() && connection.isOpen()) {
                 Frame frame = reader.next(bytes);
@@ -94,7 +94,7 @@
         } else if (frame instanceof Frame.Ping ping) {
             send(new Frame.Pong(ping.token()));
         } else if (frame instanceof Frame.Goodbye goodbye) {
-            connection.close(Close.LOCAL, "goodbye from the proxy: " + goodbye.reason() + " "
+            connection.close(CloseReason.LOCAL, "goodbye from the proxy: " + goodbye.reason() + " "
                     + goodbye.text());
         } else if (frame instanceof Frame.Applied || frame instanceof Frame.Report
                 || frame instanceof Frame.NumberedReport || frame instanceof Frame.Resync) {
@@ -133,20 +133,20 @@
             String shortText = text.length() > MAX_GOODBYE_CHARS
                     ? text.substring(0, MAX_GOODBYE_CHARS) : text;
             connection.send(Codec.encode(new Frame.Goodbye(reason, shortText)));
-            connection.end();
+            connection.closeGracefully();
         }
         notifyEnded(reason + ": " + text);
     }
 
     /** Treats the proxy as gone, even if it still reads the frames that are waiting to be written. */
     @Override
-    public boolean ended(Connection halfClosed) {
+    public boolean onInputEnd(Connection halfClosed) {
         notifyEnded("the proxy closed its side of the stream");
         return false;
     }
 
     @Override
-    public void closed(Connection closedConnection, Close cause, String detail) {
+    public void onClose(Connection closedConnection, CloseReason cause, String detail) {
         notifyEnded(cause + ": " + detail);
         owner.onStreamClosed(this);
     }
--- a/src/main/java/rowanmoor/discovery/LoadColumns.java
+++ b/src/main/java/rowanmoor/discovery/LoadColumns.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import rowanmoor.http.Orca;
+import rowanmoor.http.OrcaLoadReport;
 
 /** Which figures of a load report are passed on, and in which order. */
 public record LoadColumns(List<String> names) {
@@ -23,7 +23,7 @@
 
     /** The figures of an answer's field; empty if there is none, or if one of them is missing. */
     public List<Double> parse(String field) {
-        Map<String, Double> figures = Orca.parse(field);
+        Map<String, Double> figures = OrcaLoadReport.parse(field);
         List<Double> values = new ArrayList<>(names.size());
         for (String name : names) {
             Double value = figures.get(ORCA_NAMES.get(name));
--- a/src/main/java/rowanmoor/discovery/Prober.java
+++ b/src/main/java/rowanmoor/discovery/Prober.java
@@ -10,9 +10,9 @@
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Probed;
 import rowanmoor.http.ClientConnection;
-import rowanmoor.http.Limits;
+import rowanmoor.http.MessageLimits;
 import rowanmoor.http.Message;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
 import rowanmoor.net.Loop;
 import rowanmoor.net.Timer;
@@ -76,16 +76,16 @@
             return;
         }
         ClientConnection connection = ClientConnection.open(loop, null, at,
-                Connection.Options.usual().connectWithin(within), Limits.usual().body(BODY_MOST), c -> { });
+                Connection.Options.defaults().connectWithin(within), MessageLimits.defaults().body(BODY_MOST), c -> { });
         Timer patience = loop.after(within, () -> {
             connection.cancel();
             done(at, new Probed(backend, false, TIMEOUT, loop.now() - from, List.of()));
         });
-        connection.ask(Message.Request.get(path, "Host", at.getHostString() + ":" + at.getPort(),
+        connection.send(Message.Request.get(path, "Host", at.getHostString() + ":" + at.getPort(),
                 "Connection", "close"),
-                new ClientConnection.Answer() {
+                new ClientConnection.ResponseHandler() {
                     @Override
-                    public void answered(Message.Response response) {
+                    public void onResponse(Message.Response response) {
                         patience.cancel();
                         connection.cancel(); // asked to close it, a backend may still leave it open
                         int status = response.status() == 200 ? STATUS_OK : response.status() == 503 ? FULL : ERROR;
@@ -94,9 +94,9 @@
                     }
 
                     @Override
-                    public void failed(boolean neverRan, Close why, String detail) {
+                    public void onFailure(boolean neverRan, CloseReason why, String detail) {
                         patience.cancel();
-                        int status = why == Close.CONNECT_TIMEOUT ? TIMEOUT : neverRan ? STATUS_UNREACHABLE : STATUS_CONNECTION_LOST;
+                        int status = why == CloseReason.CONNECT_TIMEOUT ? TIMEOUT : neverRan ? STATUS_UNREACHABLE : STATUS_CONNECTION_LOST;
                         done(at, new Probed(backend, false, status, loop.now() - from, List.of()));
                     }
                 });
--- a/src/main/java/rowanmoor/discovery/RosterClient.java
+++ b/src/main/java/rowanmoor/discovery/RosterClient.java
@@ -7,9 +7,9 @@
 import java.util.function.LongSupplier;
 import rowanmoor.ControlApi.Members;
 import rowanmoor.http.ClientConnection;
-import rowanmoor.http.Limits;
+import rowanmoor.http.MessageLimits;
 import rowanmoor.http.Message;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
 import rowanmoor.net.Loop;
 import rowanmoor.net.Timer;
@@ -88,9 +88,9 @@
 
     private void ask() {
         asking = true;
-        if (connection == null || !connection.free()) {
-            connection = ClientConnection.open(loop, null, at, Connection.Options.usual()
-                    .connectWithin(CONNECT_WITHIN), Limits.usual().body(ANSWER_MOST), c -> { });
+        if (connection == null || !connection.isAvailable()) {
+            connection = ClientConnection.open(loop, null, at, Connection.Options.defaults()
+                    .connectWithin(CONNECT_WITHIN), MessageLimits.defaults().body(ANSWER_MOST), c -> { });
         }
         String query = index == 0 ? "" : "?index=" + index + "&wait=" + wait / 1_000_000 + "ms";
         // A roster may hold a question a sixteenth longer than asked (Consul, Blocking Queries).
@@ -100,17 +100,17 @@
             asked.cancel();
             fail("no answer within " + most / 1_000_000 + " ms");
         });
-        asked.ask(Message.Request.get(path + query, "Host", at.getHostString() + ":" + at.getPort(),
+        asked.send(Message.Request.get(path + query, "Host", at.getHostString() + ":" + at.getPort(),
                 "User-Agent", asker),
-                new ClientConnection.Answer() {
+                new ClientConnection.ResponseHandler() {
                     @Override
-                    public void answered(Message.Response response) {
+                    public void onResponse(Message.Response response) {
                         patience.cancel();
                         take(response);
                     }
 
                     @Override
-                    public void failed(boolean neverRan, Close why, String detail) {
+                    public void onFailure(boolean neverRan, CloseReason why, String detail) {
                         patience.cancel();
                         fail(why + ": " + detail);
                     }
--- a/src/main/java/rowanmoor/http/ClientConnection.java
+++ b/src/main/java/rowanmoor/http/ClientConnection.java
@@ -4,83 +4,83 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.function.Consumer;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
 import rowanmoor.net.Loop;
 
 /**
  * Asks over one connection with whole messages, one request at a time, answers held within
- * {@link Limits#body}. When it can be asked again is as {@link ClientStream} has it.
+ * {@link MessageLimits#maxBodyBytes}. When it can be asked again is as {@link ClientStream} has it.
  */
 public final class ClientConnection {
 
     /** Hears what becomes of a request: exactly one of its methods is called, once. */
-    public interface Answer {
+    public interface ResponseHandler {
 
-        void answered(Message.Response response);
+        void onResponse(Message.Response response);
 
         /** No answer will come. {@code neverRan}: not a byte of the request was written. */
-        void failed(boolean neverRan, Close why, String detail);
+        void onFailure(boolean neverRan, CloseReason why, String detail);
     }
 
     private final ClientStream stream;
 
     private ClientConnection(Loop loop, InetSocketAddress from, InetSocketAddress to,
-            Connection.Options options, Limits limits, Consumer<ClientConnection> onGone) {
+            Connection.Options options, MessageLimits limits, Consumer<ClientConnection> onGone) {
         this.stream = ClientStream.openWhole(loop, from, to, options, limits, gone -> onGone.accept(this));
     }
 
     /** Opens a connection; {@code onGone} hears once that the connection is over. */
     public static ClientConnection open(Loop loop, InetSocketAddress from, InetSocketAddress to,
-            Connection.Options options, Limits limits, Consumer<ClientConnection> onGone) {
+            Connection.Options options, MessageLimits limits, Consumer<ClientConnection> onGone) {
         return new ClientConnection(loop, from, to, options, limits, onGone);
     }
 
-    /** Sends a request; the connection must be {@link #free}. */
-    public void ask(Message.Request request, Answer answer) {
-        stream.ask(new Part.RequestHead(request.method(), request.target(), request.minor(), request.fields(),
+    /** Sends a request; the connection must be {@link #isAvailable}. */
+    public void send(Message.Request request, ResponseHandler answer) {
+        stream.sendHead(new MessagePart.RequestHead(request.method(), request.target(), request.minorVersion(), request.fields(),
                 request.body().length), new Whole(answer));
         stream.write(ByteBuffer.wrap(request.body()));
-        stream.end(new Fields());
+        stream.endRequest(new HttpFields());
     }
 
     /** Puts an answer together and hands it over. */
-    private static final class Whole implements ClientStream.Answer {
-        private final Answer answer;
+    private static final class Whole implements ClientStream.ResponseHandler {
+        private final ResponseHandler answer;
         private final ByteArrayOutputStream content = new ByteArrayOutputStream(0);
-        private Part.ResponseHead head;
+        private MessagePart.ResponseHead head;
 
-        Whole(Answer answer) {
+        Whole(ResponseHandler answer) {
             this.answer = answer;
         }
 
         @Override
-        public void head(Part.ResponseHead begun) {
+        public void onResponseHead(MessagePart.ResponseHead begun) {
             head = begun;
         }
 
         @Override
-        public void content(ByteBuffer bytes) {
+        public void onResponseContent(ByteBuffer bytes) {
             byte[] piece = new byte[bytes.remaining()];
             bytes.get(piece);
             content.write(piece, 0, piece.length);
         }
 
         @Override
-        public void whole(Fields trailers) {
-            answer.answered(new Message.Response(head.status(), head.reason(), head.minor(), head.fields(),
+        public void onResponseEnd(HttpFields trailers) {
+            answer.onResponse(new Message.Response(head.status(), head.reason(), head.minorVersion(), head.fields(),
                     content.toByteArray()));
         }
 
         @Override
-        public void failed(boolean neverRan, Close why, String detail) {
-            answer.failed(neverRan, why, detail);
+        public void onFailure(boolean neverRan, CloseReason why, String detail) {
+            answer.onFailure(neverRan, why, detail);
         }
     }
 
     /** Whether a request can be sent: none is in work, and the last answer left the connection usable. */
-    public boolean free() {
-        return stream.free();
+    public boolean isAvailable() {
+        return stream.isAvailable();
     }
 
     /** When it last became free, by the loop's clock. */
--- a/src/main/java/rowanmoor/http/Fields.java
+++ b/src/main/java/rowanmoor/http/HttpFields.java
@@ -6,21 +6,21 @@
 import java.util.function.BiConsumer;
 
 /** Header fields in their order; names compare without case (RFC 9110, 5.1). */
-public final class Fields {
+public final class HttpFields {
 
     private final List<String> names = new ArrayList<>();
     private final List<String> values = new ArrayList<>();
 
     /** Fields of alternating names and values. */
-    public static Fields of(String... namesAndValues) {
-        Fields fields = new Fields();
+    public static HttpFields of(String... namesAndValues) {
+        HttpFields fields = new HttpFields();
         for (int i = 0; i < namesAndValues.length; i += 2) {
             fields.add(namesAndValues[i], namesAndValues[i + 1]);
         }
         return fields;
     }
 
-    public Fields add(String name, String value) {
+    public HttpFields add(String name, String value) {
         names.add(name);
         values.add(value);
         return this;
@@ -46,7 +46,7 @@
     }
 
     /** Whether a comma-separated field holds a token, without case. */
-    public boolean holds(String name, String token) {
+    public boolean hasToken(String name, String token) {
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equalsIgnoreCase(name)) {
                 for (String part : values.get(i).split(",")) {
@@ -68,7 +68,7 @@
         }
     }
 
-    public Fields set(String name, String value) {
+    public HttpFields set(String name, String value) {
         remove(name);
         return add(name, value);
     }
@@ -83,15 +83,15 @@
         return names.size();
     }
 
-    public Fields copy() {
-        Fields copy = new Fields();
+    public HttpFields copy() {
+        HttpFields copy = new HttpFields();
         forEach(copy::add);
         return copy;
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Fields f && f.names.equals(names) && f.values.equals(values);
+        return other instanceof HttpFields f && f.names.equals(names) && f.values.equals(values);
     }
 
     @Override
--- a/src/main/java/rowanmoor/http/Message.java
+++ b/src/main/java/rowanmoor/http/Message.java
@@ -4,25 +4,25 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** A whole HTTP/1.1 message; {@code minor} is the version after the point, 0 or 1. */
+/** A whole HTTP/1.1 message; {@code minorVersion} is the version after the point, 0 or 1. */
 public sealed interface Message {
 
-    int minor();
+    int minorVersion();
 
-    Fields fields();
+    HttpFields fields();
 
     byte[] body();
 
     /** Whether the connection stays open after this message (RFC 9112, 9.3). */
-    default boolean keepsAlive() {
-        return minor() == 1 ? !fields().holds("connection", "close")
-                : fields().holds("connection", "keep-alive");
+    default boolean isKeepAlive() {
+        return minorVersion() == 1 ? !fields().hasToken("connection", "close")
+                : fields().hasToken("connection", "keep-alive");
     }
 
-    record Request(String method, String target, int minor, Fields fields, byte[] body) implements Message {
+    record Request(String method, String target, int minorVersion, HttpFields fields, byte[] body) implements Message {
 
         public static Request get(String target, String... fields) {
-            return new Request("GET", target, 1, Fields.of(fields), new byte[0]);
+            return new Request("GET", target, 1, HttpFields.of(fields), new byte[0]);
         }
 
         /** The target up to its query. */
@@ -32,7 +32,7 @@
         }
 
         /** The first value of a query key, undecoded, or null. */
-        public String query(String key) {
+        public String queryParameter(String key) {
             int at = target.indexOf('?');
             if (at < 0) {
                 return null;
@@ -50,14 +50,14 @@
         /** The bytes on the wire, framed by a length. */
         public ByteBuffer encode() {
             boolean framed = body.length > 0 || !method.equals("GET") && !method.equals("HEAD");
-            return Message.encode(method + " " + target + " HTTP/1." + minor, fields, body, framed);
+            return Message.encode(method + " " + target + " HTTP/1." + minorVersion, fields, body, framed);
         }
     }
 
-    record Response(int status, String reason, int minor, Fields fields, byte[] body) implements Message {
+    record Response(int status, String reason, int minorVersion, HttpFields fields, byte[] body) implements Message {
 
         public static Response of(int status, String text, String... fields) {
-            return new Response(status, Reason.of(status), 1, Fields.of(fields),
+            return new Response(status, Reason.of(status), 1, HttpFields.of(fields),
                     text.getBytes(StandardCharsets.UTF_8));
         }
 
@@ -65,13 +65,13 @@
         public ByteBuffer encode(boolean head) {
             boolean bare = status < 200 || status == 204 || status == 304;
             byte[] sent = bare || head ? new byte[0] : body;
-            Fields framed = fields;
+            HttpFields framed = fields;
             if (head && !bare) {
                 framed = fields.copy().set("Content-Length", Integer.toString(body.length));
                 framed.remove("Transfer-Encoding");
-                return Message.encode("HTTP/1." + minor + " " + status + " " + reason, framed, sent, false);
+                return Message.encode("HTTP/1." + minorVersion + " " + status + " " + reason, framed, sent, false);
             }
-            return Message.encode("HTTP/1." + minor + " " + status + " " + reason, framed, sent, !bare);
+            return Message.encode("HTTP/1." + minorVersion + " " + status + " " + reason, framed, sent, !bare);
         }
     }
 
@@ -83,7 +83,7 @@
     static ByteBuffer encodeChunked(Message message, int most) {
         String start = message instanceof Request r ? r.method() + " " + r.target() + " HTTP/1.1"
                 : "HTTP/1.1 " + ((Response) message).status() + " " + ((Response) message).reason();
-        Fields fields = message.fields().copy().set("Transfer-Encoding", "chunked");
+        HttpFields fields = message.fields().copy().set("Transfer-Encoding", "chunked");
         fields.remove("Content-Length");
         ByteBuffer head = encode(start, fields, new byte[0], false);
         byte[] body = message.body();
@@ -100,7 +100,7 @@
         return ByteBuffer.wrap(out.toByteArray());
     }
 
-    private static ByteBuffer encode(String start, Fields fields, byte[] body, boolean framed) {
+    private static ByteBuffer encode(String start, HttpFields fields, byte[] body, boolean framed) {
         StringBuilder head = new StringBuilder(256).append(start).append("\r\n");
         fields.forEach((name, value) -> {
             boolean framing = name.equalsIgnoreCase("content-length")
--- a/src/main/java/rowanmoor/http/Limits.java
+++ b/src/main/java/rowanmoor/http/MessageLimits.java
@@ -8,14 +8,14 @@
  * @param fields how many field lines
  * @param body the content after decoding
  */
-public record Limits(int startLine, int head, int fields, int body) {
+public record MessageLimits(int maxStartLineBytes, int maxHeadBytes, int maxFieldCount, int maxBodyBytes) {
 
     /** 4 KiB, 16 KiB, 64 fields, 1 MiB. */
-    public static Limits usual() {
-        return new Limits(4096, 16384, 64, 1 << 20);
+    public static MessageLimits defaults() {
+        return new MessageLimits(4096, 16384, 64, 1 << 20);
     }
 
-    public Limits body(int other) {
-        return new Limits(startLine, head, fields, other);
+    public MessageLimits body(int other) {
+        return new MessageLimits(maxStartLineBytes, maxHeadBytes, maxFieldCount, other);
     }
 }
--- a/src/main/java/rowanmoor/http/Parser.java
+++ b/src/main/java/rowanmoor/http/MessageParser.java
@@ -5,30 +5,30 @@
 
 /**
  * Reads one whole message after another from bytes that come in any pieces, content held within
- * {@link Limits#body}; {@link PartParser} says what is refused. A parser that has thrown is of no further
+ * {@link MessageLimits#maxBodyBytes}; {@link MessagePartParser} says what is refused. A parser that has thrown is of no further
  * use.
  */
-public final class Parser {
+public final class MessageParser {
 
-    private final PartParser parts;
-    private Part.Head head;
+    private final MessagePartParser parts;
+    private MessagePart.Head head;
     private ByteArrayOutputStream body;
 
-    private Parser(PartParser parts) {
+    private MessageParser(MessagePartParser parts) {
         this.parts = parts;
     }
 
-    public static Parser ofRequests(Limits limits) {
-        return new Parser(PartParser.ofRequests(limits));
+    public static MessageParser forRequests(MessageLimits limits) {
+        return new MessageParser(MessagePartParser.forRequests(limits));
     }
 
-    public static Parser ofResponses(Limits limits) {
-        return new Parser(PartParser.ofResponses(limits));
+    public static MessageParser forResponses(MessageLimits limits) {
+        return new MessageParser(MessagePartParser.forResponses(limits));
     }
 
     /** Which method the next response answers: one to HEAD has no content (RFC 9112, 6.3). */
-    public void expectAnswerTo(String itsMethod) {
-        parts.expectAnswerTo(itsMethod);
+    public void expectResponseTo(String itsMethod) {
+        parts.expectResponseTo(itsMethod);
     }
 
     /** Whether a message has begun and is not whole. */
@@ -38,7 +38,7 @@
 
     /** Reads up to the end of one message and leaves the rest; null if the bytes end before it does. */
     public Message next(ByteBuffer bytes) throws HttpError {
-        for (Part part = parts.next(bytes); part != null; part = parts.next(bytes)) {
+        for (MessagePart part = parts.next(bytes); part != null; part = parts.next(bytes)) {
             Message whole = take(part);
             if (whole != null) {
                 return whole;
@@ -49,17 +49,17 @@
 
     /** The peer has ended its bytes: the message that this completes, or null if none had begun. */
     public Message end() throws HttpError {
-        Part part = parts.end();
+        MessagePart part = parts.end();
         return part == null ? null : take(part);
     }
 
-    private Message take(Part part) {
-        if (part instanceof Part.Head begun) {
+    private Message take(MessagePart part) {
+        if (part instanceof MessagePart.Head begun) {
             head = begun;
             body = new ByteArrayOutputStream(0);
             return null;
         }
-        if (part instanceof Part.Piece piece) {
+        if (part instanceof MessagePart.Piece piece) {
             byte[] bytes = new byte[piece.bytes().remaining()];
             piece.bytes().get(bytes);
             body.write(bytes, 0, bytes.length);
@@ -67,12 +67,12 @@
         }
         byte[] content = body.toByteArray();
         body = null;
-        return head instanceof Part.RequestHead r
-                ? new Message.Request(r.method(), r.target(), r.minor(), r.fields(), content)
-                : response((Part.ResponseHead) head, content);
+        return head instanceof MessagePart.RequestHead r
+                ? new Message.Request(r.method(), r.target(), r.minorVersion(), r.fields(), content)
+                : response((MessagePart.ResponseHead) head, content);
     }
 
-    private static Message response(Part.ResponseHead r, byte[] content) {
-        return new Message.Response(r.status(), r.reason(), r.minor(), r.fields(), content);
+    private static Message response(MessagePart.ResponseHead r, byte[] content) {
+        return new Message.Response(r.status(), r.reason(), r.minorVersion(), r.fields(), content);
     }
 }
--- a/src/main/java/rowanmoor/http/PartParser.java
+++ b/src/main/java/rowanmoor/http/MessagePartParser.java
@@ -9,9 +9,9 @@
  * has let
  * requests be smuggled: lines end in CR LF and nothing else; no bare CR, no folded line, no space before
  * a colon; one length at most, and never a length beside a chunked coding (RFC 9112, 5 to 7). Everything
- * is bounded by {@link Limits}. A parser that has thrown is of no further use.
+ * is bounded by {@link MessageLimits}. A parser that has thrown is of no further use.
  */
-public final class PartParser {
+public final class MessagePartParser {
 
     private enum Step { START, FIELDS, FIXED, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS, UNTIL_END, BROKEN }
 
@@ -22,7 +22,7 @@
     private static final int FIRST_LINE = 256;
 
     private final boolean requests;
-    private final Limits limits;
+    private final MessageLimits limits;
     private byte[] line = new byte[FIRST_LINE];
     private int lineLength;
     private Step step = Step.START;
@@ -33,39 +33,39 @@
     private long left;
     private long bodyBytes;
     private long bodyMost;
-    private Fields fields = new Fields();
-    private Fields trailers = new Fields();
+    private HttpFields fields = new HttpFields();
+    private HttpFields trailers = new HttpFields();
     private String method;
     private String target;
     private String reason;
     private int status;
     private int minor;
     private String answerTo = "GET";
-    private Part done;
+    private MessagePart done;
     private boolean endDue;
 
-    private PartParser(boolean requests, Limits limits) {
+    private MessagePartParser(boolean requests, MessageLimits limits) {
         this.requests = requests;
         this.limits = limits;
-        this.bodyMost = limits.body();
+        this.bodyMost = limits.maxBodyBytes();
     }
 
-    public static PartParser ofRequests(Limits limits) {
-        return new PartParser(true, limits);
+    public static MessagePartParser forRequests(MessageLimits limits) {
+        return new MessagePartParser(true, limits);
     }
 
-    public static PartParser ofResponses(Limits limits) {
-        return new PartParser(false, limits);
+    public static MessagePartParser forResponses(MessageLimits limits) {
+        return new MessagePartParser(false, limits);
     }
 
     /** Content of any length: for one who passes it on piece by piece. */
-    public PartParser anyLength() {
+    public MessagePartParser withoutBodyLimit() {
         bodyMost = Long.MAX_VALUE;
         return this;
     }
 
     /** Which method the next response answers: one to HEAD has no content (RFC 9112, 6.3). */
-    public void expectAnswerTo(String itsMethod) {
+    public void expectResponseTo(String itsMethod) {
         answerTo = itsMethod;
     }
 
@@ -75,7 +75,7 @@
     }
 
     /** The next part, or null if the bytes end before it does. A piece is as much content as there is. */
-    public Part next(ByteBuffer bytes) throws HttpError {
+    public MessagePart next(ByteBuffer bytes) throws HttpError {
         if (step == Step.BROKEN) {
             throw new HttpError(400, "the connection's bytes are no longer framed");
         }
@@ -90,19 +90,19 @@
         return taken();
     }
 
-    private Part taken() {
-        Part part = done;
+    private MessagePart taken() {
+        MessagePart part = done;
         done = null;
         if (part == null && endDue) {
             endDue = false;
-            part = new Part.End(trailers);
-            trailers = new Fields();
+            part = new MessagePart.End(trailers);
+            trailers = new HttpFields();
         }
         return part;
     }
 
     /** The peer has ended its bytes: the end that this makes, or null if no message had begun. */
-    public Part end() throws HttpError {
+    public MessagePart end() throws HttpError {
         if (step == Step.UNTIL_END) {
             finish();
             return taken();
@@ -129,7 +129,7 @@
         if (count > bodyMost - bodyBytes) {
             throw new HttpError(413, "content of more than " + bodyMost + " bytes");
         }
-        done = new Part.Piece(bytes.slice(bytes.position(), count));
+        done = new MessagePart.Piece(bytes.slice(bytes.position(), count));
         bytes.position(bytes.position() + count);
         bodyBytes += count;
         left -= count;
@@ -163,15 +163,15 @@
     }
 
     private void checkLineLength() throws HttpError {
-        if (step == Step.START && lineLength > limits.startLine()) {
-            throw new HttpError(requests ? 414 : 400, "a first line of more than " + limits.startLine()
+        if (step == Step.START && lineLength > limits.maxStartLineBytes()) {
+            throw new HttpError(requests ? 414 : 400, "a first line of more than " + limits.maxStartLineBytes()
                     + " bytes");
         }
         if (step == Step.CHUNK_END || step == Step.CHUNK_SIZE && lineLength > CHUNK_LINE) {
             throw new HttpError(400, "a chunk is not framed");
         }
-        if ((step == Step.FIELDS || step == Step.TRAILERS) && ++headBytes > limits.head()) {
-            throw new HttpError(431, "fields of more than " + limits.head() + " bytes");
+        if ((step == Step.FIELDS || step == Step.TRAILERS) && ++headBytes > limits.maxHeadBytes()) {
+            throw new HttpError(431, "fields of more than " + limits.maxHeadBytes() + " bytes");
         }
     }
 
@@ -256,7 +256,7 @@
         minor = text.charAt(7) - '0';
     }
 
-    private void takeField(String text, Fields into) throws HttpError {
+    private void takeField(String text, HttpFields into) throws HttpError {
         char first = text.charAt(0);
         if (first == ' ' || first == '\t') {
             throw new HttpError(400, "a folded field line");
@@ -265,8 +265,8 @@
         if (colon <= 0 || !Syntax.isToken(text.substring(0, colon))) {
             throw new HttpError(400, "a field name is empty, no token, or has a space before its colon");
         }
-        if (++fieldCount > limits.fields()) {
-            throw new HttpError(431, "more than " + limits.fields() + " fields");
+        if (++fieldCount > limits.maxFieldCount()) {
+            throw new HttpError(431, "more than " + limits.maxFieldCount() + " fields");
         }
         String value = trim(text.substring(colon + 1));
         if (!Syntax.isValue(value)) {
@@ -312,11 +312,11 @@
             left = 0;
             step = requests ? Step.FIXED : Step.UNTIL_END;
         }
-        long length = bare ? 0 : step == Step.CHUNK_SIZE ? Part.CHUNKED : step == Step.UNTIL_END
-                ? Part.UNTIL_END : left;
-        done = requests ? new Part.RequestHead(method, target, minor, fields, length)
-                : new Part.ResponseHead(status, reason, minor, fields, length);
-        fields = new Fields();
+        long length = bare ? 0 : step == Step.CHUNK_SIZE ? MessagePart.CHUNKED : step == Step.UNTIL_END
+                ? MessagePart.UNTIL_CLOSE : left;
+        done = requests ? new MessagePart.RequestHead(method, target, minor, fields, length)
+                : new MessagePart.ResponseHead(status, reason, minor, fields, length);
+        fields = new HttpFields();
         fieldCount = 0;
         if (bare || step == Step.FIXED && left == 0) {
             finish();
--- a/src/main/java/rowanmoor/http/Orca.java
+++ b/src/main/java/rowanmoor/http/OrcaLoadReport.java
@@ -7,13 +7,13 @@
  * Load reports in answers: the {@code endpoint-load-metrics} field of ORCA (Open Request Cost Aggregation)
  * in its TEXT form, {@code TEXT cpu_utilization=0.3, rps_fractional=12, named_metrics.queue=4}.
  */
-public final class Orca {
+public final class OrcaLoadReport {
 
-    public static final String FIELD = "endpoint-load-metrics";
+    public static final String HEADER_NAME = "endpoint-load-metrics";
     private static final String FORM = "TEXT ";
     private static final int ENTRIES_MOST = 32;
 
-    private Orca() { }
+    private OrcaLoadReport() { }
 
     /** The figures by name; empty for another form. What is no finite, non-negative number is left out. */
     public static Map<String, Double> parse(String field) {
--- a/src/main/java/rowanmoor/http/Out.java
+++ b/src/main/java/rowanmoor/http/Out.java
@@ -27,15 +27,15 @@
     /**
      * Writes a head.
      *
-     * @param length the content's length, {@link Part#CHUNKED}, or {@link Part#UNTIL_END} for as it comes
+     * @param length the content's length, {@link MessagePart#CHUNKED}, or {@link MessagePart#UNTIL_CLOSE} for as it comes
      */
-    boolean head(String start, Fields fields, long length) {
-        chunked = length == Part.CHUNKED;
+    boolean head(String start, HttpFields fields, long length) {
+        chunked = length == MessagePart.CHUNKED;
         left = length >= 0 ? length : Long.MAX_VALUE;
         return connection.send(encode(start, fields));
     }
 
-    static ByteBuffer encode(String start, Fields fields) {
+    static ByteBuffer encode(String start, HttpFields fields) {
         StringBuilder head = new StringBuilder(256).append(start).append("\r\n");
         fields.forEach((name, value) -> {
             Syntax.checkField(name, value);
@@ -66,7 +66,7 @@
     }
 
     /** Ends the message; trailers go only after chunks (RFC 9112, 7.1.2). */
-    boolean end(Fields trailers) {
+    boolean end(HttpFields trailers) {
         if (!chunked) {
             return true;
         }
--- a/src/main/java/rowanmoor/http/ServerConnection.java
+++ b/src/main/java/rowanmoor/http/ServerConnection.java
@@ -5,7 +5,7 @@
 import rowanmoor.net.Connection;
 
 /**
- * Serves one connection with whole messages, content held within {@link Limits#body}. What is refused, how
+ * Serves one connection with whole messages, content held within {@link MessageLimits#maxBodyBytes}. What is refused, how
  * requests sent ahead wait and when a client has given up is as {@link ServerStream} has it.
  */
 public class ServerConnection extends ServerStream {
@@ -14,17 +14,17 @@
     public interface Service {
 
         /** A request came; answer it through the exchange, now or later. */
-        void request(Message.Request request, Exchange exchange);
+        void onRequest(Message.Request request, Exchange exchange);
 
         /** The client of an unanswered exchange is gone. */
-        default void abandoned(Exchange exchange) { }
+        default void onAborted(Exchange exchange) { }
     }
 
     /** One request's way back. */
     public static final class Exchange {
         private final ServerStream.Exchange parts;
         /** Free for the service's own use. */
-        public Object tag;
+        public Object attachment;
 
         private Exchange(ServerStream.Exchange parts) {
             this.parts = parts;
@@ -35,20 +35,20 @@
         }
 
         /** Answers; only the first call counts. False if the client is gone or was answered. */
-        public boolean answer(Message.Response response) {
-            Part.ResponseHead head = new Part.ResponseHead(response.status(), response.reason(), 1,
+        public boolean respond(Message.Response response) {
+            MessagePart.ResponseHead head = new MessagePart.ResponseHead(response.status(), response.reason(), 1,
                     response.fields(), response.body().length);
-            if (!parts.begin(head)) {
+            if (!parts.beginResponse(head)) {
                 return false;
             }
             parts.write(ByteBuffer.wrap(response.body()));
-            parts.end(new Fields());
+            parts.endResponse(new HttpFields());
             return true;
         }
 
         /** Breaks the connection: for stand-ins that fail on purpose. */
-        public void breakOff() {
-            parts.breakOff();
+        public void abort() {
+            parts.abort();
         }
     }
 
@@ -56,36 +56,36 @@
     private record Whole(Service service) implements ServerStream.Service {
 
         @Override
-        public void begun(ServerStream.Exchange parts) {
+        public void onRequest(ServerStream.Exchange parts) {
             Exchange exchange = new Exchange(parts);
-            parts.tag = exchange;
+            parts.attachment = exchange;
             ByteArrayOutputStream content = new ByteArrayOutputStream(0);
-            parts.to(new Body() {
+            parts.setBodyConsumer(new BodyConsumer() {
                 @Override
-                public void piece(ByteBuffer bytes) {
+                public void onRequestContent(ByteBuffer bytes) {
                     byte[] piece = new byte[bytes.remaining()];
                     bytes.get(piece);
                     content.write(piece, 0, piece.length);
                 }
 
                 @Override
-                public void end(Fields trailers) {
-                    Part.RequestHead head = parts.head();
-                    service.request(new Message.Request(head.method(), head.target(), head.minor(),
+                public void onRequestEnd(HttpFields trailers) {
+                    MessagePart.RequestHead head = parts.head();
+                    service.onRequest(new Message.Request(head.method(), head.target(), head.minorVersion(),
                             head.fields(), content.toByteArray()), exchange);
                 }
             });
         }
 
         @Override
-        public void gone(ServerStream.Exchange parts) {
-            if (parts.asked()) {
-                service.abandoned((Exchange) parts.tag);
+        public void onAborted(ServerStream.Exchange parts) {
+            if (parts.isRequestComplete()) {
+                service.onAborted((Exchange) parts.attachment);
             }
         }
     }
 
-    public ServerConnection(Limits limits, Service service) {
+    public ServerConnection(MessageLimits limits, Service service) {
         super(limits, new Whole(service));
     }
 }
--- a/src/main/java/rowanmoor/http/ServerStream.java
+++ b/src/main/java/rowanmoor/http/ServerStream.java
@@ -1,10 +1,10 @@
 package rowanmoor.http;
 
 import java.nio.ByteBuffer;
-import rowanmoor.net.Bound;
-import rowanmoor.net.Close;
+import rowanmoor.net.WriteLimit;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 import rowanmoor.net.Loop;
 import rowanmoor.net.Timer;
 
@@ -17,10 +17,10 @@
  * <p>A connection without a request in work is never just closed, since a request may be on its way: it ends
  * with a 408 that names {@link #NEVER_RAN_FIELD}, and what comes after that is read and dropped (RFC 9110, 15.5.9).
  */
-public class ServerStream implements Handler {
+public class ServerStream implements ConnectionHandler {
 
     /** Set on a refusal: proof that nothing was done for the request. */
-    public static final String NEVER_RAN = "x-never-ran";
+    public static final String NEVER_RAN_FIELD = "x-never-ran";
     static final int AHEAD_MOST = 1 << 16;
     /**
      * A client that opens a connection for a request sends it along with the handshake's last packet: one
@@ -30,22 +30,22 @@
     private static final long FIRST_REQUEST_WITHIN = 50_000_000L;
     /** An answered request's content up to this is read to its end, so that the connection can be kept. */
     private static final long DRAIN_MOST = 1 << 16;
-    private static final Body NOBODY = new Body() {
+    private static final BodyConsumer NOBODY = new BodyConsumer() {
         @Override
-        public void piece(ByteBuffer bytes) { }
+        public void onRequestContent(ByteBuffer bytes) { }
 
         @Override
-        public void end(Fields trailers) { }
+        public void onRequestEnd(HttpFields trailers) { }
     };
 
     /** Serves requests. */
     public interface Service {
 
         /** A request's head came. What its content goes to must be set now. */
-        void begun(Exchange exchange);
+        void onRequest(Exchange exchange);
 
         /** The client is gone before its answer was whole. */
-        void gone(Exchange exchange);
+        void onAborted(Exchange exchange);
     }
 
     /**
@@ -55,29 +55,29 @@
      *     more
      * @param idle between two requests
      */
-    public record Patience(long head, long idle) {
+    public record Timeouts(long headNs, long idleNs) {
 
         /** No bound at all. */
-        static final Patience ENDLESS = new Patience(0, 0);
+        static final Timeouts ENDLESS = new Timeouts(0, 0);
     }
 
     /** What is waited for from the client. */
     private enum Awaited { NOTHING, REQUEST, HEAD, REST_OF_CONTENT }
 
     /** Takes a request's content. */
-    public interface Body {
+    public interface BodyConsumer {
 
         /** The bytes are the reader's own: what is kept must be copied. */
-        void piece(ByteBuffer bytes);
+        void onRequestContent(ByteBuffer bytes);
 
-        void end(Fields trailers);
+        void onRequestEnd(HttpFields trailers);
     }
 
     /** One request and its answer's way back. */
     public final class Exchange {
-        private final Part.RequestHead head;
+        private final MessagePart.RequestHead head;
         private final Out out = new Out(connection);
-        private Body body = NOBODY;
+        private BodyConsumer body = NOBODY;
         private Runnable drained = () -> { };
         private boolean asked;
         private boolean begun;
@@ -86,13 +86,13 @@
         private boolean bare;
         private boolean closes;
         /** Free for the service's own use. */
-        public Object tag;
+        public Object attachment;
 
-        private Exchange(Part.RequestHead head) {
+        private Exchange(MessagePart.RequestHead head) {
             this.head = head;
         }
 
-        public Part.RequestHead head() {
+        public MessagePart.RequestHead head() {
             return head;
         }
 
@@ -101,26 +101,26 @@
         }
 
         /** Where the request's content goes; without it, nowhere. */
-        public void to(Body itsBody) {
+        public void setBodyConsumer(BodyConsumer itsBody) {
             body = itsBody;
         }
 
         /** Whether the request's content is whole. */
-        public boolean asked() {
+        public boolean isRequestComplete() {
             return asked;
         }
 
         /** Whether the answer's head has gone out. */
-        public boolean begun() {
+        public boolean hasResponseBegun() {
             return begun;
         }
 
-        public boolean over() {
+        public boolean isFinished() {
             return over;
         }
 
         /** Reads no more of the content, or goes on. */
-        public void pause(boolean on) {
+        public void setPaused(boolean on) {
             if (current == this && !over) {
                 if (on) {
                     connection.pause();
@@ -131,42 +131,42 @@
         }
 
         /** Called when all that was written has gone out. */
-        public void drained(Runnable then) {
+        public void onDrained(Runnable then) {
             drained = then;
         }
 
         /** An interim answer (1xx); a client of HTTP/1.0 must not see one (RFC 9110, 15.2). */
-        public void interim(Part.ResponseHead interim) {
-            if (!over && !begun && head.minor() == 1) {
+        public void interim(MessagePart.ResponseHead interim) {
+            if (!over && !begun && head.minorVersion() == 1) {
                 connection.send(Out.encode(start(interim.status(), interim.reason()), interim.fields()));
             }
         }
 
         /** A whole answer of the server's own; false if an answer has begun. */
-        public boolean answer(int status, String text, String... fields) {
+        public boolean respond(int status, String text, String... fields) {
             byte[] bytes = text.getBytes(java.nio.charset.StandardCharsets.UTF_8);
-            if (!begin(new Part.ResponseHead(status, Reason.of(status), 1, Fields.of(fields),
+            if (!beginResponse(new MessagePart.ResponseHead(status, Reason.of(status), 1, HttpFields.of(fields),
                     bytes.length))) {
                 return false;
             }
             write(ByteBuffer.wrap(bytes));
-            end(new Fields());
+            endResponse(new HttpFields());
             return true;
         }
 
         /** Begins an answer: its fields say nothing of framing but for HEAD and 304. False if too late. */
-        public boolean begin(Part.ResponseHead answer) {
+        public boolean beginResponse(MessagePart.ResponseHead answer) {
             if (over || begun) {
                 return false;
             }
             begun = true;
             int status = answer.status();
             bare = head.method().equals("HEAD") || status == 204 || status == 304;
-            Fields fields = answer.fields().copy();
-            long length = bare ? 0 : answer.length();
+            HttpFields fields = answer.fields().copy();
+            long length = bare ? 0 : answer.contentLength();
             if (length < 0) {
-                untilEnd = head.minor() == 0;
-                length = untilEnd ? Part.UNTIL_END : Part.CHUNKED;
+                untilEnd = head.minorVersion() == 0;
+                length = untilEnd ? MessagePart.UNTIL_CLOSE : MessagePart.CHUNKED;
             }
             if (!bare) {
                 fields.remove("Content-Length");
@@ -175,11 +175,11 @@
                 }
             }
             fields.remove("Transfer-Encoding");
-            if (length == Part.CHUNKED) {
+            if (length == MessagePart.CHUNKED) {
                 fields.set("Transfer-Encoding", "chunked");
             }
-            closes = untilEnd || head.minor() == 0 || answer.fields().holds("connection",
-                    "close") || !head.keepsAlive() || stopping
+            closes = untilEnd || head.minorVersion() == 0 || answer.fields().hasToken("connection",
+                    "close") || !head.isKeepAlive() || stopping
                     || !asked && !mayDrain();
             if (closes) {
                 fields.set("Connection", "close");
@@ -190,7 +190,7 @@
 
         private boolean mayDrain() {
             // A client that waits for 100 may leave its content out: what came next would be read as content.
-            return head.length() >= 0 && head.length() <= DRAIN_MOST && head.fields().get("expect") == null;
+            return head.contentLength() >= 0 && head.contentLength() <= DRAIN_MOST && head.fields().get("expect") == null;
         }
 
         /** Some of the answer's content, copied; false if the writer should pause until drained. */
@@ -199,19 +199,19 @@
                 return true;
             }
             if (!out.piece(bytes)) {
-                breakOff();
+                abort();
                 return true;
             }
             return !out.enough();
         }
 
         /** Ends the answer. */
-        public void end(Fields trailers) {
+        public void endResponse(HttpFields trailers) {
             if (over) {
                 return;
             }
             if (!bare && !out.whole()) {
-                breakOff(); // a length was promised: the client must see that it is not kept
+                abort(); // a length was promised: the client must see that it is not kept
                 return;
             }
             over = true;
@@ -220,7 +220,7 @@
             }
             if (closes) {
                 current = null;
-                connection.end();
+                connection.closeGracefully();
             } else if (asked) {
                 current = null;
                 goOn();
@@ -231,7 +231,7 @@
         }
 
         /** Breaks the connection off: the client sees that its answer is not whole. */
-        public void breakOff() {
+        public void abort() {
             over = true;
             if (current == this) {
                 current = null;
@@ -242,8 +242,8 @@
 
     private final Loop loop;
     private final Service service;
-    private final PartParser parser;
-    private final Patience patience;
+    private final MessagePartParser parser;
+    private final Timeouts patience;
     private Connection connection;
     private ByteBuffer ahead;
     private Exchange current;
@@ -255,24 +255,24 @@
     private boolean stopping;
     private long idleWhenStopping;
 
-    public ServerStream(Loop loop, Limits limits, Patience patience, Service service) {
+    public ServerStream(Loop loop, MessageLimits limits, Timeouts patience, Service service) {
         this.loop = loop;
-        this.parser = PartParser.ofRequests(limits).anyLength();
+        this.parser = MessagePartParser.forRequests(limits).withoutBodyLimit();
         this.patience = patience;
         this.service = service;
     }
 
     /** Content within the limits, and no bound on how long a head takes: for stand-ins and whole messages. */
-    ServerStream(Limits limits, Service service) {
+    ServerStream(MessageLimits limits, Service service) {
         this.loop = null;
-        this.parser = PartParser.ofRequests(limits);
-        this.patience = Patience.ENDLESS;
+        this.parser = MessagePartParser.forRequests(limits);
+        this.patience = Timeouts.ENDLESS;
         this.service = service;
     }
 
     /** Options for connections that are served in parts: what waits is bounded well above a pause. */
     public static Connection.Options options() {
-        return Connection.Options.usual().bound(new Bound(1 << 22, 1 << 16, Bound.Policy.REFUSE));
+        return Connection.Options.defaults().bound(new WriteLimit(1 << 22, 1 << 16, WriteLimit.OverflowPolicy.REFUSE));
     }
 
     /**
@@ -287,7 +287,7 @@
     }
 
     /** Ends, unless a request is in work. */
-    public void endUnlessInWork() {
+    public void closeIfIdle() {
         if (connection != null && connection.isOpen() && current == null) {
             refuseLate("the server stops");
         }
@@ -298,13 +298,13 @@
     }
 
     @Override
-    public void opened(Connection itsConnection) {
+    public void onOpen(Connection itsConnection) {
         connection = itsConnection;
         awaitClient();
     }
 
     @Override
-    public void received(Connection itsConnection, ByteBuffer bytes) {
+    public void onData(Connection itsConnection, ByteBuffer bytes) {
         if (ahead == null && !waits()) {
             pump(bytes);
         }
@@ -354,7 +354,7 @@
         pumping = true;
         try {
             while (connection.isOpen() && !waits()) {
-                Part part = parser.next(bytes);
+                MessagePart part = parser.next(bytes);
                 if (part == null) {
                     break;
                 }
@@ -367,12 +367,12 @@
         }
     }
 
-    private void take(Part part) {
-        if (part instanceof Part.RequestHead head) {
+    private void take(MessagePart part) {
+        if (part instanceof MessagePart.RequestHead head) {
             requests++;
             current = new Exchange(head);
-            if (head.length() != 0) {
-                service.begun(current);
+            if (head.contentLength() != 0) {
+                service.onRequest(current);
             }
             return;
         }
@@ -380,20 +380,20 @@
         if (its == null) {
             return; // answered and closing
         }
-        if (part instanceof Part.Piece piece) {
+        if (part instanceof MessagePart.Piece piece) {
             if (!its.over) {
-                its.body.piece(piece.bytes());
+                its.body.onRequestContent(piece.bytes());
             }
             return;
         }
         its.asked = true;
-        if (its.head.length() == 0) {
-            service.begun(its);
+        if (its.head.contentLength() == 0) {
+            service.onRequest(its);
         }
         if (its.over) {
             current = null; // its answer was whole before
         } else {
-            its.body.end(((Part.End) part).trailers());
+            its.body.onRequestEnd(((MessagePart.End) part).trailers());
         }
     }
 
@@ -407,7 +407,7 @@
         abandon();
         connection.send(Message.Response.of(e.status(), e.getMessage() + "\n", "Connection", "close")
                 .encode(false));
-        connection.end();
+        connection.closeGracefully();
     }
 
     /**
@@ -415,9 +415,9 @@
      * never ran.
      */
     private void refuseLate(String why) {
-        connection.send(Message.Response.of(408, why + "\n", "Connection", "close", NEVER_RAN, "1")
+        connection.send(Message.Response.of(408, why + "\n", "Connection", "close", NEVER_RAN_FIELD, "1")
                 .encode(false));
-        connection.end();
+        connection.closeGracefully();
     }
 
     // ---- how long the client is waited for -------------------------------------------------------------
@@ -443,7 +443,7 @@
         requestsWhenArmed = requests;
         long within = switch (now) {
             case NOTHING -> 0;
-            case HEAD, REST_OF_CONTENT -> patience.head();
+            case HEAD, REST_OF_CONTENT -> patience.headNs();
             case REQUEST -> requestWithin();
         };
         if (within > 0) {
@@ -453,7 +453,7 @@
 
     private long requestWithin() {
         if (!stopping) {
-            return patience.idle();
+            return patience.idleNs();
         }
         return requests == 0 ? Math.min(FIRST_REQUEST_WITHIN, idleWhenStopping) : idleWhenStopping;
     }
@@ -470,26 +470,26 @@
         switch (awaitedNow()) {
             case REQUEST -> refuseLate(stopping ? "the server stops" : "no request for too long");
             case HEAD -> refuseLate("a head took too long");
-            case REST_OF_CONTENT -> connection.end();
+            case REST_OF_CONTENT -> connection.closeGracefully();
             case NOTHING -> { }
         }
     }
 
     @Override
-    public void drained(Connection its) {
+    public void onDrained(Connection its) {
         if (current != null) {
             current.drained.run();
         }
     }
 
     @Override
-    public boolean ended(Connection itsConnection) {
+    public boolean onInputEnd(Connection itsConnection) {
         abandon();
         return false;
     }
 
     @Override
-    public void closed(Connection itsConnection, Close why, String detail) {
+    public void onClose(Connection itsConnection, CloseReason why, String detail) {
         disarm();
         abandon();
     }
@@ -499,7 +499,7 @@
         current = null;
         if (unanswered != null && !unanswered.over) {
             unanswered.over = true;
-            service.gone(unanswered);
+            service.onAborted(unanswered);
         }
     }
 }
--- a/src/main/java/rowanmoor/lab/ControllerLoops.java
+++ b/src/main/java/rowanmoor/lab/ControllerLoops.java
@@ -34,7 +34,7 @@
 
     @Override
     public void start(int rank, InetSocketAddress roster, Up up) throws IOException {
-        Loop loop = net.loop(onFault);
+        Loop loop = net.newLoop(onFault);
         running.put(rank, loop);
         long epoch = ++starts;
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
@@ -52,14 +52,14 @@
     public void kill(int rank) {
         Loop loop = running.remove(rank);
         if (loop != null) {
-            net.kill(loop);
+            net.killLoop(loop);
         }
     }
 
     @Override
     public void stall(int rank, boolean on) {
         if (running.containsKey(rank)) {
-            net.freeze(running.get(rank), on);
+            net.setFrozen(running.get(rank), on);
         }
     }
 
--- a/src/main/java/rowanmoor/lab/Fuzz.java
+++ b/src/main/java/rowanmoor/lab/Fuzz.java
@@ -16,7 +16,7 @@
 import rowanmoor.channel.Frame;
 import rowanmoor.channel.FrameReader;
 import rowanmoor.http.HttpError;
-import rowanmoor.http.Limits;
+import rowanmoor.http.MessageLimits;
 import rowanmoor.http.Message;
 import rowanmoor.kdl.KdlException;
 
@@ -43,7 +43,7 @@
             String failure) { }
 
     private static final ChannelLimits CHANNEL_LIMITS = new ChannelLimits(1 << 16, 512, 64);
-    private static final Limits HTTP_LIMITS = new Limits(256, 1024, 16, 2048);
+    private static final MessageLimits HTTP_LIMITS = new MessageLimits(256, 1024, 16, 2048);
     private static final int INPUT_MOST = 4096;
     private static final int KINDS_KEPT = 40;
     /** Bytes that reading one input may allocate: generous beside the limits, tiny beside a stated 4 GiB. */
@@ -129,9 +129,9 @@
     }
 
     private void http(byte[] input, int most, List<String> story) throws HttpError {
-        rowanmoor.http.Parser parser = target == Target.HTTP_REQUEST
-                ? rowanmoor.http.Parser.ofRequests(HTTP_LIMITS) : rowanmoor.http.Parser
-                        .ofResponses(HTTP_LIMITS);
+        rowanmoor.http.MessageParser parser = target == Target.HTTP_REQUEST
+                ? rowanmoor.http.MessageParser.forRequests(HTTP_LIMITS) : rowanmoor.http.MessageParser
+                        .forResponses(HTTP_LIMITS);
         for (ByteBuffer piece : pieces(input, most)) {
             while (piece.hasRemaining()) {
                 Message message = parser.next(piece);
--- a/src/main/java/rowanmoor/lab/Player.java
+++ b/src/main/java/rowanmoor/lab/Player.java
@@ -50,7 +50,7 @@
     static Played simulate(DayFile day, Mutant mutant) throws IOException {
         List<String> faults = new ArrayList<>();
         MemoryNet net = new MemoryNet(SIMULATED_START, day.seed());
-        Loop stage = net.loop(e -> faults.add(e.toString()));
+        Loop stage = net.newLoop(e -> faults.add(e.toString()));
         Controllers controllers = mutant.between().apply(stage, new ControllerLoops(net,
                 mutant.controllersDay(), e -> faults.add(e.toString())));
         Ground ground = new Ground(day, stage, stage, new ProxyLoops(stage, mutant.routers()), controllers,
--- a/src/main/java/rowanmoor/lab/ProxyLoad.java
+++ b/src/main/java/rowanmoor/lab/ProxyLoad.java
@@ -20,10 +20,10 @@
 import rowanmoor.config.Site;
 import rowanmoor.discovery.Addresses;
 import rowanmoor.http.ClientConnection;
-import rowanmoor.http.Limits;
+import rowanmoor.http.MessageLimits;
 import rowanmoor.http.Message;
 import rowanmoor.http.ServerConnection;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
 import rowanmoor.net.Loop;
 import rowanmoor.proxy.ForwardingPolicy;
@@ -93,9 +93,9 @@
         this.lines = lines;
         this.straightToo = straightToo;
         for (int b = 0; b < BACKENDS; b++) {
-            backends.add(far.listen(ANY, Connection.Options.usual(),
-                    c -> new ServerConnection(Limits.usual(), (request, exchange) ->
-                            exchange.answer(Message.Response.of(200, "ok")))).address());
+            backends.add(far.listen(ANY, Connection.Options.defaults(),
+                    c -> new ServerConnection(MessageLimits.defaults(), (request, exchange) ->
+                            exchange.respond(Message.Response.of(200, "ok")))).address());
         }
         Site site = Site.of(Section.parse("proxy-load", """
                 site {
@@ -184,14 +184,14 @@
         }
         overOut += idle == over ? 1 : 0;
         ClientConnection kept = idle.pollLast();
-        while (kept != null && !kept.free()) {
+        while (kept != null && !kept.isAvailable()) {
             kept = idle.pollLast();
         }
         ClientConnection connection = kept != null ? kept : ClientConnection.open(near, null, to,
-                Connection.Options.usual(), Limits.usual(), c -> { });
-        connection.ask(Message.Request.get("/x", "Host", "h"), new ClientConnection.Answer() {
+                Connection.Options.defaults(), MessageLimits.defaults(), c -> { });
+        connection.send(Message.Request.get("/x", "Host", "h"), new ClientConnection.ResponseHandler() {
             @Override
-            public void answered(Message.Response response) {
+            public void onResponse(Message.Response response) {
                 if (response.status() == 200) {
                     took.recordValue(Math.min(MOST_MICROS, Math.max(0, (near.now() - at) / 1000)));
                 } else {
@@ -203,7 +203,7 @@
             }
 
             @Override
-            public void failed(boolean neverRan, Close why, String detail) {
+            public void onFailure(boolean neverRan, CloseReason why, String detail) {
                 overOut -= idle == over ? 1 : 0;
                 failed[0]++;
                 done.countDown();
--- a/src/main/java/rowanmoor/lab/SoakRun.java
+++ b/src/main/java/rowanmoor/lab/SoakRun.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import rowanmoor.http.Limits;
+import rowanmoor.http.MessageLimits;
 import rowanmoor.http.Message;
 import rowanmoor.http.ServerConnection;
 import rowanmoor.net.Connection;
@@ -141,10 +141,10 @@
                 effects.merge(id, 1, Integer::sum);
             }
             long work = TimeUnit.MILLISECONDS.toNanos(1 + its.nextInt(150));
-            loop.after(work, () -> exchange.answer(Message.Response.of(200, "done\n")));
+            loop.after(work, () -> exchange.respond(Message.Response.of(200, "done\n")));
         };
-        return loop.listen(ANY, Connection.Options.usual(),
-                c -> new ServerConnection(Limits.usual(), service)).address();
+        return loop.listen(ANY, Connection.Options.defaults(),
+                c -> new ServerConnection(MessageLimits.defaults(), service)).address();
     }
 
     private void playRounds(List<InetSocketAddress> backends) throws IOException, InterruptedException {
--- a/src/main/java/rowanmoor/net/Close.java
+++ b/src/main/java/rowanmoor/net/CloseReason.java
@@ -1,7 +1,7 @@
 package rowanmoor.net;
 
 /** Why a connection ended. */
-public enum Close {
+public enum CloseReason {
     /** This side closed it. */
     LOCAL,
     /** The peer ended its bytes and nothing was left to send. */
@@ -24,7 +24,7 @@
     STOPPED;
 
     /** Whether the peer can have read nothing that was sent: the connection was never made. */
-    public boolean neverMade() {
+    public boolean neverConnected() {
         return this == REFUSED || this == CONNECT_TIMEOUT;
     }
 }
--- a/src/main/java/rowanmoor/net/Connection.java
+++ b/src/main/java/rowanmoor/net/Connection.java
@@ -18,8 +18,8 @@
 
     private final Loop loop;
     private final Wire wire;
-    private final Handler handler;
-    private final Bound bound;
+    private final ConnectionHandler handler;
+    private final WriteLimit bound;
     private final ArrayDeque<ByteBuffer> queue = new ArrayDeque<>();
     private final long idleAfter;
     private State state;
@@ -34,47 +34,47 @@
     private Timer idle;
     private Timer connecting;
 
-    Connection(Loop loop, Wire wire, Handler handler, Options options, boolean made) {
+    Connection(Loop loop, Wire wire, ConnectionHandler handler, Options options, boolean made) {
         this.loop = loop;
         this.wire = wire;
         this.handler = handler;
-        this.bound = options.bound();
-        this.idleAfter = options.idleAfter();
+        this.bound = options.writeLimit();
+        this.idleAfter = options.idleTimeoutNs();
         this.state = made ? State.OPEN : State.CONNECTING;
         this.heardAt = loop.now();
         wire.attach(this::ready);
         if (!made) {
-            connecting = loop.after(options.connectWithin(), () ->
-                    close(Close.CONNECT_TIMEOUT, "no answer from " + wire.remote()));
+            connecting = loop.after(options.connectTimeoutNs(), () ->
+                    close(CloseReason.CONNECT_TIMEOUT, "no answer from " + wire.remote()));
         }
     }
 
     /** Options of one connection; times in nanoseconds, 0 for never. */
-    public record Options(Bound bound, long connectWithin, long idleAfter) {
+    public record Options(WriteLimit writeLimit, long connectTimeoutNs, long idleTimeoutNs) {
 
         private static final long SECOND = 1_000_000_000L;
 
         /** A mebibyte and a thousand frames may wait, refused beyond; 1 s to connect; never idle. */
-        public static Options usual() {
-            return new Options(new Bound(1 << 20, 1024, Bound.Policy.REFUSE), SECOND, 0);
+        public static Options defaults() {
+            return new Options(new WriteLimit(1 << 20, 1024, WriteLimit.OverflowPolicy.REFUSE), SECOND, 0);
         }
 
         public Options idleAfter(long nanos) {
-            return new Options(bound, connectWithin, nanos);
+            return new Options(writeLimit, connectTimeoutNs, nanos);
         }
 
         public Options connectWithin(long nanos) {
-            return new Options(bound, nanos, idleAfter);
+            return new Options(writeLimit, nanos, idleTimeoutNs);
         }
 
-        public Options bound(Bound other) {
-            return new Options(other, connectWithin, idleAfter);
+        public Options bound(WriteLimit other) {
+            return new Options(other, connectTimeoutNs, idleTimeoutNs);
         }
     }
 
     void begin() {
         guard(() -> {
-            handler.opened(this);
+            handler.onOpen(this);
             watchIdle();
             wants();
         });
@@ -86,8 +86,8 @@
             return false;
         }
         if (!fits(frame)) {
-            if (bound.policy() == Bound.Policy.CLOSE) {
-                close(Close.OVERFLOW, queue.size() + " frames of " + queuedBytes + " bytes wait");
+            if (bound.overflowPolicy() == WriteLimit.OverflowPolicy.CLOSE) {
+                close(CloseReason.OVERFLOW, queue.size() + " frames of " + queuedBytes + " bytes wait");
             }
             return false;
         }
@@ -99,7 +99,7 @@
     }
 
     private boolean fits(ByteBuffer frame) {
-        return queue.size() < bound.frames() && queuedBytes + frame.remaining() <= bound.bytes();
+        return queue.size() < bound.maxFrames() && queuedBytes + frame.remaining() <= bound.maxBytes();
     }
 
     private void markDirty() {
@@ -113,7 +113,7 @@
      * Reads what has come by now, out of its turn: before a connection is closed for what its peer has not
      * said, since that may wait unread. Not from within a handler of this connection.
      */
-    public void readNow() {
+    public void readPending() {
         if (state == State.OPEN) {
             guard(this::readSome);
         }
@@ -123,7 +123,7 @@
      * Whether it is open and nothing waits to be read, neither bytes nor the peer's end. A byte that does
      * may be lost by asking: this is for connections that are closed if so.
      */
-    public boolean isQuiet() {
+    public boolean probeReusable() {
         try {
             return state == State.OPEN && !peerEnded && wire.read(loop.probe()) == 0;
         } catch (IOException e) {
@@ -149,26 +149,26 @@
      * ones written could be lost by it. A peer that neither reads nor ends is waited for a second at a
      * time, and no longer.
      */
-    public void end() {
+    public void closeGracefully() {
         if (state == State.OPEN) {
             beginEnding();
             markDirty();
         } else if (state == State.CONNECTING) {
-            close(Close.LOCAL, "ended before it was made");
+            close(CloseReason.LOCAL, "ended before it was made");
         }
     }
 
     /** Closes at once; what waits is dropped. */
-    public void close(Close why, String detail) {
+    public void close(CloseReason why, String detail) {
         close(why, detail, false);
     }
 
     /** Closes at once and resets: the peer sees the connection break. */
     public void reset(String detail) {
-        close(Close.LOCAL, detail, true);
+        close(CloseReason.LOCAL, detail, true);
     }
 
-    private void close(Close why, String detail, boolean reset) {
+    private void close(CloseReason why, String detail, boolean reset) {
         if (state == State.CLOSED) {
             return;
         }
@@ -180,7 +180,7 @@
         wire.close(reset);
         loop.forget(this);
         try {
-            handler.closed(this, why, detail);
+            handler.onClose(this, why, detail);
         } catch (RuntimeException e) {
             loop.fault(e);
         }
@@ -209,7 +209,7 @@
     }
 
     /** The most bytes that ever waited at once. */
-    public long mostQueuedBytes() {
+    public long peakQueuedBytes() {
         return mostQueuedBytes;
     }
 
@@ -227,7 +227,7 @@
     }
 
     /** Time of the last bytes read, by the loop's clock. */
-    public long heardAt() {
+    public long lastReadAt() {
         return heardAt;
     }
 
@@ -250,7 +250,7 @@
                 return;
             }
         } catch (IOException e) {
-            close(Close.REFUSED, e.getMessage());
+            close(CloseReason.REFUSED, e.getMessage());
             return;
         }
         cancel(connecting);
@@ -269,7 +269,7 @@
             try {
                 count = wire.read(into);
             } catch (IOException e) {
-                close(Close.RESET, e.getMessage());
+                close(CloseReason.RESET, e.getMessage());
                 return;
             }
             if (count == 0) {
@@ -282,17 +282,17 @@
             }
             into.flip();
             if (state == State.OPEN) {
-                handler.received(this, into);
+                handler.onData(this, into);
             }
         }
     }
 
     private void hearEnd() {
         peerEnded = true;
-        boolean goesOn = state == State.OPEN && handler.ended(this);
+        boolean goesOn = state == State.OPEN && handler.onInputEnd(this);
         if (!goesOn && state != State.CLOSED) {
             if (queue.isEmpty()) {
-                close(Close.ENDED, "the peer ended");
+                close(CloseReason.ENDED, "the peer ended");
             } else {
                 beginEnding();
             }
@@ -323,18 +323,18 @@
                 finishEnding();
             }
         } catch (IOException e) {
-            close(Close.RESET, e.getMessage());
+            close(CloseReason.RESET, e.getMessage());
             return;
         }
         wants();
         if (had && queue.isEmpty() && state == State.OPEN) {
-            guard(() -> handler.drained(this));
+            guard(() -> handler.onDrained(this));
         }
     }
 
     private void finishEnding() throws IOException {
         if (peerEnded) {
-            close(Close.ENDED, "both sides ended");
+            close(CloseReason.ENDED, "both sides ended");
         } else if (!outputEnded) {
             outputEnded = true;
             wire.endOutput();
@@ -357,7 +357,7 @@
             if (writtenBytes > before) {
                 watchEnding();
             } else {
-                close(Close.LOCAL, outputEnded ? "the peer did not end its side"
+                close(CloseReason.LOCAL, outputEnded ? "the peer did not end its side"
                         : "the peer took none of the last " + queuedBytes + " bytes");
             }
         });
@@ -373,7 +373,7 @@
         if (idleAfter > 0 && state == State.OPEN) {
             long left = heardAt + idleAfter - loop.now();
             if (left <= 0 && !paused) {
-                close(Close.IDLE, "nothing heard for " + idleAfter / 1_000_000 + " ms");
+                close(CloseReason.IDLE, "nothing heard for " + idleAfter / 1_000_000 + " ms");
             } else {
                 idle = loop.after(left <= 0 ? idleAfter : left, this::watchIdle);
             }
@@ -386,7 +386,7 @@
             step.run();
         } catch (RuntimeException e) {
             loop.fault(e);
-            close(Close.FAULT, e.toString());
+            close(CloseReason.FAULT, e.toString());
         }
     }
 }
--- a/src/main/java/rowanmoor/net/Handler.java
+++ b/src/main/java/rowanmoor/net/ConnectionHandler.java
@@ -3,22 +3,22 @@
 import java.nio.ByteBuffer;
 
 /** Hears what happens on one connection, on its loop's thread. */
-public interface Handler {
+public interface ConnectionHandler {
 
     /** The connection is made. Not called for one that never is. */
-    default void opened(Connection connection) { }
+    default void onOpen(Connection connection) { }
 
     /** Bytes came. The buffer is the loop's: what is not copied now is lost. */
-    void received(Connection connection, ByteBuffer bytes);
+    void onData(Connection connection, ByteBuffer bytes);
 
     /** The peer sends no more. True keeps this side open for writing; false closes once all is written. */
-    default boolean ended(Connection connection) {
+    default boolean onInputEnd(Connection connection) {
         return false;
     }
 
     /** All that waited to be written is written. */
-    default void drained(Connection connection) { }
+    default void onDrained(Connection connection) { }
 
     /** The connection is over; called once, for one never made as well. Nothing is heard after it. */
-    default void closed(Connection connection, Close why, String detail) { }
+    default void onClose(Connection connection, CloseReason why, String detail) { }
 }
--- a/src/main/java/rowanmoor/net/Loop.java
+++ b/src/main/java/rowanmoor/net/Loop.java
@@ -52,10 +52,10 @@
     /** A listening address; close it to refuse new connections. */
     public final class Listener {
         private final Ports.Door door;
-        private final Function<Connection, Handler> accept;
+        private final Function<Connection, ConnectionHandler> accept;
         private final Connection.Options options;
 
-        private Listener(Ports.Door door, Function<Connection, Handler> accept, Connection.Options options) {
+        private Listener(Ports.Door door, Function<Connection, ConnectionHandler> accept, Connection.Options options) {
             this.door = door;
             this.accept = accept;
             this.options = options;
@@ -101,7 +101,7 @@
             Connection connection = new Connection(Loop.this, wire, made, options, true);
             made.handler = made.accept.apply(connection);
             if (made.handler == null) {
-                connection.close(Close.LOCAL, "not accepted");
+                connection.close(CloseReason.LOCAL, "not accepted");
                 return;
             }
             connections.add(connection);
@@ -110,38 +110,38 @@
     }
 
     /** Lets a handler be made from the connection that it is for. */
-    private static final class Made implements Handler {
-        private final Function<Connection, Handler> accept;
-        private Handler handler;
+    private static final class Made implements ConnectionHandler {
+        private final Function<Connection, ConnectionHandler> accept;
+        private ConnectionHandler handler;
 
-        Made(Function<Connection, Handler> accept) {
+        Made(Function<Connection, ConnectionHandler> accept) {
             this.accept = accept;
         }
 
         @Override
-        public void opened(Connection connection) {
-            handler.opened(connection);
+        public void onOpen(Connection connection) {
+            handler.onOpen(connection);
         }
 
         @Override
-        public void received(Connection connection, ByteBuffer bytes) {
-            handler.received(connection, bytes);
+        public void onData(Connection connection, ByteBuffer bytes) {
+            handler.onData(connection, bytes);
         }
 
         @Override
-        public boolean ended(Connection connection) {
-            return handler.ended(connection);
+        public boolean onInputEnd(Connection connection) {
+            return handler.onInputEnd(connection);
         }
 
         @Override
-        public void drained(Connection connection) {
-            handler.drained(connection);
+        public void onDrained(Connection connection) {
+            handler.onDrained(connection);
         }
 
         @Override
-        public void closed(Connection connection, Close why, String detail) {
+        public void onClose(Connection connection, CloseReason why, String detail) {
             if (handler != null) {
-                handler.closed(connection, why, detail);
+                handler.onClose(connection, why, detail);
             }
         }
     }
@@ -169,7 +169,7 @@
 
     /** Connects; the handler hears {@code opened}, or {@code closed} if it is never made. */
     public Connection connect(InetSocketAddress from, InetSocketAddress to, Connection.Options options,
-            Handler handler) {
+            ConnectionHandler handler) {
         Wire wire;
         try {
             wire = ports.connect(from, to);
@@ -178,7 +178,7 @@
             Connection failed = new Connection(this, wire, handler, options, false);
             connections.add(failed);
             String why = e.getMessage() == null ? e.toString() : e.getMessage();
-            after(0, () -> failed.close(Close.REFUSED, why));
+            after(0, () -> failed.close(CloseReason.REFUSED, why));
             return failed;
         }
         Connection connection = new Connection(this, wire, handler, options, false);
@@ -188,7 +188,7 @@
 
     /** Listens; the function makes each connection's handler, or answers null to turn it away. */
     public Listener listen(InetSocketAddress at, Connection.Options options,
-            Function<Connection, Handler> accept) throws IOException {
+            Function<Connection, ConnectionHandler> accept) throws IOException {
         return new Listener(ports.listen(at, BACKLOG), accept, options);
     }
 
@@ -198,7 +198,7 @@
         while (!stopped) {
             turn(SECOND);
         }
-        List.copyOf(connections).forEach(c -> c.close(Close.STOPPED, "the loop was stopped"));
+        List.copyOf(connections).forEach(c -> c.close(CloseReason.STOPPED, "the loop was stopped"));
         ports.close();
     }
 
@@ -273,12 +273,12 @@
     }
 
     /** How often accepting rested for want of descriptors. */
-    public long acceptPauses() {
+    public long acceptPauseCount() {
         return acceptPauses;
     }
 
     /** How many handlers and tasks threw. */
-    public long faults() {
+    public long faultCount() {
         return faults;
     }
 
--- a/src/main/java/rowanmoor/net/MemoryNet.java
+++ b/src/main/java/rowanmoor/net/MemoryNet.java
@@ -27,13 +27,13 @@
     /**
      * What befalls bytes under way.
      *
-     * @param splitMost the most bytes that arrive at once, 1 or more
-     * @param leastDelay least time under way, ns
-     * @param mostDelay most time under way, ns
-     * @param corrupt chance that a piece has one bit flipped, 0 to 1
-     * @param cut chance that a piece is the connection's last: it arrives in part, then a reset
+     * @param maxSegmentBytes the most bytes that arrive at once, 1 or more
+     * @param minDelayNs least time under way, ns
+     * @param maxDelayNs most time under way, ns
+     * @param corruptProbability chance that a piece has one bit flipped, 0 to 1
+     * @param resetProbability chance that a piece is the connection's last: it arrives in part, then a reset
      */
-    public record Faults(int splitMost, long leastDelay, long mostDelay, double corrupt, double cut) {
+    public record Faults(int maxSegmentBytes, long minDelayNs, long maxDelayNs, double corruptProbability, double resetProbability) {
 
         /** Whole pieces, a tenth of a millisecond under way, no harm. */
         public static Faults none() {
@@ -71,7 +71,7 @@
     }
 
     /** A loop on this network; it is turned by {@link #runUntil}. */
-    public Loop loop(Consumer<Throwable> onFault) {
+    public Loop newLoop(Consumer<Throwable> onFault) {
         MemoryPorts itsPorts = new MemoryPorts();
         Loop loop = new Loop(clock, itsPorts, onFault);
         ports.add(itsPorts);
@@ -80,7 +80,7 @@
     }
 
     /** A loop's process is killed: its streams are reset, its timers never come due. */
-    public void kill(Loop loop) {
+    public void killLoop(Loop loop) {
         int place = loops.indexOf(loop);
         ports.remove(place).close();
         loops.remove(place);
@@ -88,7 +88,7 @@
     }
 
     /** A loop's process stands still, or goes on. */
-    public void freeze(Loop loop, boolean on) {
+    public void setFrozen(Loop loop, boolean on) {
         if (on) {
             frozen.add(loop);
         } else {
@@ -97,12 +97,12 @@
     }
 
     /** Timers of a loop that are still to come due. */
-    public int timersOf(Loop loop) {
+    public int liveTimerCount(Loop loop) {
         return loop.liveTimers();
     }
 
     /** Connections of a loop that are not closed, those being made among them. */
-    public int connectionsOf(Loop loop) {
+    public int openConnectionCount(Loop loop) {
         return loop.openConnections();
     }
 
@@ -114,12 +114,12 @@
         return clock;
     }
 
-    public void faults(Faults others) {
+    public void setFaults(Faults others) {
         faults = others;
     }
 
     /** Connections to this address are neither made nor refused from now on. */
-    public void silence(InetSocketAddress address, boolean on) {
+    public void blackhole(InetSocketAddress address, boolean on) {
         if (on) {
             silent.add(address);
         } else {
@@ -128,7 +128,7 @@
     }
 
     /** How many more connections can be accepted before descriptors run out. */
-    public void descriptors(int left) {
+    public void limitDescriptors(int left) {
         descriptorsLeft = left;
     }
 
@@ -183,8 +183,8 @@
     }
 
     private long delay() {
-        return faults.mostDelay() <= faults.leastDelay() ? faults.leastDelay()
-                : random.nextLong(faults.leastDelay(), faults.mostDelay() + 1);
+        return faults.maxDelayNs() <= faults.minDelayNs() ? faults.minDelayNs()
+                : random.nextLong(faults.minDelayNs(), faults.maxDelayNs() + 1);
     }
 
     private InetSocketAddress freeAddress() {
@@ -411,7 +411,7 @@
             }
             int written = 0;
             while (from.hasRemaining() && taken < WINDOW) {
-                int most = Math.min(Math.min(from.remaining(), WINDOW - taken), faults.splitMost());
+                int most = Math.min(Math.min(from.remaining(), WINDOW - taken), faults.maxSegmentBytes());
                 int count = most == 1 ? 1 : random.nextInt(1, most + 1);
                 byte[] piece = new byte[count];
                 from.get(piece);
@@ -426,10 +426,10 @@
             if (cut) {
                 return; // the connection is breaking: nothing more arrives
             }
-            if (faults.corrupt() > 0 && random.nextDouble() < faults.corrupt()) {
+            if (faults.corruptProbability() > 0 && random.nextDouble() < faults.corruptProbability()) {
                 piece[random.nextInt(piece.length)] ^= (byte) (1 << random.nextInt(8));
             }
-            cut = faults.cut() > 0 && random.nextDouble() < faults.cut();
+            cut = faults.resetProbability() > 0 && random.nextDouble() < faults.resetProbability();
             int count = cut ? random.nextInt(piece.length + 1) : piece.length;
             lastArrival = Math.max(lastArrival, now() + delay());
             later(lastArrival, () -> {
--- a/src/main/java/rowanmoor/net/Ticks.java
+++ b/src/main/java/rowanmoor/net/TickScheduler.java
@@ -4,7 +4,7 @@
 import java.util.function.LongSupplier;
 
 /** Calls a tick soon after something came, and when it is next due, keeping a distance between two. */
-public final class Ticks {
+public final class TickScheduler {
 
     private final Loop loop;
     private final long distance;
@@ -18,7 +18,7 @@
      * @param distance least time between two ticks, ns
      * @param nextAt when the next is due if nothing comes, or {@link Long#MAX_VALUE}
      */
-    public Ticks(Loop loop, long distance, LongConsumer tick, LongSupplier nextAt) {
+    public TickScheduler(Loop loop, long distance, LongConsumer tick, LongSupplier nextAt) {
         this.loop = loop;
         this.distance = distance;
         this.tick = tick;
@@ -27,7 +27,7 @@
     }
 
     /** What comes at once is ticked for at once. */
-    public void soon() {
+    public void requestTick() {
         by(Math.max(loop.now(), lastAt + distance));
     }
 
--- a/src/main/java/rowanmoor/net/Bound.java
+++ b/src/main/java/rowanmoor/net/WriteLimit.java
@@ -7,19 +7,19 @@
  * @param frames the most frames that wait, 1 or more
  * @param policy what is done with a frame that does not fit
  */
-public record Bound(long bytes, int frames, Policy policy) {
+public record WriteLimit(long maxBytes, int maxFrames, OverflowPolicy overflowPolicy) {
 
     /** What becomes of a frame that does not fit. */
-    public enum Policy {
+    public enum OverflowPolicy {
         /** It is not taken: {@link Connection#send} answers false. */
         REFUSE,
-        /** The connection is closed with {@link Close#OVERFLOW}. */
+        /** The connection is closed with {@link CloseReason#OVERFLOW}. */
         CLOSE
     }
 
-    public Bound {
-        if (bytes < 1 || frames < 1) {
-            throw new IllegalArgumentException("a bound must be 1 or more: " + bytes + " bytes, " + frames
+    public WriteLimit {
+        if (maxBytes < 1 || maxFrames < 1) {
+            throw new IllegalArgumentException("a bound must be 1 or more: " + maxBytes + " bytes, " + maxFrames
                     + " frames");
         }
     }
--- a/src/main/java/rowanmoor/platform/Catalog.java
+++ b/src/main/java/rowanmoor/platform/Catalog.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import rowanmoor.http.ClientStream;
-import rowanmoor.http.Fields;
-import rowanmoor.http.Limits;
-import rowanmoor.http.Part;
-import rowanmoor.net.Close;
+import rowanmoor.http.HttpFields;
+import rowanmoor.http.MessageLimits;
+import rowanmoor.http.MessagePart;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
 import rowanmoor.net.Loop;
 import rowanmoor.net.Timer;
@@ -114,7 +114,7 @@
     }
 
     /** One connection's worth of following. */
-    private final class Watch implements ClientStream.Answer {
+    private final class Watch implements ClientStream.ResponseHandler {
         private final ByteArrayOutputStream line = new ByteArrayOutputStream();
         private ClientStream stream;
         private Timer silence;
@@ -123,11 +123,11 @@
 
         void open() {
             heardAt = loop.now();
-            stream = ClientStream.open(loop, null, at, Connection.Options.usual()
-                    .connectWithin(CONNECT_WITHIN), Limits.usual(), gone -> { });
-            stream.ask(new Part.RequestHead("GET", "/catalog/members?follow=1&since=" + owner.generation(), 1,
-                    Fields.of("Host", at.getHostString() + ":" + at.getPort()), 0), this);
-            stream.end(new Fields());
+            stream = ClientStream.open(loop, null, at, Connection.Options.defaults()
+                    .connectWithin(CONNECT_WITHIN), MessageLimits.defaults(), gone -> { });
+            stream.sendHead(new MessagePart.RequestHead("GET", "/catalog/members?follow=1&since=" + owner.generation(), 1,
+                    HttpFields.of("Host", at.getHostString() + ":" + at.getPort()), 0), this);
+            stream.endRequest(new HttpFields());
             watchSilence();
         }
 
@@ -155,7 +155,7 @@
         }
 
         @Override
-        public void head(Part.ResponseHead head) {
+        public void onResponseHead(MessagePart.ResponseHead head) {
             heardAt = loop.now();
             if (head.status() != 200) {
                 over(this, "status " + head.status());
@@ -163,7 +163,7 @@
         }
 
         @Override
-        public void content(ByteBuffer bytes) {
+        public void onResponseContent(ByteBuffer bytes) {
             heardAt = loop.now();
             while (bytes.hasRemaining() && isHeard()) {
                 byte b = bytes.get();
@@ -212,12 +212,12 @@
         }
 
         @Override
-        public void whole(Fields trailers) {
+        public void onResponseEnd(HttpFields trailers) {
             over(this, "ended"); // closes it too: an answer that ends leaves its connection open
         }
 
         @Override
-        public void failed(boolean neverRan, Close why, String detail) {
+        public void onFailure(boolean neverRan, CloseReason why, String detail) {
             over(this, why + ": " + detail);
         }
     }
--- a/src/main/java/rowanmoor/platform/Peer.java
+++ b/src/main/java/rowanmoor/platform/Peer.java
@@ -3,9 +3,9 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 import java.util.List;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 import rowanmoor.net.Loop;
 import rowanmoor.net.Timer;
 import rowanmoor.resp.RespException;
@@ -16,7 +16,7 @@
  * One connection at the controller's address. States: unjoined (neither joined nor named a zone), proxy,
  * collector, over. Whatever its peer does wrong costs this connection alone.
  */
-final class Peer implements Handler {
+final class Peer implements ConnectionHandler {
 
     /** What the service does with what peers bring. */
     interface Owner {
@@ -91,13 +91,13 @@
     }
 
     @Override
-    public void opened(Connection its) {
+    public void onOpen(Connection its) {
         connection = its;
         patience = loop.after(joinWithin, () -> end("it has not joined"));
     }
 
     @Override
-    public void received(Connection its, ByteBuffer bytes) {
+    public void onData(Connection its, ByteBuffer bytes) {
         try {
             while (bytes.hasRemaining() && connection.isOpen()) {
                 List<String> parts = reader.next(bytes);
@@ -137,7 +137,7 @@
             if (role != Role.COLLECTOR) {
                 send(List.of("error", "reason", why));
             }
-            connection.end();
+            connection.closeGracefully();
             over(why);
             boundLastWords();
         }
@@ -145,7 +145,7 @@
 
     /** What has come by now is heard, though no turn has read it yet. */
     void hearNow() {
-        connection.readNow();
+        connection.readPending();
     }
 
     private void boundLastWords() {
@@ -156,7 +156,7 @@
 
     /** It has left with its end of the stream, whether or not it still takes what waits for it. */
     @Override
-    public boolean ended(Connection its) {
+    public boolean onInputEnd(Connection its) {
         over("ENDED: the peer ended");
         boundLastWords();
         return false;
@@ -164,11 +164,11 @@
 
     /** Closes at once. */
     void drop(String why) {
-        connection.close(Close.LOCAL, why);
+        connection.close(CloseReason.LOCAL, why);
     }
 
     @Override
-    public void closed(Connection its, Close why, String detail) {
+    public void onClose(Connection its, CloseReason why, String detail) {
         over(why + ": " + detail);
         patience.cancel();
         owner.closed(this);
--- a/src/main/java/rowanmoor/platform/Rehearsal.java
+++ b/src/main/java/rowanmoor/platform/Rehearsal.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 import rowanmoor.net.Loop;
 import rowanmoor.resp.RespWriter;
 import rowanmoor.settings.SettingsReader;
@@ -48,9 +48,9 @@
 
     @SuppressWarnings("unchecked")
     private void begin(LineLog log) throws IOException {
-        InetSocketAddress catalog = loop.listen(ANY, Connection.Options.usual(), c -> answer(
+        InetSocketAddress catalog = loop.listen(ANY, Connection.Options.defaults(), c -> answer(
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")).address();
-        InetSocketAddress backend = loop.listen(ANY, Connection.Options.usual(), c -> answer(
+        InetSocketAddress backend = loop.listen(ANY, Connection.Options.defaults(), c -> answer(
                 "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nqueue=2,latency_ms=9")).address();
         Map<String, Object> known = (Map<String, Object>) script.get("known");
         for (Object entry : (List<Object>) known.get("instances")) {
@@ -64,27 +64,27 @@
         }
     }
 
-    private static Handler answer(String text) {
-        return new Handler() {
+    private static ConnectionHandler answer(String text) {
+        return new ConnectionHandler() {
             @Override
-            public void received(Connection connection, ByteBuffer bytes) {
+            public void onData(Connection connection, ByteBuffer bytes) {
                 connection.send(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
             }
         };
     }
 
     /** A proxy that says what the script has for it, over and over. */
-    private final class Guest implements Handler {
+    private final class Guest implements ConnectionHandler {
         private final int number;
         private Connection connection;
 
         Guest(InetSocketAddress at, int number) {
             this.number = number;
-            loop.connect(null, at, Connection.Options.usual(), this);
+            loop.connect(null, at, Connection.Options.defaults(), this);
         }
 
         @Override
-        public void opened(Connection its) {
+        public void onOpen(Connection its) {
             connection = its;
             say("probe");
             String zone = number % 2 == 0 ? "north" : "south";
@@ -104,7 +104,7 @@
         }
 
         @Override
-        public void received(Connection its, ByteBuffer bytes) {
+        public void onData(Connection its, ByteBuffer bytes) {
             // orders are not followed here
         }
     }
--- a/src/main/java/rowanmoor/platform/Service.java
+++ b/src/main/java/rowanmoor/platform/Service.java
@@ -31,10 +31,10 @@
 import rowanmoor.discovery.Prober;
 import rowanmoor.host.Fanout;
 import rowanmoor.host.TickRunner;
-import rowanmoor.net.Bound;
+import rowanmoor.net.WriteLimit;
 import rowanmoor.net.Connection;
 import rowanmoor.net.Loop;
-import rowanmoor.net.Ticks;
+import rowanmoor.net.TickScheduler;
 
 /** One real controller of the platform: a module on one loop, with its peers, its catalog and its probes. */
 final class Service implements Peer.Owner, Catalog.Owner {
@@ -74,7 +74,7 @@
     private final Map<Integer, Peer> proxies = new HashMap<>();
     private final TreeMap<Integer, ArrayDeque<Peer>> collectors = new TreeMap<>();
     private final LinkedHashSet<Peer> unjoined = new LinkedHashSet<>();
-    private final Ticks ticks;
+    private final TickScheduler ticks;
     private int open;
     private long troubleSecond;
     private long troublesTold;
@@ -103,16 +103,16 @@
         this.view = new CatalogView(config.told(), names);
         this.fanout = new Fanout(settings.classes().size());
         this.turns = new TickRunner(settings, config.seed(), System::nanoTime);
-        this.ticks = new Ticks(loop, config.told().tick(), this::turn, turns::nextTickAt);
+        this.ticks = new TickScheduler(loop, config.told().tick(), this::turn, turns::nextTickAt);
         this.translator = new Translator(config.told().classes(), names, fanout);
-        this.listener = loop.listen(config.listen(), Connection.Options.usual()
-                .bound(new Bound(UNREAD_MOST, MESSAGES_UNREAD_MOST, Bound.Policy.CLOSE)), c -> accept());
+        this.listener = loop.listen(config.listen(), Connection.Options.defaults()
+                .bound(new WriteLimit(UNREAD_MOST, MESSAGES_UNREAD_MOST, WriteLimit.OverflowPolicy.CLOSE)), c -> accept());
         this.catalog = new Catalog(loop, config.discovery(), config.seed(), this);
         this.prober = new Prober(loop, config.told().columns().isEmpty() ? "/ping" : "/_load", PROBE_WITHIN,
                 PROBES_AT_ONCE, names::address, answer -> load(answer.body()), probed -> {
                     if (fanout.isKnown(probed.backend())) {
                         turns.onProbeResult(probed);
-                        ticks.soon();
+                        ticks.requestTick();
                     }
                 });
         this.beliefs = Boolean.getBoolean(BELIEFS) ? new Beliefs(names, log) : null;
@@ -123,7 +123,7 @@
         if (!settings.catalogOnRequest()) {
             catalog.follow();
         }
-        ticks.soon();
+        ticks.requestTick();
         loop.after(STATS_EVERY, this::stats);
         log.accept(config.name() + " listens at " + listener.address() + ", " + names.count()
                 + " instances known, catalog at " + config.discovery());
@@ -210,7 +210,7 @@
                 throw new MalformedMessageException("ack node or nonce: not this stream's");
             }
             turns.onStreamEvent(new Applied(ack.proxy(), ack.mark(), ack.latency()));
-            ticks.soon();
+            ticks.requestTick();
         } else {
             report(peer, message);
         }
@@ -234,7 +234,7 @@
         proxies.put(hello.proxy(), peer);
         fanout.join(hello.proxy());
         turns.onStreamEvent(new ProxyJoined(hello.proxy(), hello.zone(), hello.rate(), hello.fresh()));
-        ticks.soon();
+        ticks.requestTick();
     }
 
     private void collect(Peer peer, int zone) {
@@ -266,7 +266,7 @@
         } else if (message instanceof Message.Demand d) {
             turns.onReport(new Usage(d.proxy(), d.cls(), d.requests(), d.failed(), d.span()));
         }
-        ticks.soon();
+        ticks.requestTick();
     }
 
     @Override
@@ -296,7 +296,7 @@
         if (proxies.remove(peer.number(), peer)) {
             fanout.leave(peer.number());
             turns.onStreamEvent(new ProxyLeft(peer.number()));
-            ticks.soon();
+            ticks.requestTick();
         }
     }
 
@@ -320,7 +320,7 @@
             log.accept("catalog: " + members.kind() + " " + members.version() + ": " + count(members));
             fanout.onCatalog(members);
             turns.onCatalog(members);
-            ticks.soon();
+            ticks.requestTick();
         }
     }
 
@@ -337,7 +337,7 @@
         lookAgain.run(); // it may be elsewhere
         if (settings.catalogOnRequest()) {
             turns.onCatalog(new Members(CatalogUpdateKind.FAILED, view.generation(), List.of()));
-            ticks.soon();
+            ticks.requestTick();
         }
         return !settings.catalogOnRequest();
     }
--- a/src/main/java/rowanmoor/proxy/ChannelClient.java
+++ b/src/main/java/rowanmoor/proxy/ChannelClient.java
@@ -12,9 +12,9 @@
 import rowanmoor.channel.Codec;
 import rowanmoor.channel.Frame;
 import rowanmoor.channel.FrameReader;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 import rowanmoor.net.Loop;
 import rowanmoor.net.Timer;
 
@@ -22,7 +22,7 @@
  * A proxy's end of the channel: calls a controller, says hello, takes messages in order, and calls again
  * when the stream ends. States: calling, open (hello sent), up (snapshot taken), waiting to call.
  */
-final class ChannelClient implements Handler {
+final class ChannelClient implements ConnectionHandler {
 
     private static final Logger LOG = LoggerFactory.getLogger(ChannelClient.class);
 
@@ -69,7 +69,7 @@
         calling = redial.controller();
         protocol = oldControllers.contains(calling) ? Frame.MIN_PROTOCOL_VERSION : Frame.PROTOCOL_VERSION;
         InetSocketAddress to = config.controllers().get(calling);
-        connection = loop.connect(config.localAddress(), to, Connection.Options.usual()
+        connection = loop.connect(config.localAddress(), to, Connection.Options.defaults()
                 .connectWithin(config.controllerTimeoutNs()).idleAfter(config.controllerTimeoutNs()), this);
     }
 
@@ -77,7 +77,7 @@
         stopped = true;
         if (connection != null) {
             send(new Frame.Goodbye(Frame.Reason.STOPPING, "the proxy stops"));
-            connection.end();
+            connection.closeGracefully();
         }
     }
 
@@ -111,7 +111,7 @@
     }
 
     @Override
-    public void opened(Connection its) {
+    public void onOpen(Connection its) {
         tap.opened(config.number(), ++streams, loop.now());
         reader = new FrameReader(ChannelLimits.defaults());
         boolean fresh = router.hasOnlyStandingTable();
@@ -121,11 +121,11 @@
         send(new Frame.Hello(protocol, config.number(), incarnation, config.zone(), config.requestsPerSecond(), fresh,
                 router.epoch(), router.version(), config.name()));
         firstSnapshot = loop.after(config.controllerTimeoutNs(), () ->
-                connection.close(Close.IDLE, "no snapshot after the hello"));
+                connection.close(CloseReason.IDLE, "no snapshot after the hello"));
     }
 
     @Override
-    public void received(Connection its, ByteBuffer bytes) {
+    public void onData(Connection its, ByteBuffer bytes) {
         router.onControllerMessage(loop.now());
         tap.read(config.number(), streams, loop.now(), bytes.duplicate());
         try {
@@ -137,7 +137,7 @@
             }
         } catch (ChannelException e) {
             send(new Frame.Goodbye(Frame.Reason.PROTOCOL, e.getMessage()));
-            connection.end();
+            connection.closeGracefully();
             LOG.warn("proxy {}: the controller's stream is broken: {}", config.number(), e.getMessage());
         }
     }
@@ -167,7 +167,7 @@
             }
             LOG.info("proxy {}: the controller says goodbye: {} {}", config.number(), goodbye.reason(),
                     goodbye.text());
-            connection.close(Close.LOCAL, "goodbye: " + goodbye.reason());
+            connection.close(CloseReason.LOCAL, "goodbye: " + goodbye.reason());
         } else if (!(frame instanceof Frame.Pong)) {
             throw new ChannelException("a frame that a controller may not send: "
                     + frame.getClass().getSimpleName());
@@ -198,25 +198,25 @@
         InetSocketAddress home = config.controllers().get(config.firstController()
                 % config.controllers().size());
         int its = streams;
-        loop.connect(config.localAddress(), home, Connection.Options.usual().connectWithin(config.controllerTimeoutNs()),
-                new Handler() {
+        loop.connect(config.localAddress(), home, Connection.Options.defaults().connectWithin(config.controllerTimeoutNs()),
+                new ConnectionHandler() {
                     @Override
-                    public void opened(Connection made) {
-                        made.close(Close.LOCAL, "it is there");
+                    public void onOpen(Connection made) {
+                        made.close(CloseReason.LOCAL, "it is there");
                         if (up && its == streams && !stopped) {
                             LOG.info("proxy {}: moves back to its first controller", config.number());
                             redial.home();
                             send(new Frame.Goodbye(Frame.Reason.MOVING, "to its first controller"));
-                            connection.end();
+                            connection.closeGracefully();
                         }
                     }
 
                     @Override
-                    public void received(Connection made, ByteBuffer bytes) { }
+                    public void onData(Connection made, ByteBuffer bytes) { }
 
                     @Override
-                    public void closed(Connection made, Close why, String detail) {
-                        if (why.neverMade() && up && its == streams) {
+                    public void onClose(Connection made, CloseReason why, String detail) {
+                        if (why.neverConnected() && up && its == streams) {
                             lookHomeLater();
                         }
                     }
@@ -247,7 +247,7 @@
     }
 
     @Override
-    public void closed(Connection its, Close why, String detail) {
+    public void onClose(Connection its, CloseReason why, String detail) {
         boolean wasUp = up;
         up = false;
         if (wasUp) {
@@ -256,7 +256,7 @@
         if (firstSnapshot != null) {
             firstSnapshot.cancel();
         }
-        if (!why.neverMade()) {
+        if (!why.neverConnected()) {
             tap.closed(config.number(), streams, loop.now());
         }
         long wait = redial.failed(wasUp);
--- a/src/main/java/rowanmoor/proxy/Forward.java
+++ b/src/main/java/rowanmoor/proxy/Forward.java
@@ -7,11 +7,11 @@
 import java.util.TreeSet;
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.http.ClientStream;
-import rowanmoor.http.Fields;
-import rowanmoor.http.Orca;
-import rowanmoor.http.Part;
+import rowanmoor.http.HttpFields;
+import rowanmoor.http.OrcaLoadReport;
+import rowanmoor.http.MessagePart;
 import rowanmoor.http.ServerStream;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Timer;
 
 /**
@@ -19,7 +19,7 @@
  * held, up to a bound, so that another try can send it; longer content goes once. Once the answer has begun
  * there is no other try: if it breaks off, so does the client's.
  */
-final class Forward implements ServerStream.Body, ClientStream.Answer {
+final class Forward implements ServerStream.BodyConsumer, ClientStream.ResponseHandler {
 
     /** An answer that another try follows, up to this, is read and dropped to keep its connection. */
     private static final long DROP_MOST = 1 << 16;
@@ -32,7 +32,7 @@
     private final Timer patience;
     private List<ByteBuffer> held = new ArrayList<>();
     private int heldBytes;
-    private Fields requestEnd;
+    private HttpFields requestEnd;
     private Timer tryPatience;
     private ClientStream stream;
     private Backend backend;
@@ -55,9 +55,9 @@
     }
 
     void begin() {
-        exchange.to(this);
-        if (exchange.asked()) {
-            requestEnd = new Fields();
+        exchange.setBodyConsumer(this);
+        if (exchange.isRequestComplete()) {
+            requestEnd = new HttpFields();
         }
         tryOne();
     }
@@ -98,12 +98,12 @@
                 follow(false, "no answer in time");
             });
         }
-        stream.ask(proxy.forwarded(exchange.head(), backend, deadline - proxy.now()), this);
+        stream.sendHead(proxy.forwarded(exchange.head(), backend, deadline - proxy.now()), this);
         for (ByteBuffer piece : held == null ? List.<ByteBuffer>of() : held) {
             stream.write(piece.duplicate());
         }
         if (requestEnd != null) {
-            stream.end(requestEnd);
+            stream.endRequest(requestEnd);
         }
     }
 
@@ -155,8 +155,8 @@
         if (!over) {
             over();
             proxy.tallies().onUnanswered(cls);
-            if (exchange.begun()) {
-                exchange.breakOff();
+            if (exchange.hasResponseBegun()) {
+                exchange.abort();
             } else {
                 proxy.own(exchange, status, why);
             }
@@ -217,7 +217,7 @@
     // ---- the request's content -----------------------------------------------------------------------
 
     @Override
-    public void piece(ByteBuffer bytes) {
+    public void onRequestContent(ByteBuffer bytes) {
         movedAt = proxy.now();
         if (backend == null && stream == null && held == null) {
             return;
@@ -231,38 +231,38 @@
             }
         }
         if (stream != null && !stream.write(bytes)) {
-            exchange.pause(true);
+            exchange.setPaused(true);
         }
     }
 
     @Override
-    public void end(Fields trailers) {
+    public void onRequestEnd(HttpFields trailers) {
         requestEnd = trailers;
         if (stream != null) {
-            stream.end(trailers);
+            stream.endRequest(trailers);
         }
     }
 
     // ---- the answer ----------------------------------------------------------------------------------
 
     @Override
-    public void interim(Part.ResponseHead head) {
+    public void onInterimHead(MessagePart.ResponseHead head) {
         exchange.interim(head);
     }
 
     @Override
-    public void head(Part.ResponseHead head) {
+    public void onResponseHead(MessagePart.ResponseHead head) {
         movedAt = proxy.now();
         boolean unrun = (head.status() == 503 || head.status() == 408)
                 && head.fields().get(Proxy.NEVER_RAN_FIELD) != null;
         good = head.status() < 500 && !unrun;
-        load = proxy.columns().parse(head.fields().get(Orca.FIELD));
+        load = proxy.columns().parse(head.fields().get(OrcaLoadReport.HEADER_NAME));
         if (!good && mayFollow(unrun)) {
             ClientStream left = stream;
             Backend of = backend;
             stream = null;
             endTry(false, false);
-            drop(left, of, head.length());
+            drop(left, of, head.contentLength());
             tryOne();
             return;
         }
@@ -275,8 +275,8 @@
             tryPatience = null;
         }
         ClientStream its = stream;
-        exchange.drained(() -> its.pause(false));
-        exchange.begin(Proxy.backward(head));
+        exchange.onDrained(() -> its.setPaused(false));
+        exchange.beginResponse(Proxy.backward(head));
     }
 
     /** Reads an answer that nobody waits for to its end, or closes its connection. */
@@ -285,33 +285,33 @@
             left.cancel();
             return;
         }
-        left.hand(new ClientStream.Answer() {
+        left.setResponseHandler(new ClientStream.ResponseHandler() {
             @Override
-            public void head(Part.ResponseHead head) { }
+            public void onResponseHead(MessagePart.ResponseHead head) { }
 
             @Override
-            public void content(ByteBuffer bytes) { }
+            public void onResponseContent(ByteBuffer bytes) { }
 
             @Override
-            public void whole(Fields trailers) {
+            public void onResponseEnd(HttpFields trailers) {
                 proxy.keep(of, left);
             }
 
             @Override
-            public void failed(boolean neverRan, Close why, String detail) { }
+            public void onFailure(boolean neverRan, CloseReason why, String detail) { }
         });
     }
 
     @Override
-    public void content(ByteBuffer bytes) {
+    public void onResponseContent(ByteBuffer bytes) {
         movedAt = proxy.now();
         if (!exchange.write(bytes) && stream != null) {
-            stream.pause(true);
+            stream.setPaused(true);
         }
     }
 
     @Override
-    public void whole(Fields trailers) {
+    public void onResponseEnd(HttpFields trailers) {
         ClientStream its = stream;
         Backend of = backend;
         stream = null;
@@ -321,13 +321,13 @@
             if (!good) {
                 proxy.tallies().onUnanswered(cls);
             }
-            exchange.end(trailers);
+            exchange.endResponse(trailers);
         }
         proxy.keep(of, its);
     }
 
     @Override
-    public void failed(boolean neverRan, Close why, String detail) {
+    public void onFailure(boolean neverRan, CloseReason why, String detail) {
         if (stream == null) {
             return;
         }
@@ -341,7 +341,7 @@
     }
 
     @Override
-    public void drained() {
-        exchange.pause(false);
+    public void onRequestDrained() {
+        exchange.setPaused(false);
     }
 }
--- a/src/main/java/rowanmoor/proxy/Proxy.java
+++ b/src/main/java/rowanmoor/proxy/Proxy.java
@@ -14,15 +14,15 @@
 import rowanmoor.discovery.Addresses;
 import rowanmoor.discovery.LoadColumns;
 import rowanmoor.http.ClientStream;
-import rowanmoor.http.Fields;
-import rowanmoor.http.Limits;
+import rowanmoor.http.HttpFields;
+import rowanmoor.http.MessageLimits;
 import rowanmoor.http.Message;
-import rowanmoor.http.Orca;
-import rowanmoor.http.Part;
+import rowanmoor.http.OrcaLoadReport;
+import rowanmoor.http.MessagePart;
 import rowanmoor.http.ServerStream;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 import rowanmoor.net.Loop;
 
 /**
@@ -33,7 +33,7 @@
 public final class Proxy implements ServerStream.Service {
 
     /** Set by a backend on a refusal: proof that it did nothing for this request. */
-    public static final String NEVER_RAN_FIELD = ServerStream.NEVER_RAN;
+    public static final String NEVER_RAN_FIELD = ServerStream.NEVER_RAN_FIELD;
     /** Says, on what a proxy answers itself, why. */
     public static final String REASON_FIELD = "x-rowanmoor";
     /** Names the proxy in what it sends to backends. */
@@ -63,7 +63,7 @@
     private final ReportQueue reports;
     private final ChannelClient channel;
     private final LoadColumns columns;
-    private final Limits limits = Limits.usual();
+    private final MessageLimits limits = MessageLimits.defaults();
     private final Loop.Listener listener;
     private final Pool<ClientStream> pool;
     private final Set<ServerStream> clients = new LinkedHashSet<>();
@@ -109,12 +109,12 @@
     private static final class Ways implements Pool.Ways<ClientStream> {
         @Override
         public boolean usable(ClientStream connection) {
-            return connection.free();
+            return connection.isAvailable();
         }
 
         @Override
         public boolean stillUsable(ClientStream connection) {
-            return connection.stillFree();
+            return connection.probeAvailable();
         }
 
         @Override
@@ -181,7 +181,7 @@
 
     private void answerTheRest() {
         List.copyOf(working).forEach(Forward::stop);
-        List.copyOf(clients).forEach(ServerStream::endUnlessInWork);
+        List.copyOf(clients).forEach(ServerStream::closeIfIdle);
     }
 
     private void finishStopIfDone() {
@@ -275,34 +275,34 @@
 
     /** An answer of the proxy's own. */
     void own(ServerStream.Exchange exchange, int status, String why) {
-        exchange.answer(status, why + "\n", REASON_FIELD, why, "Content-Type", "text/plain");
+        exchange.respond(status, why + "\n", REASON_FIELD, why, "Content-Type", "text/plain");
     }
 
-    Part.RequestHead forwarded(Part.RequestHead head, Backend backend, long left) {
-        Fields fields = endToEnd(head.fields());
+    MessagePart.RequestHead forwarded(MessagePart.RequestHead head, Backend backend, long left) {
+        HttpFields fields = endToEnd(head.fields());
         fields.set("Host", backend.toString());
         fields.set(PROXY_NUMBER_FIELD, Integer.toString(config.number()));
-        fields.add("Via", "1." + head.minor() + " " + config.name());
+        fields.add("Via", "1." + head.minorVersion() + " " + config.name());
         if (fields.get(REQUEST_ID_FIELD) == null) {
             fields.set(REQUEST_ID_FIELD, idStem + ++ids);
         }
         fields.set(conduct().deadlineField(), Long.toString(Math.max(1, left / MILLI)));
-        return new Part.RequestHead(head.method(), head.target(), 1, fields, head.length());
+        return new MessagePart.RequestHead(head.method(), head.target(), 1, fields, head.contentLength());
     }
 
-    static Part.ResponseHead backward(Part.ResponseHead head) {
-        Fields fields = endToEnd(head.fields());
+    static MessagePart.ResponseHead backward(MessagePart.ResponseHead head) {
+        HttpFields fields = endToEnd(head.fields());
         String length = head.fields().get("content-length");
-        if (head.length() == 0 && length != null) {
+        if (head.contentLength() == 0 && length != null) {
             fields.set("Content-Length", length); // of an answer to HEAD, or 304
         }
-        fields.remove(Orca.FIELD);
-        return new Part.ResponseHead(head.status(), head.reason(), 1, fields, head.length());
+        fields.remove(OrcaLoadReport.HEADER_NAME);
+        return new MessagePart.ResponseHead(head.status(), head.reason(), 1, fields, head.contentLength());
     }
 
     /** Without what belongs to one connection only (RFC 9110, 7.6.1). */
-    private static Fields endToEnd(Fields all) {
-        Fields fields = all.copy();
+    private static HttpFields endToEnd(HttpFields all) {
+        HttpFields fields = all.copy();
         String named = all.get("connection", "");
         for (String name : named.split(",")) {
             fields.remove(name.trim());
@@ -313,21 +313,21 @@
 
     // ---- requests ------------------------------------------------------------------------------------
 
-    private Handler accept(Connection connection) {
+    private ConnectionHandler accept(Connection connection) {
         InetAddress from = connection.remote().getAddress();
         int its = byAddress.getOrDefault(from, 0);
         if (clients.size() >= config.maxClientConnections() || its >= conduct().maxConnectionsPerClient()) {
             return turnedAway < TURNED_AWAY_MOST ? new TurnedAway() : null;
         }
         byAddress.put(from, its + 1);
-        ServerStream.Patience patience = new ServerStream.Patience(conduct().headTimeoutNs(),
+        ServerStream.Timeouts patience = new ServerStream.Timeouts(conduct().headTimeoutNs(),
                 IDLE_TIMES * config.backendIdleTimeoutNs());
         ServerStream stream = new ServerStream(loop, limits, patience, this) {
             @Override
-            public void closed(Connection itsConnection, Close why, String detail) {
+            public void onClose(Connection itsConnection, CloseReason why, String detail) {
                 clients.remove(this);
                 byAddress.computeIfPresent(from, (a, n) -> n == 1 ? null : n - 1);
-                super.closed(itsConnection, why, detail);
+                super.onClose(itsConnection, why, detail);
                 finishStopIfDone();
             }
         };
@@ -336,31 +336,31 @@
     }
 
     /** A client without room: it is told so, whatever it has asked by then, and its connection ends. */
-    private final class TurnedAway implements Handler {
+    private final class TurnedAway implements ConnectionHandler {
 
         TurnedAway() {
             turnedAway++;
         }
 
         @Override
-        public void opened(Connection connection) {
+        public void onOpen(Connection connection) {
             connection.send(Message.Response.of(503, "as many connections as may be\n", "Connection", "close",
                     REASON_FIELD, "as many connections as may be", NEVER_RAN_FIELD, "1").encode(false));
-            connection.end();
+            connection.closeGracefully();
         }
 
         @Override
-        public void received(Connection connection, ByteBuffer bytes) { }
+        public void onData(Connection connection, ByteBuffer bytes) { }
 
         @Override
-        public void closed(Connection connection, Close why, String detail) {
+        public void onClose(Connection connection, CloseReason why, String detail) {
             turnedAway--;
         }
     }
 
     @Override
-    public void begun(ServerStream.Exchange exchange) {
-        Part.RequestHead head = exchange.head();
+    public void onRequest(ServerStream.Exchange exchange) {
+        MessagePart.RequestHead head = exchange.head();
         int cls = config.site().classIndex(head.path());
         if (cls < 0) {
             own(exchange, 404, "no class has this path");
@@ -384,7 +384,7 @@
             return;
         }
         Forward forward = new Forward(this, cls, exchange, within);
-        exchange.tag = forward;
+        exchange.attachment = forward;
         working.add(forward);
         forward.begin();
     }
@@ -394,13 +394,13 @@
     }
 
     private void refuse(ServerStream.Exchange exchange, String why) {
-        exchange.answer(conduct().refusalStatus(), why + "\n", REASON_FIELD, why, "Content-Type", "text/plain",
+        exchange.respond(conduct().refusalStatus(), why + "\n", REASON_FIELD, why, "Content-Type", "text/plain",
                 "Retry-After", Integer.toString(conduct().retryAfterSeconds()));
     }
 
     @Override
-    public void gone(ServerStream.Exchange exchange) {
-        if (exchange.tag instanceof Forward forward) {
+    public void onAborted(ServerStream.Exchange exchange) {
+        if (exchange.attachment instanceof Forward forward) {
             forward.giveUp();
         }
     }
--- a/src/main/java/rowanmoor/standin/BackendServer.java
+++ b/src/main/java/rowanmoor/standin/BackendServer.java
@@ -13,11 +13,11 @@
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.discovery.Addresses;
 import rowanmoor.discovery.LoadColumns;
-import rowanmoor.http.Limits;
+import rowanmoor.http.MessageLimits;
 import rowanmoor.http.Message;
-import rowanmoor.http.Orca;
+import rowanmoor.http.OrcaLoadReport;
 import rowanmoor.http.ServerConnection;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
 import rowanmoor.net.Loop;
 import rowanmoor.net.Timer;
@@ -71,25 +71,25 @@
     }
 
     private void listen() throws IOException {
-        listener = loop.listen(at, Connection.Options.usual(), connection -> {
+        listener = loop.listen(at, Connection.Options.defaults(), connection -> {
             if (connections.size() >= connectionsMost) {
                 turnedAway++;
                 return null;
             }
             connections.add(connection);
-            return new ServerConnection(Limits.usual(), this) {
+            return new ServerConnection(MessageLimits.defaults(), this) {
                 @Override
-                public void opened(Connection its) {
-                    super.opened(its);
+                public void onOpen(Connection its) {
+                    super.onOpen(its);
                     if (cut.test(its.remote())) {
                         its.pause(); // made by the system, and silent
                     }
                 }
 
                 @Override
-                public void closed(Connection its, Close why, String detail) {
+                public void onClose(Connection its, CloseReason why, String detail) {
                     connections.remove(its);
-                    super.closed(its, why, detail);
+                    super.onClose(its, why, detail);
                 }
             };
         });
@@ -182,9 +182,9 @@
     // ---- requests ------------------------------------------------------------------------------------
 
     @Override
-    public void request(Message.Request request, ServerConnection.Exchange exchange) {
+    public void onRequest(Message.Request request, ServerConnection.Exchange exchange) {
         if (request.path().equals("/load")) {
-            exchange.answer(withLoad(200, "ok\n"));
+            exchange.respond(withLoad(200, "ok\n"));
             return;
         }
         double work = seconds(request.fields().get(WORK, "0"));
@@ -193,14 +193,14 @@
         Ledger.Entry entry = ledger.open(backend, id, request.path(), proxy, work, loop.now());
         if (failing > 0 && random.nextDouble() < failing) {
             entry.close(Ledger.End.FAILED, loop.now());
-            exchange.answer(withLoad(500, "failed\n"));
+            exchange.respond(withLoad(500, "failed\n"));
             return;
         }
         long job = ++number;
         boolean fallen = model.isFallen();
         BackendModel.Offer offer = model.offer(loop.now(), job, work);
         if (offer == BackendModel.Offer.TAKEN) {
-            exchange.tag = job;
+            exchange.attachment = job;
             working.put(job, exchange);
             entries.put(job, entry);
         } else {
@@ -209,10 +209,10 @@
                 ledger.fell(backend, model.startedAt(), loop.now());
                 entries.values().forEach(e -> e.close(Ledger.End.LOST, loop.now()));
                 entries.clear();
-                List.copyOf(working.values()).forEach(ServerConnection.Exchange::breakOff);
+                List.copyOf(working.values()).forEach(ServerConnection.Exchange::abort);
                 working.clear();
             }
-            exchange.answer(withLoad(503, "full\n", Proxy.NEVER_RAN_FIELD, "1"));
+            exchange.respond(withLoad(503, "full\n", Proxy.NEVER_RAN_FIELD, "1"));
         }
         schedule();
     }
@@ -226,8 +226,8 @@
     }
 
     @Override
-    public void abandoned(ServerConnection.Exchange exchange) {
-        if (exchange.tag instanceof Long job && working.remove(job) != null
+    public void onAborted(ServerConnection.Exchange exchange) {
+        if (exchange.attachment instanceof Long job && working.remove(job) != null
                 && model.cancel(loop.now(), job, false)) {
             entries.remove(job).close(Ledger.End.CANCELLED, loop.now());
             schedule();
@@ -247,9 +247,9 @@
                 continue;
             }
             if (broken > 0 && random.nextDouble() < broken) {
-                exchange.breakOff();
+                exchange.abort();
             } else if (!cut.test(exchange.connection().remote())) {
-                exchange.answer(withLoad(200, "done\n"));
+                exchange.respond(withLoad(200, "done\n"));
             }
         }
         schedule();
@@ -277,8 +277,8 @@
         load.put(LoadColumns.orcaName("inflight"), model.inflight() * loadFactor);
         load.put(LoadColumns.orcaName("latency-ms"), latency * loadFactor);
         List<String> fields = new ArrayList<>(List.of(more));
-        fields.add(Orca.FIELD);
-        fields.add(Orca.format(load));
+        fields.add(OrcaLoadReport.HEADER_NAME);
+        fields.add(OrcaLoadReport.format(load));
         return Message.Response.of(status, text, fields.toArray(new String[0]));
     }
 }
--- a/src/main/java/rowanmoor/standin/Clients.java
+++ b/src/main/java/rowanmoor/standin/Clients.java
@@ -12,9 +12,9 @@
 import rowanmoor.ControlApi.Idempotency;
 import rowanmoor.config.Site;
 import rowanmoor.http.ClientConnection;
-import rowanmoor.http.Limits;
+import rowanmoor.http.MessageLimits;
 import rowanmoor.http.Message;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
 import rowanmoor.net.Loop;
 import rowanmoor.net.Timer;
@@ -127,11 +127,11 @@
                 tryFailed(false);
             });
             String path = site.pathPrefixes().get(arrival.cls()) + "/" + number;
-            connection.ask(Message.Request.get(path, "Host", "rowanmoor.test", BackendServer.WORK,
+            connection.send(Message.Request.get(path, "Host", "rowanmoor.test", BackendServer.WORK,
                     Double.toString(arrival.work()), BackendServer.ID, number + "." + tries),
-                    new ClientConnection.Answer() {
+                    new ClientConnection.ResponseHandler() {
                         @Override
-                        public void answered(Message.Response response) {
+                        public void onResponse(Message.Response response) {
                             patience.cancel();
                             keep(arrival.proxy(), connection);
                             if (response.status() == 200) {
@@ -142,7 +142,7 @@
                         }
 
                         @Override
-                        public void failed(boolean neverRan, Close why, String detail) {
+                        public void onFailure(boolean neverRan, CloseReason why, String detail) {
                             patience.cancel();
                             tryFailed(neverRan);
                         }
@@ -181,16 +181,16 @@
         ArrayDeque<ClientConnection> free = idle.computeIfAbsent(proxy, p -> new ArrayDeque<>());
         while (!free.isEmpty()) {
             ClientConnection last = free.pollLast();
-            if (last.free()) {
+            if (last.isAvailable()) {
                 return last;
             }
         }
-        return ClientConnection.open(loop, null, proxies.get(proxy), Connection.Options.usual(),
-                Limits.usual(), c -> { });
+        return ClientConnection.open(loop, null, proxies.get(proxy), Connection.Options.defaults(),
+                MessageLimits.defaults(), c -> { });
     }
 
     private void keep(int proxy, ClientConnection connection) {
-        if (connection.free()) {
+        if (connection.isAvailable()) {
             idle.computeIfAbsent(proxy, p -> new ArrayDeque<>()).addLast(connection);
         }
     }
--- a/src/main/java/rowanmoor/standin/Link.java
+++ b/src/main/java/rowanmoor/standin/Link.java
@@ -6,10 +6,10 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import rowanmoor.net.Bound;
-import rowanmoor.net.Close;
+import rowanmoor.net.WriteLimit;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 import rowanmoor.net.Loop;
 
 /**
@@ -18,7 +18,7 @@
  */
 public final class Link {
 
-    private static final Bound BOUND = new Bound(1 << 20, 4096, Bound.Policy.REFUSE);
+    private static final WriteLimit BOUND = new WriteLimit(1 << 20, 4096, WriteLimit.OverflowPolicy.REFUSE);
 
     private final Loop loop;
     private InetSocketAddress to;
@@ -31,7 +31,7 @@
     public Link(Loop loop, InetSocketAddress at, InetSocketAddress to) throws IOException {
         this.loop = loop;
         this.to = to;
-        this.listener = loop.listen(at, Connection.Options.usual().bound(BOUND), connection -> {
+        this.listener = loop.listen(at, Connection.Options.defaults().bound(BOUND), connection -> {
             if (this.to == null && !cut) {
                 return null;
             }
@@ -67,20 +67,20 @@
             } else {
                 half.connection.resume();
                 if (half.other == null || half.other.gone) {
-                    half.connection.close(Close.LOCAL, "the other side is gone");
+                    half.connection.close(CloseReason.LOCAL, "the other side is gone");
                 }
             }
         }
     }
 
-    private final class Half implements Handler {
+    private final class Half implements ConnectionHandler {
         private Connection connection;
         private Half other;
         private boolean gone;
         private boolean far;
 
         @Override
-        public void opened(Connection its) {
+        public void onOpen(Connection its) {
             halves.add(this);
             if (other == null) {
                 its.pause();
@@ -90,7 +90,7 @@
                 other = new Half();
                 other.other = this;
                 other.far = true;
-                other.connection = loop.connect(null, to, Connection.Options.usual().bound(BOUND), other);
+                other.connection = loop.connect(null, to, Connection.Options.defaults().bound(BOUND), other);
             } else if (!cut) {
                 other.connection.resume();
             }
@@ -100,14 +100,14 @@
         }
 
         @Override
-        public void received(Connection its, ByteBuffer bytes) {
+        public void onData(Connection its, ByteBuffer bytes) {
             ByteBuffer copy = ByteBuffer.allocate(bytes.remaining()).put(bytes).flip();
             if (other.gone || !other.connection.send(copy)) {
-                its.close(Close.LOCAL, "the other side does not take it");
+                its.close(CloseReason.LOCAL, "the other side does not take it");
             } else if (far && bytesPerSecond > 0) {
                 its.pause();
                 loop.after(copy.capacity() * 1_000_000_000L / bytesPerSecond, this::goOn);
-            } else if (other.connection.queuedBytes() > BOUND.bytes() / 2) {
+            } else if (other.connection.queuedBytes() > BOUND.maxBytes() / 2) {
                 its.pause();
             }
         }
@@ -119,18 +119,18 @@
         }
 
         @Override
-        public void drained(Connection its) {
+        public void onDrained(Connection its) {
             if (!cut && other != null && !other.gone && !(other.far && bytesPerSecond > 0)) {
                 other.connection.resume();
             }
         }
 
         @Override
-        public void closed(Connection its, Close why, String detail) {
+        public void onClose(Connection its, CloseReason why, String detail) {
             gone = true;
             halves.remove(this);
             if (other != null && !other.gone && !cut) {
-                other.connection.end();
+                other.connection.closeGracefully();
             }
         }
     }
--- a/src/main/java/rowanmoor/standin/RosterServer.java
+++ b/src/main/java/rowanmoor/standin/RosterServer.java
@@ -12,10 +12,10 @@
 import java.util.TreeMap;
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Availability;
-import rowanmoor.http.Limits;
+import rowanmoor.http.MessageLimits;
 import rowanmoor.http.Message;
 import rowanmoor.http.ServerConnection;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
 import rowanmoor.net.Loop;
 
@@ -69,13 +69,13 @@
     }
 
     private Loop.Listener listen(InetSocketAddress where) throws IOException {
-        return loop.listen(where, Connection.Options.usual(), connection -> {
+        return loop.listen(where, Connection.Options.defaults(), connection -> {
             connections.add(connection);
-            return new ServerConnection(Limits.usual(), this) {
+            return new ServerConnection(MessageLimits.defaults(), this) {
                 @Override
-                public void closed(Connection its, Close why, String detail) {
+                public void onClose(Connection its, CloseReason why, String detail) {
                     connections.remove(its);
-                    super.closed(its, why, detail);
+                    super.onClose(its, why, detail);
                 }
             };
         });
@@ -144,30 +144,30 @@
     // ---- requests ------------------------------------------------------------------------------------
 
     @Override
-    public void request(Message.Request request, ServerConnection.Exchange exchange) {
+    public void onRequest(Message.Request request, ServerConnection.Exchange exchange) {
         if (!request.path().equals(path)) {
-            exchange.answer(Message.Response.of(404, "no such service\n"));
+            exchange.respond(Message.Response.of(404, "no such service\n"));
             return;
         }
         if (failing) {
-            exchange.answer(Message.Response.of(500, "rpc error\n"));
+            exchange.respond(Message.Response.of(500, "rpc error\n"));
             return;
         }
         String asker = request.fields().get("user-agent", "?");
-        long known = number(request.query("index"));
+        long known = number(request.queryParameter("index"));
         Held one = new Held(exchange, asker, known);
-        exchange.tag = one;
+        exchange.attachment = one;
         held.add(one);
         if (known != index) {
             release(one);
         } else {
-            loop.after(waitOf(request.query("wait")), () -> release(one));
+            loop.after(waitOf(request.queryParameter("wait")), () -> release(one));
         }
     }
 
     @Override
-    public void abandoned(ServerConnection.Exchange exchange) {
-        if (exchange.tag instanceof Held one) {
+    public void onAborted(ServerConnection.Exchange exchange) {
+        if (exchange.attachment instanceof Held one) {
             held.remove(one);
         }
     }
@@ -187,7 +187,7 @@
         emptyAnswers = Math.max(0, emptyAnswers - 1);
         ArrayNode list = JSON.createArrayNode();
         listed.forEach(i -> list.add(json(i)));
-        boolean sent = one.exchange().answer(Message.Response.of(200, list.toString(),
+        boolean sent = one.exchange().respond(Message.Response.of(200, list.toString(),
                 "Content-Type", "application/json", "X-Consul-Index", Long.toString(index)));
         if (sent) {
             answers.add(new Answered(one.asker(), loop.now(), listed));
--- a/src/test/java/rowanmoor/controller/ControllerTest.java
+++ b/src/test/java/rowanmoor/controller/ControllerTest.java
@@ -20,9 +20,9 @@
 import rowanmoor.channel.Frame;
 import rowanmoor.channel.FrameReader;
 import rowanmoor.config.ControllerConfig;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 import rowanmoor.net.Loop;
 import rowanmoor.net.MemoryNet;
 import rowanmoor.standin.RosterServer;
@@ -36,7 +36,7 @@
 
     private final List<Throwable> faults = new ArrayList<>();
     private final MemoryNet net = new MemoryNet(START_NS, 11);
-    private final Loop loop = net.loop(faults::add);
+    private final Loop loop = net.newLoop(faults::add);
     private RosterServer roster;
     private Controller controller;
 
@@ -108,18 +108,18 @@
     }
 
     /** The proxy's side of a stream. Answers pings, and otherwise sends only what the test asks for. */
-    private final class Peer implements Handler {
+    private final class Peer implements ConnectionHandler {
         final List<Frame> received = new ArrayList<>();
         final Connection connection;
         private final FrameReader reader = new FrameReader(ChannelLimits.defaults());
-        Close closeReason;
+        CloseReason closeReason;
 
         Peer(Frame... frames) {
             this(loop, frames);
         }
 
         Peer(Loop peerLoop, Frame... frames) {
-            connection = peerLoop.connect(null, controller.address(), Connection.Options.usual(), this);
+            connection = peerLoop.connect(null, controller.address(), Connection.Options.defaults(), this);
             for (Frame frame : frames) {
                 send(frame);
             }
@@ -130,7 +130,7 @@
         }
 
         @Override
-        public void received(Connection source, ByteBuffer bytes) {
+        public void onData(Connection source, ByteBuffer bytes) {
             try {
                 while (bytes.hasRemaining()) {
                     Frame frame = reader.next(bytes);
@@ -146,7 +146,7 @@
         }
 
         @Override
-        public void closed(Connection closedConnection, Close reason, String detail) {
+        public void onClose(Connection closedConnection, CloseReason reason, String detail) {
             closeReason = reason;
         }
 
@@ -207,7 +207,7 @@
         half.limit(half.limit() - 3);
         cut.connection.send(half);
         net.runFor(10 * NS_PER_MS);
-        cut.connection.close(Close.LOCAL, "cut");
+        cut.connection.close(CloseReason.LOCAL, "cut");
         net.runFor(100 * NS_PER_MS);
         assertFalse(controller.driver().hasJoined(2));
         assertTrue(controller.driver().hasJoined(1));
@@ -241,7 +241,7 @@
         net.runFor(200 * NS_PER_MS);
         assertEquals(Frame.Reason.ID_IN_USE, second.goodbyeReason());
         assertEquals(null, first.closeReason);
-        first.connection.close(Close.LOCAL, "gone");
+        first.connection.close(CloseReason.LOCAL, "gone");
         net.runFor(100 * NS_PER_MS);
         Peer third = new Peer(hello(4, 999));
         net.runFor(200 * NS_PER_MS);
@@ -266,16 +266,16 @@
      */
     @Test
     void proxyThatReconnectsBeforeItsLastStreamHasEndedIsAccepted() {
-        Loop peerLoop = net.loop(faults::add);
-        net.freeze(loop, true);
+        Loop peerLoop = net.newLoop(faults::add);
+        net.setFrozen(loop, true);
         for (int i = 0; i < 3; i++) {
             Peer abandoned = new Peer(peerLoop, hello(5, 5));
             net.runFor(NS_PER_MS);
-            abandoned.connection.end();
+            abandoned.connection.closeGracefully();
         }
         Peer last = new Peer(peerLoop, hello(5, 5));
         net.runFor(50 * NS_PER_MS);
-        net.freeze(loop, false);
+        net.setFrozen(loop, false);
         net.runFor(500 * NS_PER_MS);
         assertEquals(List.of(), faults);
         assertTrue(controller.driver().hasJoined(5));
@@ -315,7 +315,7 @@
         reconnected.send(numberedReport(3));
         net.runFor(100 * NS_PER_MS);
         assertEquals(3, controller.driver().ignoredReportLines());
-        reconnected.connection.close(Close.LOCAL, "test");
+        reconnected.connection.close(CloseReason.LOCAL, "test");
         net.runFor(100 * NS_PER_MS);
         Peer returned = new Peer(hello(6, 6)); // another controller accepted reports 4 to 8 in between
         returned.send(numberedReport(9));
@@ -329,7 +329,7 @@
         Peer peer = joinedPeer(6);
         peer.send(numberedReport(1));
         net.runFor(100 * NS_PER_MS);
-        peer.connection.close(Close.LOCAL, "test");
+        peer.connection.close(CloseReason.LOCAL, "test");
         net.runFor(100 * NS_PER_MS);
         Peer restarted = new Peer(hello(6, 777));
         restarted.send(numberedReport(1));
--- a/src/test/java/rowanmoor/discovery/ProberTest.java
+++ b/src/test/java/rowanmoor/discovery/ProberTest.java
@@ -15,7 +15,7 @@
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Probed;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 import rowanmoor.net.Loop;
 import rowanmoor.net.MemoryNet;
 
@@ -28,17 +28,17 @@
 
     private final List<Throwable> faults = new ArrayList<>();
     private final MemoryNet net = new MemoryNet(1, 3);
-    private final Loop near = net.loop(faults::add);
-    private final Loop far = net.loop(faults::add);
+    private final Loop near = net.newLoop(faults::add);
+    private final Loop far = net.newLoop(faults::add);
     private final Map<Backend, InetSocketAddress> where = new HashMap<>();
     private final List<Probed> told = new ArrayList<>();
     private final List<Connection> asked = new ArrayList<>();
     private final Prober prober = new Prober(near, "/ping", 500 * MS, 2, where::get, r -> List.of(), told::add);
 
     private InetSocketAddress backend() throws IOException {
-        return far.listen(ANY, Connection.Options.usual(), c -> new Handler() {
+        return far.listen(ANY, Connection.Options.defaults(), c -> new ConnectionHandler() {
             @Override
-            public void received(Connection its, ByteBuffer bytes) {
+            public void onData(Connection its, ByteBuffer bytes) {
                 asked.add(its);
             }
         }).address();
@@ -54,10 +54,10 @@
         where.put(BACKEND, backend());
         prober.probe(BACKEND);
         net.runFor(100 * MS);
-        net.freeze(near, true);
+        net.setFrozen(near, true);
         answer(0);
         net.runFor(600 * MS); // the answer has come and the time is over when it looks again
-        net.freeze(near, false);
+        net.setFrozen(near, false);
         net.runFor(100 * MS);
         assertEquals(1, told.size());
         prober.probe(BACKEND);
@@ -66,8 +66,8 @@
         net.runFor(100 * MS);
         assertEquals(2, told.size());
         assertEquals(List.of(true, false), told.stream().map(Probed::ok).toList());
-        assertEquals(0, net.timersOf(near));
-        assertEquals(0, net.connectionsOf(near));
+        assertEquals(0, net.liveTimerCount(near));
+        assertEquals(0, net.openConnectionCount(near));
         assertEquals(List.of(), faults);
     }
 
@@ -89,6 +89,6 @@
         prober.probe(BACKEND);
         net.runFor(100 * MS);
         assertEquals(2, told.size(), "one without an address is down");
-        assertEquals(0, net.connectionsOf(near));
+        assertEquals(0, net.openConnectionCount(near));
     }
 }
--- a/src/test/java/rowanmoor/http/ConnectionsTest.java
+++ b/src/test/java/rowanmoor/http/ConnectionsTest.java
@@ -12,9 +12,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 import rowanmoor.net.Loop;
 import rowanmoor.net.MemoryNet;
 
@@ -22,7 +22,7 @@
 
     private static final long MS = 1_000_000;
     private final MemoryNet net = new MemoryNet(0, 5);
-    private final Loop loop = net.loop(e -> {
+    private final Loop loop = net.newLoop(e -> {
         throw new AssertionError(e);
     });
     private final List<String> asked = new ArrayList<>();
@@ -31,28 +31,28 @@
 
     private InetSocketAddress serve(boolean atOnce) throws IOException {
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        return loop.listen(any, Connection.Options.usual(), c -> new ServerConnection(Limits.usual(),
+        return loop.listen(any, Connection.Options.defaults(), c -> new ServerConnection(MessageLimits.defaults(),
                 new ServerConnection.Service() {
                     @Override
-                    public void request(Message.Request request, ServerConnection.Exchange exchange) {
+                    public void onRequest(Message.Request request, ServerConnection.Exchange exchange) {
                         asked.add(request.target());
                         open.add(exchange);
                         if (atOnce) {
-                            exchange.answer(Message.Response.of(200, request.target()));
+                            exchange.respond(Message.Response.of(200, request.target()));
                         }
                     }
 
                     @Override
-                    public void abandoned(ServerConnection.Exchange exchange) {
+                    public void onAborted(ServerConnection.Exchange exchange) {
                         abandoned++;
                     }
                 })).address();
     }
 
     private Connection raw(InetSocketAddress to, StringBuilder heard) {
-        return loop.connect(null, to, Connection.Options.usual(), new Handler() {
+        return loop.connect(null, to, Connection.Options.defaults(), new ConnectionHandler() {
             @Override
-            public void received(Connection its, ByteBuffer bytes) {
+            public void onData(Connection its, ByteBuffer bytes) {
                 heard.append(StandardCharsets.ISO_8859_1.decode(bytes));
             }
         });
@@ -73,7 +73,7 @@
         net.runFor(10 * MS);
         assertEquals(List.of("/1"), asked);
         for (int i = 0; i < 3; i++) {
-            assertTrue(open.get(i).answer(Message.Response.of(200, "answer " + i)));
+            assertTrue(open.get(i).respond(Message.Response.of(200, "answer " + i)));
             net.runFor(10 * MS);
         }
         assertEquals(List.of("/1", "/2", "/3"), asked);
@@ -90,64 +90,64 @@
         Connection connection = raw(serve(false), new StringBuilder());
         connection.send(get("/1"));
         net.runFor(10 * MS);
-        connection.close(Close.LOCAL, "gone");
+        connection.close(CloseReason.LOCAL, "gone");
         net.runFor(10 * MS);
         assertEquals(1, abandoned);
-        assertFalse(open.get(0).answer(Message.Response.of(200, "")));
+        assertFalse(open.get(0).respond(Message.Response.of(200, "")));
     }
 
     @Test
     void anAnswerBeyondTheOneAskedForDoesNotAnswerTheNextRequest() throws IOException {
         InetSocketAddress to = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                Connection.Options.usual(), c -> new Handler() {
+                Connection.Options.defaults(), c -> new ConnectionHandler() {
                     @Override
-                    public void received(Connection its, ByteBuffer bytes) {
+                    public void onData(Connection its, ByteBuffer bytes) {
                         bytes.position(bytes.limit());
                         its.send(ByteBuffer.wrap(("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na"
                                 + "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nb").getBytes()));
                     }
                 }).address();
         List<String> answers = new ArrayList<>();
-        ClientConnection client = ClientConnection.open(loop, null, to, Connection.Options.usual(),
-                Limits.usual(), c -> { });
-        client.ask(Message.Request.get("/", "Host", "h"), new ClientConnection.Answer() {
+        ClientConnection client = ClientConnection.open(loop, null, to, Connection.Options.defaults(),
+                MessageLimits.defaults(), c -> { });
+        client.send(Message.Request.get("/", "Host", "h"), new ClientConnection.ResponseHandler() {
             @Override
-            public void answered(Message.Response response) {
+            public void onResponse(Message.Response response) {
                 answers.add(new String(response.body()));
             }
 
             @Override
-            public void failed(boolean neverRan, Close why, String detail) {
+            public void onFailure(boolean neverRan, CloseReason why, String detail) {
                 answers.add(why.toString());
             }
         });
         net.runFor(10 * MS);
         assertEquals(List.of("a"), answers);
-        assertFalse(client.free());
+        assertFalse(client.isAvailable());
     }
 
     @Test
     void onlyAConnectionNeverMadeIsProofThatNothingRan() throws IOException {
         List<Boolean> proofs = new ArrayList<>();
-        ClientConnection.Answer answer = new ClientConnection.Answer() {
+        ClientConnection.ResponseHandler answer = new ClientConnection.ResponseHandler() {
             @Override
-            public void answered(Message.Response response) {
+            public void onResponse(Message.Response response) {
                 throw new AssertionError("answered");
             }
 
             @Override
-            public void failed(boolean neverRan, Close why, String detail) {
+            public void onFailure(boolean neverRan, CloseReason why, String detail) {
                 proofs.add(neverRan);
             }
         };
         InetSocketAddress nobody = new InetSocketAddress(InetAddress.getLoopbackAddress(), 9);
-        ClientConnection.open(loop, null, nobody, Connection.Options.usual(), Limits.usual(), c -> { })
-                .ask(Message.Request.get("/", "Host", "h"), answer);
+        ClientConnection.open(loop, null, nobody, Connection.Options.defaults(), MessageLimits.defaults(), c -> { })
+                .send(Message.Request.get("/", "Host", "h"), answer);
         net.runFor(10 * MS);
-        ClientConnection.open(loop, null, serve(false), Connection.Options.usual(), Limits.usual(), c -> { })
-                .ask(Message.Request.get("/", "Host", "h"), answer);
+        ClientConnection.open(loop, null, serve(false), Connection.Options.defaults(), MessageLimits.defaults(), c -> { })
+                .send(Message.Request.get("/", "Host", "h"), answer);
         net.runFor(10 * MS);
-        open.get(0).breakOff();
+        open.get(0).abort();
         net.runFor(10 * MS);
         assertEquals(List.of(true, false), proofs);
     }
--- a/src/test/java/rowanmoor/http/ParserTest.java
+++ b/src/test/java/rowanmoor/http/ParserTest.java
@@ -19,14 +19,14 @@
 
 class ParserTest {
 
-    private static final Limits SMALL = new Limits(64, 200, 8, 100);
+    private static final MessageLimits SMALL = new MessageLimits(64, 200, 8, 100);
 
     private static ByteBuffer bytes(String text) {
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
     private static Message.Request request(String text) throws HttpError {
-        return (Message.Request) Parser.ofRequests(SMALL).next(bytes(text));
+        return (Message.Request) MessageParser.forRequests(SMALL).next(bytes(text));
     }
 
     @Test
@@ -68,7 +68,7 @@
     })
     void whatSmugglesOrIsTooLongIsRefusedHoweverItIsSplit(String text) {
         assertThrows(HttpError.class, () -> request(text));
-        Parser parser = Parser.ofRequests(SMALL);
+        MessageParser parser = MessageParser.forRequests(SMALL);
         assertThrows(HttpError.class, () -> {
             for (byte b : text.getBytes(StandardCharsets.ISO_8859_1)) {
                 parser.next(ByteBuffer.wrap(new byte[] {b}));
@@ -86,12 +86,12 @@
 
     @Test
     void anAnswerToHeadHasNoContentAndOneWithoutLengthLastsToTheEnd() throws HttpError {
-        Parser parser = Parser.ofResponses(SMALL);
-        parser.expectAnswerTo("HEAD");
+        MessageParser parser = MessageParser.forResponses(SMALL);
+        parser.expectResponseTo("HEAD");
         Message.Response head = (Message.Response) parser.next(bytes(
                 "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n"));
         assertEquals(0, head.body().length);
-        parser.expectAnswerTo("GET");
+        parser.expectResponseTo("GET");
         assertNull(parser.next(bytes("HTTP/1.1 200 OK\r\n\r\nup to the end")));
         assertArrayEquals("up to the end".getBytes(), parser.end().body());
         assertNull(parser.next(bytes("HTTP/1.1 200 OK\r\nContent-Le")));
@@ -101,9 +101,9 @@
     @Property(seed = "19", tries = 100)
     void bothFramingsComeBackAsTheyWent(@ForAll @Size(max = 100) byte[] body, @ForAll boolean chunked)
             throws HttpError {
-        Message.Request sent = new Message.Request("PUT", "/a", 1, Fields.of("Host", "h", "X", "y z"), body);
+        Message.Request sent = new Message.Request("PUT", "/a", 1, HttpFields.of("Host", "h", "X", "y z"), body);
         ByteBuffer wire = chunked ? Message.encodeChunked(sent, 7) : sent.encode();
-        Message read = Parser.ofRequests(SMALL).next(wire);
+        Message read = MessageParser.forRequests(SMALL).next(wire);
         assertArrayEquals(body, read.body());
         assertEquals("y z", read.fields().get("x"));
         assertEquals(0, wire.remaining());
@@ -129,7 +129,7 @@
     }
 
     private static String story(boolean requests, byte[] all, int most, Random random) {
-        Parser parser = requests ? Parser.ofRequests(SMALL) : Parser.ofResponses(SMALL);
+        MessageParser parser = requests ? MessageParser.forRequests(SMALL) : MessageParser.forResponses(SMALL);
         List<String> story = new ArrayList<>();
         try {
             for (int at = 0; at < all.length;) {
--- a/src/test/java/rowanmoor/lab/FrameRelay.java
+++ b/src/test/java/rowanmoor/lab/FrameRelay.java
@@ -11,9 +11,9 @@
 import rowanmoor.channel.Codec;
 import rowanmoor.channel.Frame;
 import rowanmoor.channel.FrameReader;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 import rowanmoor.net.Loop;
 
 /** Stands before controllers and changes what they send: mutants for the judge to catch. */
@@ -35,7 +35,7 @@
     public void start(int rank, InetSocketAddress roster, Up up) throws IOException {
         real.start(rank, roster, (its, at, epoch) -> {
             try {
-                up.up(its, loop.listen(ANY, Connection.Options.usual(), c -> new Near(at)).address(), epoch);
+                up.up(its, loop.listen(ANY, Connection.Options.defaults(), c -> new Near(at)).address(), epoch);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -62,7 +62,7 @@
         real.close();
     }
 
-    private final class Near implements Handler {
+    private final class Near implements ConnectionHandler {
         private final InetSocketAddress to;
         private Connection far;
 
@@ -71,11 +71,11 @@
         }
 
         @Override
-        public void opened(Connection near) {
+        public void onOpen(Connection near) {
             FrameReader reader = new FrameReader(ChannelLimits.defaults());
-            far = loop.connect(null, to, Connection.Options.usual(), new Handler() {
+            far = loop.connect(null, to, Connection.Options.defaults(), new ConnectionHandler() {
                 @Override
-                public void received(Connection its, ByteBuffer bytes) {
+                public void onData(Connection its, ByteBuffer bytes) {
                     try {
                         while (bytes.hasRemaining()) {
                             Frame frame = reader.next(bytes);
@@ -89,20 +89,20 @@
                 }
 
                 @Override
-                public void closed(Connection its, Close why, String detail) {
-                    near.close(Close.LOCAL, "the controller's side is over");
+                public void onClose(Connection its, CloseReason why, String detail) {
+                    near.close(CloseReason.LOCAL, "the controller's side is over");
                 }
             });
         }
 
         @Override
-        public void received(Connection near, ByteBuffer bytes) {
+        public void onData(Connection near, ByteBuffer bytes) {
             far.send(ByteBuffer.allocate(bytes.remaining()).put(bytes).flip());
         }
 
         @Override
-        public void closed(Connection near, Close why, String detail) {
-            far.close(Close.LOCAL, "the proxy's side is over");
+        public void onClose(Connection near, CloseReason why, String detail) {
+            far.close(CloseReason.LOCAL, "the proxy's side is over");
         }
     }
 }
--- a/src/test/java/rowanmoor/net/EndingTest.java
+++ b/src/test/java/rowanmoor/net/EndingTest.java
@@ -52,21 +52,21 @@
     }
 
     private Socket connect() throws Exception {
-        Handler handler = new Handler() {
+        ConnectionHandler handler = new ConnectionHandler() {
             @Override
-            public void received(Connection its, ByteBuffer bytes) {
+            public void onData(Connection its, ByteBuffer bytes) {
                 bytes.position(bytes.limit());
             }
 
             @Override
-            public void closed(Connection its, Close why, String detail) {
+            public void onClose(Connection its, CloseReason why, String detail) {
                 closed.complete(why + ": " + detail);
             }
         };
         InetSocketAddress at = on(l -> {
             try {
-                return l.listen(ANY, Connection.Options.usual().bound(new Bound(1 << 20, 4096,
-                        Bound.Policy.REFUSE)), c -> {
+                return l.listen(ANY, Connection.Options.defaults().bound(new WriteLimit(1 << 20, 4096,
+                        WriteLimit.OverflowPolicy.REFUSE)), c -> {
                             accepted.complete(c);
                             return handler;
                         }).address();
@@ -112,7 +112,7 @@
         try (Socket peer = connect()) {
             Connection connection = stuffed();
             on(l -> {
-                connection.end();
+                connection.closeGracefully();
                 return null;
             });
             assertTrue(closed.get(20, TimeUnit.SECONDS).contains("took none"), closed.get());
@@ -125,7 +125,7 @@
         try (Socket peer = connect()) {
             Connection connection = stuffed();
             long sent = on(l -> {
-                connection.end();
+                connection.closeGracefully();
                 return connection.writtenBytes() + connection.queuedBytes();
             });
             byte[] into = new byte[PIECE];
@@ -155,7 +155,7 @@
                 later.shutdownOutput();
                 assertEquals(-1, later.getInputStream().read(), "served and ended");
             }
-            assertEquals(0L, on(Loop::acceptPauses));
+            assertEquals(0L, on(Loop::acceptPauseCount));
         }
     }
 }
--- a/src/test/java/rowanmoor/net/LoopTest.java
+++ b/src/test/java/rowanmoor/net/LoopTest.java
@@ -23,28 +23,28 @@
 
     private final List<Throwable> faults = new ArrayList<>();
     private final MemoryNet net = new MemoryNet(0, 5);
-    private final Loop loop = net.loop(faults::add);
+    private final Loop loop = net.newLoop(faults::add);
 
     /** Keeps what it hears. */
-    private static class Ear implements Handler {
+    private static class Ear implements ConnectionHandler {
         final StringBuilder heard = new StringBuilder();
         Connection connection;
         boolean opened;
-        Close why;
+        CloseReason why;
 
         @Override
-        public void opened(Connection its) {
+        public void onOpen(Connection its) {
             connection = its;
             opened = true;
         }
 
         @Override
-        public void received(Connection its, ByteBuffer bytes) {
+        public void onData(Connection its, ByteBuffer bytes) {
             heard.append(StandardCharsets.ISO_8859_1.decode(bytes));
         }
 
         @Override
-        public void closed(Connection its, Close how, String detail) {
+        public void onClose(Connection its, CloseReason how, String detail) {
             assertEquals(null, why, "closed twice");
             why = how;
         }
@@ -58,11 +58,11 @@
         return loop.listen(ANY, options, c -> server);
     }
 
-    private static final Connection.Options USUAL = Connection.Options.usual();
+    private static final Connection.Options USUAL = Connection.Options.defaults();
 
     @Test
     void bytesArriveInOrderHoweverTheyAreSplitAndDelayed() throws IOException {
-        net.faults(new MemoryNet.Faults(7, MS, 50 * MS, 0, 0));
+        net.setFaults(new MemoryNet.Faults(7, MS, 50 * MS, 0, 0));
         Ear server = new Ear();
         Ear client = new Ear();
         Connection connection = loop.connect(null, listen(server, USUAL).address(), USUAL, client);
@@ -81,7 +81,7 @@
         Ear client = new Ear();
         loop.connect(null, new InetSocketAddress(InetAddress.getLoopbackAddress(), 9), USUAL, client);
         net.runFor(10 * MS);
-        assertEquals(Close.REFUSED, client.why);
+        assertEquals(CloseReason.REFUSED, client.why);
         assertFalse(client.opened);
     }
 
@@ -89,12 +89,12 @@
     void aConnectThatHangsIsGivenUp() throws IOException {
         Ear client = new Ear();
         InetSocketAddress to = listen(new Ear(), USUAL).address();
-        net.silence(to, true);
+        net.blackhole(to, true);
         loop.connect(null, to, USUAL.connectWithin(400 * MS), client);
         net.runFor(399 * MS);
         assertEquals(null, client.why);
         net.runFor(2 * MS);
-        assertEquals(Close.CONNECT_TIMEOUT, client.why);
+        assertEquals(CloseReason.CONNECT_TIMEOUT, client.why);
     }
 
     @Test
@@ -108,16 +108,16 @@
             assertEquals(null, server.why);
         }
         net.runFor(200 * MS);
-        assertEquals(Close.IDLE, server.why);
+        assertEquals(CloseReason.IDLE, server.why);
     }
 
     @Test
     void aHalfClosedPeerIsStillAnswered() throws IOException {
         Ear server = new Ear() {
             @Override
-            public boolean ended(Connection its) {
+            public boolean onInputEnd(Connection its) {
                 its.send(bytes("late answer"));
-                its.end();
+                its.closeGracefully();
                 return true;
             }
         };
@@ -125,10 +125,10 @@
         Connection connection = loop.connect(null, listen(server, USUAL).address(), USUAL, client);
         connection.send(bytes("question"));
         net.runFor(10 * MS);
-        connection.end();
+        connection.closeGracefully();
         net.runFor(10 * MS);
         assertEquals("question", server.heard.toString());
-        assertEquals(Close.ENDED, server.why);
+        assertEquals(CloseReason.ENDED, server.why);
     }
 
     @Test
@@ -138,15 +138,15 @@
         net.runFor(10 * MS);
         connection.reset("test");
         net.runFor(10 * MS);
-        assertEquals(Close.RESET, server.why);
+        assertEquals(CloseReason.RESET, server.why);
     }
 
     /** A reader that has paused: the window fills, then the queue. */
-    private Connection stuck(Bound bound, Ear client) throws IOException {
+    private Connection stuck(WriteLimit bound, Ear client) throws IOException {
         Ear server = new Ear() {
             @Override
-            public void opened(Connection its) {
-                super.opened(its);
+            public void onOpen(Connection its) {
+                super.onOpen(its);
                 its.pause();
             }
         };
@@ -160,7 +160,7 @@
 
     @Test
     void aFullQueueRefuses() throws IOException {
-        Connection connection = stuck(new Bound(1 << 16, 2, Bound.Policy.REFUSE), new Ear());
+        Connection connection = stuck(new WriteLimit(1 << 16, 2, WriteLimit.OverflowPolicy.REFUSE), new Ear());
         assertTrue(connection.send(bytes("a")));
         assertTrue(connection.send(bytes("b")));
         assertFalse(connection.send(bytes("c")));
@@ -170,10 +170,10 @@
     @Test
     void aFullQueueCloses() throws IOException {
         Ear client = new Ear();
-        Connection connection = stuck(new Bound(1 << 16, 1, Bound.Policy.CLOSE), client);
+        Connection connection = stuck(new WriteLimit(1 << 16, 1, WriteLimit.OverflowPolicy.CLOSE), client);
         assertTrue(connection.send(bytes("0123456789")));
         assertFalse(connection.send(bytes("x")));
-        assertEquals(Close.OVERFLOW, client.why);
+        assertEquals(CloseReason.OVERFLOW, client.why);
     }
 
     @Test
@@ -183,14 +183,14 @@
             served.add(new Ear());
             return served.get(served.size() - 1);
         }).address();
-        net.descriptors(1);
+        net.limitDescriptors(1);
         for (int i = 0; i < 3; i++) {
             loop.connect(null, to, USUAL, new Ear());
         }
         net.runFor(1000 * MS);
         assertEquals(1, served.size());
-        assertTrue(loop.acceptPauses() >= 9 && loop.acceptPauses() <= 12, loop.acceptPauses() + " pauses");
-        net.descriptors(10);
+        assertTrue(loop.acceptPauseCount() >= 9 && loop.acceptPauseCount() <= 12, loop.acceptPauseCount() + " pauses");
+        net.limitDescriptors(10);
         net.runFor(200 * MS);
         assertEquals(3, served.size());
     }
@@ -199,7 +199,7 @@
     void aHandlerThatThrowsCostsItsOwnConnectionOnly() throws IOException {
         Ear bad = new Ear() {
             @Override
-            public void received(Connection its, ByteBuffer bytes) {
+            public void onData(Connection its, ByteBuffer bytes) {
                 throw new IllegalStateException("on purpose");
             }
         };
@@ -210,7 +210,7 @@
         net.runFor(10 * MS);
         other.send(bytes("y"));
         net.runFor(10 * MS);
-        assertEquals(Close.FAULT, bad.why);
+        assertEquals(CloseReason.FAULT, bad.why);
         assertEquals("y", good.heard.toString());
         assertEquals(1, faults.size());
     }
@@ -235,17 +235,17 @@
 
     private static String cutRun(long seed) throws IOException {
         MemoryNet its = new MemoryNet(0, seed);
-        its.faults(new MemoryNet.Faults(100, MS, 20 * MS, 0.01, 0.02));
-        Loop one = its.loop(e -> { });
+        its.setFaults(new MemoryNet.Faults(100, MS, 20 * MS, 0.01, 0.02));
+        Loop one = its.newLoop(e -> { });
         StringBuilder story = new StringBuilder();
         InetSocketAddress to = one.listen(ANY, USUAL, c -> new Ear() {
             @Override
-            public void received(Connection connection, ByteBuffer bytes) {
+            public void onData(Connection connection, ByteBuffer bytes) {
                 story.append(bytes.remaining()).append('@').append(its.now()).append(' ');
             }
 
             @Override
-            public void closed(Connection connection, Close how, String detail) {
+            public void onClose(Connection connection, CloseReason how, String detail) {
                 story.append(how).append(' ');
             }
         }).address();
@@ -262,23 +262,23 @@
         Loop sockets = Loop.onSockets(thrown::add);
         CountDownLatch back = new CountDownLatch(1);
         int size = 1 << 20;
-        InetSocketAddress to = sockets.listen(ANY, USUAL, c -> new Handler() {
+        InetSocketAddress to = sockets.listen(ANY, USUAL, c -> new ConnectionHandler() {
             @Override
-            public void received(Connection its, ByteBuffer bytes) {
+            public void onData(Connection its, ByteBuffer bytes) {
                 its.send(ByteBuffer.allocate(bytes.remaining()).put(bytes).flip());
             }
         }).address();
         int[] count = {0};
         Thread thread = new Thread(sockets);
         thread.start();
-        sockets.post(() -> sockets.connect(null, to, USUAL, new Handler() {
+        sockets.post(() -> sockets.connect(null, to, USUAL, new ConnectionHandler() {
             @Override
-            public void opened(Connection its) {
+            public void onOpen(Connection its) {
                 its.send(ByteBuffer.allocate(size));
             }
 
             @Override
-            public void received(Connection its, ByteBuffer bytes) {
+            public void onData(Connection its, ByteBuffer bytes) {
                 count[0] += bytes.remaining();
                 bytes.position(bytes.limit());
                 if (count[0] == size) {
--- a/src/test/java/rowanmoor/perf/WireBenchmark.java
+++ b/src/test/java/rowanmoor/perf/WireBenchmark.java
@@ -22,9 +22,9 @@
 import rowanmoor.channel.Frame;
 import rowanmoor.channel.FrameReader;
 import rowanmoor.http.HttpError;
-import rowanmoor.http.Limits;
+import rowanmoor.http.MessageLimits;
 import rowanmoor.http.Message;
-import rowanmoor.http.Parser;
+import rowanmoor.http.MessageParser;
 
 /** Costs of one message on the wires; docs/measurements/running-controller.md has the command. */
 @State(Scope.Thread)
@@ -85,11 +85,11 @@
 
     @Benchmark
     public Message parseRequest() throws HttpError {
-        return Parser.ofRequests(Limits.usual()).next(ByteBuffer.wrap(REQUEST));
+        return MessageParser.forRequests(MessageLimits.defaults()).next(ByteBuffer.wrap(REQUEST));
     }
 
     @Benchmark
     public Message parseAnswer() throws HttpError {
-        return Parser.ofResponses(Limits.usual()).next(ByteBuffer.wrap(ANSWER));
+        return MessageParser.forResponses(MessageLimits.defaults()).next(ByteBuffer.wrap(ANSWER));
     }
 }
--- a/src/test/java/rowanmoor/platform/EndPathsTest.java
+++ b/src/test/java/rowanmoor/platform/EndPathsTest.java
@@ -43,7 +43,7 @@
         Run(long seed) {
             random = new SplittableRandom(seed);
             platform = new TestPlatform(seed);
-            platform.net.faults(new MemoryNet.Faults(1 + random.nextInt(200), MS / 10, random.nextInt(1, 30) * MS, 0,
+            platform.net.setFaults(new MemoryNet.Faults(1 + random.nextInt(200), MS / 10, random.nextInt(1, 30) * MS, 0,
                     0));
             platform.serve(64 + 8 * random.nextInt(4), list(1, true, List.copyOf(platform.instances.values())));
             catalogs.add(platform.catalog);
@@ -91,7 +91,7 @@
             if (reset) {
                 client.connection.reset("the test");
             } else {
-                client.connection.end();
+                client.connection.closeGracefully();
             }
             ended.add(client);
         }
@@ -154,10 +154,10 @@
             assertEquals(0, platform.service.openPeers(), name);
             assertEquals(List.of(), platform.faults, name + ": a leave told twice, or a join over one, throws");
             // Both ends of the watch; its silence, two beats, the statistics, the next turn, probes under way.
-            assertTrue(platform.net.connectionsOf(platform.loop) <= 2 + 2 * 8, name + ": "
-                    + platform.net.connectionsOf(platform.loop) + " connections");
-            assertTrue(platform.net.timersOf(platform.loop) <= 5 + 2 * 8, name + ": "
-                    + platform.net.timersOf(platform.loop) + " timers");
+            assertTrue(platform.net.openConnectionCount(platform.loop) <= 2 + 2 * 8, name + ": "
+                    + platform.net.openConnectionCount(platform.loop) + " connections");
+            assertTrue(platform.net.liveTimerCount(platform.loop) <= 5 + 2 * 8, name + ": "
+                    + platform.net.liveTimerCount(platform.loop) + " timers");
         }
     }
 
--- a/src/test/java/rowanmoor/platform/ServiceTest.java
+++ b/src/test/java/rowanmoor/platform/ServiceTest.java
@@ -109,7 +109,7 @@
 
     @Test
     void objectsSplitAnywhereAreRead() {
-        platform.net.faults(new rowanmoor.net.MemoryNet.Faults(1, 1000, 1000, 0, 0));
+        platform.net.setFaults(new rowanmoor.net.MemoryNet.Faults(1, 1000, 1000, 0, 0));
         platform.serve();
         Client proxy = joined(1);
         run(2 * SECOND);
@@ -323,11 +323,11 @@
     @Test
     void withoutADescriptorAcceptingRestsAndGoesOn() {
         platform.serve();
-        platform.net.descriptors(0);
+        platform.net.limitDescriptors(0);
         Client waiting = platform.client();
         waiting.join(5, "south", 1);
         run(500 * MS);
-        platform.net.descriptors(100);
+        platform.net.limitDescriptors(100);
         run(500 * MS);
         Client later = joined(6);
         run(300 * MS);
--- a/src/test/java/rowanmoor/platform/TestPlatform.java
+++ b/src/test/java/rowanmoor/platform/TestPlatform.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 import rowanmoor.net.Loop;
 import rowanmoor.net.MemoryNet;
 import rowanmoor.resp.RespException;
@@ -105,7 +105,7 @@
 
     TestPlatform(long seed) {
         net = new MemoryNet(START, seed);
-        loop = net.loop(faults::add);
+        loop = net.newLoop(faults::add);
         catalog = new Catalogue(ANY);
         for (int i = 0; i < 6; i++) {
             put("s-" + i, i % 2 == 0 ? "north" : "south", "in_service", 0);
@@ -121,23 +121,23 @@
     }
 
     private InetSocketAddress backend() {
-        return listen(connection -> new Handler() {
+        return listen(connection -> new ConnectionHandler() {
             @Override
-            public void received(Connection its, ByteBuffer bytes) {
+            public void onData(Connection its, ByteBuffer bytes) {
                 probesAnswered++;
                 its.send(ascii("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nqueue=2,latency_ms=9"));
             }
         });
     }
 
-    InetSocketAddress listen(java.util.function.Function<Connection, Handler> accept) {
+    InetSocketAddress listen(java.util.function.Function<Connection, ConnectionHandler> accept) {
         return listen(ANY, accept);
     }
 
     private InetSocketAddress listen(InetSocketAddress at,
-            java.util.function.Function<Connection, Handler> accept) {
+            java.util.function.Function<Connection, ConnectionHandler> accept) {
         try {
-            return loop.listen(at, Connection.Options.usual(), accept).address();
+            return loop.listen(at, Connection.Options.defaults(), accept).address();
         } catch (java.io.IOException e) {
             throw new AssertionError(e);
         }
@@ -171,9 +171,9 @@
         String first;
 
         Catalogue(InetSocketAddress at) {
-            address = listen(at, connection -> new Handler() {
+            address = listen(at, connection -> new ConnectionHandler() {
                 @Override
-                public void received(Connection its, ByteBuffer bytes) {
+                public void onData(Connection its, ByteBuffer bytes) {
                     if (watches.contains(its)) {
                         return; // the rest of a question that came in pieces
                     }
@@ -188,7 +188,7 @@
                 }
 
                 @Override
-                public void closed(Connection its, Close why, String detail) {
+                public void onClose(Connection its, CloseReason why, String detail) {
                     watches.remove(its);
                 }
             });
@@ -216,14 +216,14 @@
     }
 
     /** One connection to the controller's address. */
-    final class Client implements Handler {
+    final class Client implements ConnectionHandler {
         final List<List<String>> heard = new ArrayList<>();
         private final RespReader reader = new RespReader(RespReader.MAX_MESSAGE_BYTES, 64);
         final Connection connection;
-        Close over;
+        CloseReason over;
 
         Client() {
-            connection = loop.connect(null, service.address(), Connection.Options.usual(), this);
+            connection = loop.connect(null, service.address(), Connection.Options.defaults(), this);
         }
 
         Client say(String words) {
@@ -241,7 +241,7 @@
         }
 
         @Override
-        public void received(Connection its, ByteBuffer bytes) {
+        public void onData(Connection its, ByteBuffer bytes) {
             try {
                 for (List<String> m = reader.next(bytes); m != null; m = reader.next(bytes)) {
                     heard.add(m);
@@ -263,7 +263,7 @@
         }
 
         @Override
-        public void closed(Connection its, Close why, String detail) {
+        public void onClose(Connection its, CloseReason why, String detail) {
             over = why;
         }
 
--- a/src/test/java/rowanmoor/proxy/ProxyFixture.java
+++ b/src/test/java/rowanmoor/proxy/ProxyFixture.java
@@ -12,9 +12,9 @@
 import rowanmoor.config.ConfigException;
 import rowanmoor.config.Section;
 import rowanmoor.config.Site;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 import rowanmoor.net.Loop;
 import rowanmoor.net.MemoryNet;
 
@@ -25,13 +25,13 @@
     static final long SECOND = 1000 * MS;
     static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     final MemoryNet net = new MemoryNet(SECOND, 5);
-    final Loop loop = net.loop(e -> {
+    final Loop loop = net.newLoop(e -> {
         throw new AssertionError(e);
     });
     final List<BackendEnd> reached = new ArrayList<>();
 
     /** One connection that a backend has taken. */
-    final class BackendEnd implements Handler {
+    final class BackendEnd implements ConnectionHandler {
         private final int backend;
         final StringBuilder heard = new StringBuilder();
         Connection connection;
@@ -44,12 +44,12 @@
         }
 
         @Override
-        public void received(Connection its, ByteBuffer bytes) {
+        public void onData(Connection its, ByteBuffer bytes) {
             heard.append(StandardCharsets.ISO_8859_1.decode(bytes));
         }
 
         @Override
-        public void closed(Connection its, Close why, String detail) {
+        public void onClose(Connection its, CloseReason why, String detail) {
             over = true;
         }
 
@@ -60,22 +60,22 @@
     }
 
     /** One client. */
-    final class ClientEnd implements Handler {
+    final class ClientEnd implements ConnectionHandler {
         final StringBuilder heard = new StringBuilder();
         final Connection connection;
         boolean over;
 
         ClientEnd(Proxy proxy) {
-            connection = loop.connect(null, proxy.address(), Connection.Options.usual(), this);
+            connection = loop.connect(null, proxy.address(), Connection.Options.defaults(), this);
         }
 
         @Override
-        public void received(Connection its, ByteBuffer bytes) {
+        public void onData(Connection its, ByteBuffer bytes) {
             heard.append(StandardCharsets.ISO_8859_1.decode(bytes));
         }
 
         @Override
-        public void closed(Connection its, Close why, String detail) {
+        public void onClose(Connection its, CloseReason why, String detail) {
             over = true;
         }
 
@@ -101,11 +101,11 @@
     }
 
     InetSocketAddress backend(int number) throws IOException {
-        return loop.listen(ANY, Connection.Options.usual(), c -> new BackendEnd(number, c)).address();
+        return loop.listen(ANY, Connection.Options.defaults(), c -> new BackendEnd(number, c)).address();
     }
 
     InetSocketAddress refusing() throws IOException {
-        Loop.Listener listener = loop.listen(ANY, Connection.Options.usual(), c -> null);
+        Loop.Listener listener = loop.listen(ANY, Connection.Options.defaults(), c -> null);
         listener.close();
         return listener.address();
     }
--- a/src/test/java/rowanmoor/proxy/ProxyStopTest.java
+++ b/src/test/java/rowanmoor/proxy/ProxyStopTest.java
@@ -24,7 +24,7 @@
  */
 class ProxyStopTest extends ProxyFixture {
 
-    private final Loop proxyLoop = net.loop(e -> {
+    private final Loop proxyLoop = net.newLoop(e -> {
         throw new AssertionError(e);
     });
     private boolean stopped;
@@ -98,10 +98,10 @@
     @Test
     void aConnectionThatWaitsToBeAcceptedWhenTheSignalComesIsServed() throws IOException, ConfigException {
         Proxy proxy = proxyApart(backend(1));
-        net.freeze(proxyLoop, true);
+        net.setFrozen(proxyLoop, true);
         ClientEnd client = new ClientEnd(proxy).say(get("/p/1"));
         stop(proxy);
-        net.freeze(proxyLoop, false);
+        net.setFrozen(proxyLoop, false);
         net.runFor(20 * MS);
         assertEquals(1, reached.size(), client.heard.toString());
         reached.get(0).say(OK);
@@ -242,7 +242,7 @@
             crowd.get(i).connection.pause(); // they read nothing: what refuses them must not hold more than it may
         }
         net.runFor(10 * MS);
-        assertTrue(net.connectionsOf(proxyLoop) < 100, net.connectionsOf(proxyLoop) + " connections held");
+        assertTrue(net.openConnectionCount(proxyLoop) < 100, net.openConnectionCount(proxyLoop) + " connections held");
     }
 
     /** The end of a kept connection lies unread behind a request that needs a connection. */
@@ -251,11 +251,11 @@
         Proxy proxy = proxyApart(backend(1));
         ClientEnd client = keptClient(proxy);
         Connection kept = reached.get(0).connection;
-        net.freeze(proxyLoop, true);
+        net.setFrozen(proxyLoop, true);
         client.say(get("/p/2"));
-        kept.end();
+        kept.closeGracefully();
         net.runFor(20 * MS);
-        net.freeze(proxyLoop, false);
+        net.setFrozen(proxyLoop, false);
         net.runFor(20 * MS);
         assertEquals(2, reached.size(), client.heard.toString());
         reached.get(1).say(OK);
--- a/src/test/java/rowanmoor/proxy/ProxyTest.java
+++ b/src/test/java/rowanmoor/proxy/ProxyTest.java
@@ -20,7 +20,7 @@
 import rowanmoor.channel.ReportReceiver;
 import rowanmoor.config.ConfigException;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 
 /** What a proxy does with requests, answers, bounds and its stream. */
 class ProxyTest extends ProxyFixture {
@@ -206,7 +206,7 @@
         reached.get(1).say(OK);
         ClientEnd client = new ClientEnd(proxy).say(get("/p/3"));
         BackendEnd used = reached.get(0).heard.toString().contains("/p/3") ? reached.get(0) : reached.get(1);
-        used.connection.end();
+        used.connection.closeGracefully();
         net.runFor(50 * MS);
         assertTrue(client.heard.toString().startsWith("HTTP/1.1 502"), client.heard.toString());
         assertEquals(2, reached.size());
@@ -382,7 +382,7 @@
     private final ReportReceiver receiver = new ReportReceiver();
 
     /** A backend that answers as chance has it, and counts. */
-    private final class Chancy implements Handler {
+    private final class Chancy implements ConnectionHandler {
         private final SplittableRandom random;
         private final long[] seen;
         private final StringBuilder heard = new StringBuilder();
@@ -393,7 +393,7 @@
         }
 
         @Override
-        public void received(Connection its, ByteBuffer bytes) {
+        public void onData(Connection its, ByteBuffer bytes) {
             heard.append(StandardCharsets.ISO_8859_1.decode(bytes));
             for (int end = heard.indexOf("\r\n\r\n"); end >= 0; end = heard.indexOf("\r\n\r\n")) {
                 heard.delete(0, end + 4);
@@ -410,7 +410,7 @@
     }
 
     /** A controller's end that binds nothing and sums what it is told, each numbered report once. */
-    private final class Listener implements Handler {
+    private final class Listener implements ConnectionHandler {
         private final FrameReader reader = new FrameReader(ChannelLimits.defaults());
         private final long[] sums;
         private int proxy;
@@ -420,7 +420,7 @@
         }
 
         @Override
-        public void received(Connection its, ByteBuffer bytes) {
+        public void onData(Connection its, ByteBuffer bytes) {
             try {
                 while (bytes.hasRemaining()) {
                     Frame frame = reader.next(bytes);
@@ -458,7 +458,7 @@
         ForwardingPolicy u = ForwardingPolicy.defaults();
         InetSocketAddress home = refusing();
         int[] joined = new int[2];
-        InetSocketAddress other = loop.listen(ANY, Connection.Options.usual(), c -> {
+        InetSocketAddress other = loop.listen(ANY, Connection.Options.defaults(), c -> {
             joined[1]++;
             return new Listener(new long[4]);
         }).address();
@@ -469,7 +469,7 @@
         net.runFor(20 * SECOND);
         assertTrue(proxy.isJoined());
         assertEquals(1, joined[1], "it stays while its first controller is gone");
-        loop.listen(home, Connection.Options.usual(), c -> {
+        loop.listen(home, Connection.Options.defaults(), c -> {
             joined[0]++;
             return new Listener(new long[4]);
         });
@@ -488,7 +488,7 @@
         long[] sums = new long[4];
         InetSocketAddress[] backends = new InetSocketAddress[3];
         for (int b = 0; b < 3; b++) {
-            backends[b] = loop.listen(ANY, Connection.Options.usual(), c -> new Chancy(random.split(), seen)).address();
+            backends[b] = loop.listen(ANY, Connection.Options.defaults(), c -> new Chancy(random.split(), seen)).address();
         }
         InetSocketAddress controller = refusing();
         Proxy proxy = Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(controller), 0, 300 * MS,
@@ -501,7 +501,7 @@
             client.connection.send(bytes(get((i % 2 == 0 ? "/r/" : "/p/") + i)));
             net.runFor(10 * MS);
             if (i == 300) { // out of reach until now: what was counted waits
-                loop.listen(controller, Connection.Options.usual().idleAfter(60 * SECOND), c -> new Listener(sums));
+                loop.listen(controller, Connection.Options.defaults().idleAfter(60 * SECOND), c -> new Listener(sums));
             }
         }
         net.runFor(2100 * MS);
@@ -561,10 +561,10 @@
         long[] sums = new long[4];
         InetSocketAddress[] backends = new InetSocketAddress[3];
         for (int b = 0; b < 3; b++) {
-            backends[b] = loop.listen(ANY, Connection.Options.usual(), c -> new Chancy(random.split(), seen)).address();
+            backends[b] = loop.listen(ANY, Connection.Options.defaults(), c -> new Chancy(random.split(), seen)).address();
         }
         List<Connection> streams = new ArrayList<>();
-        InetSocketAddress controller = loop.listen(ANY, Connection.Options.usual(), c -> {
+        InetSocketAddress controller = loop.listen(ANY, Connection.Options.defaults(), c -> {
             streams.add(c);
             return new Listener(sums);
         }).address();
@@ -632,7 +632,7 @@
         org.junit.jupiter.api.Assumptions.assumeTrue(java.nio.file.Files.exists(full));
         TapFile tap = new TapFile(full);
         long[] sums = new long[4];
-        InetSocketAddress controller = loop.listen(ANY, Connection.Options.usual(), c -> new Listener(sums)).address();
+        InetSocketAddress controller = loop.listen(ANY, Connection.Options.defaults(), c -> new Listener(sums)).address();
         Proxy proxy = Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(controller), 0, 300 * MS,
                 60 * SECOND, List.of(backend(1)), 15 * SECOND, 250 * MS, 5000, ForwardingPolicy.defaults()), loop,
                 new SplittableRandom(1), tap);
@@ -647,18 +647,18 @@
     void aSnapshotThatAFullQueueRefusedToAskForIsAskedForAgain() throws IOException, ConfigException {
         Connection[] stream = new Connection[1];
         int[] asked = new int[1];
-        InetSocketAddress controller = loop.listen(ANY, Connection.Options.usual().bound(new rowanmoor.net.Bound(1 << 24,
-                1 << 20, rowanmoor.net.Bound.Policy.REFUSE)), c -> new Handler() {
+        InetSocketAddress controller = loop.listen(ANY, Connection.Options.defaults().bound(new rowanmoor.net.WriteLimit(1 << 24,
+                1 << 20, rowanmoor.net.WriteLimit.OverflowPolicy.REFUSE)), c -> new ConnectionHandler() {
                     private final FrameReader reader = new FrameReader(ChannelLimits.defaults());
 
                     @Override
-                    public void opened(Connection its) {
+                    public void onOpen(Connection its) {
                         stream[0] = its;
                         its.send(Codec.encode(new Frame.Snapshot(1, 0, 0, 0, List.of(), List.of(), List.of(), List.of())));
                     }
 
                     @Override
-                    public void received(Connection its, ByteBuffer bytes) {
+                    public void onData(Connection its, ByteBuffer bytes) {
                         try {
                             while (bytes.hasRemaining()) {
                                 asked[0] += reader.next(bytes) instanceof Frame.Resync ? 1 : 0;
--- a/src/test/java/rowanmoor/proxy/ReportQueueTest.java
+++ b/src/test/java/rowanmoor/proxy/ReportQueueTest.java
@@ -19,7 +19,7 @@
 import rowanmoor.channel.ReportReceiver;
 import rowanmoor.config.ConfigException;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 
 /** Reports and their acknowledgement between a proxy and scripted controllers that use the product's receiver. */
 class ReportQueueTest extends ProxyFixture {
@@ -37,15 +37,15 @@
         private long requests;
 
         ScriptedController() throws IOException {
-            address = loop.listen(ANY, Connection.Options.usual(), c -> new Stream()).address();
+            address = loop.listen(ANY, Connection.Options.defaults(), c -> new Stream()).address();
         }
 
-        private final class Stream implements Handler {
+        private final class Stream implements ConnectionHandler {
             private final FrameReader reader = new FrameReader(ChannelLimits.defaults());
             private int proxy;
 
             @Override
-            public void received(Connection its, ByteBuffer bytes) {
+            public void onData(Connection its, ByteBuffer bytes) {
                 try {
                     while (bytes.hasRemaining() && its.isOpen()) {
                         Frame frame = reader.next(bytes);
@@ -79,7 +79,7 @@
             private void join(Connection its, Frame.Hello hello) {
                 if (hello.protocolVersion() > versionSpoken) {
                     its.send(Codec.encode(new Frame.Goodbye(Frame.Reason.VERSION, "too new")));
-                    its.end();
+                    its.closeGracefully();
                     return;
                 }
                 proxy = hello.proxy();
