--- a/src/main/java/rowanmoor/http/ClientConnection.java
+++ b/src/main/java/rowanmoor/http/ClientConnection.java
@@ -27,7 +27,7 @@
 
     private ClientConnection(Loop loop, InetSocketAddress from, InetSocketAddress to,
             Connection.Options options, MessageLimits limits, Consumer<ClientConnection> onGone) {
-        this.stream = ClientStream.openWhole(loop, from, to, options, limits, gone -> onGone.accept(this));
+        this.stream = ClientStream.openWithBodyLimit(loop, from, to, options, limits, gone -> onGone.accept(this));
     }
 
     /** Opens a connection; {@code onGone} hears once that the connection is over. */
@@ -39,19 +39,19 @@
     /** Sends a request; the connection must be {@link #isAvailable}. */
     public void send(Message.Request request, ResponseHandler answer) {
         stream.sendHead(new MessagePart.RequestHead(request.method(), request.target(), request.minorVersion(), request.fields(),
-                request.body().length), new Whole(answer));
+                request.body().length), new ResponseAssembler(answer));
         stream.write(ByteBuffer.wrap(request.body()));
         stream.endRequest(new HttpFields());
     }
 
     /** Puts an answer together and hands it over. */
-    private static final class Whole implements ClientStream.ResponseHandler {
-        private final ResponseHandler answer;
+    private static final class ResponseAssembler implements ClientStream.ResponseHandler {
+        private final ResponseHandler responseHandler;
         private final ByteArrayOutputStream content = new ByteArrayOutputStream(0);
         private MessagePart.ResponseHead head;
 
-        Whole(ResponseHandler answer) {
-            this.answer = answer;
+        ResponseAssembler(ResponseHandler answer) {
+            this.responseHandler = answer;
         }
 
         @Override
@@ -68,13 +68,13 @@
 
         @Override
         public void onResponseEnd(HttpFields trailers) {
-            answer.onResponse(new Message.Response(head.status(), head.reason(), head.minorVersion(), head.fields(),
+            responseHandler.onResponse(new Message.Response(head.status(), head.reason(), head.minorVersion(), head.fields(),
                     content.toByteArray()));
         }
 
         @Override
         public void onFailure(boolean neverRan, CloseReason why, String detail) {
-            answer.onFailure(neverRan, why, detail);
+            responseHandler.onFailure(neverRan, why, detail);
         }
     }
 
--- a/src/main/java/rowanmoor/http/ClientStream.java
+++ b/src/main/java/rowanmoor/http/ClientStream.java
@@ -39,14 +39,14 @@
     private final MessagePartParser parser;
     private final Consumer<ClientStream> onGone;
     private Connection connection;
-    private Out out;
-    private ResponseHandler waiting;
-    private boolean asked = true;
-    private boolean spent;
-    private boolean keeps;
+    private MessageWriter writer;
+    private ResponseHandler responseHandler;
+    private boolean requestComplete = true;
+    private boolean unusable;
+    private boolean keepAlive;
     private long writtenBefore;
     private long idleSince;
-    private boolean interim;
+    private boolean inInterimResponse;
 
     private ClientStream(Loop loop, MessagePartParser parser, Consumer<ClientStream> onGone) {
         this.loop = loop;
@@ -61,7 +61,7 @@
     }
 
     /** The same, with answers within {@link MessageLimits#maxBodyBytes} only. */
-    static ClientStream openWhole(Loop loop, InetSocketAddress from, InetSocketAddress to,
+    static ClientStream openWithBodyLimit(Loop loop, InetSocketAddress from, InetSocketAddress to,
             Connection.Options options, MessageLimits limits, Consumer<ClientStream> onGone) {
         return open(loop, from, to, options, MessagePartParser.forResponses(limits), onGone);
     }
@@ -70,7 +70,7 @@
             Connection.Options options, MessagePartParser parser, Consumer<ClientStream> onGone) {
         ClientStream client = new ClientStream(loop, parser, onGone);
         client.connection = loop.connect(from, to, options, client);
-        client.out = new Out(client.connection);
+        client.writer = new MessageWriter(client.connection);
         client.idleSince = loop.now();
         return client;
     }
@@ -80,8 +80,8 @@
         if (!isAvailable()) {
             throw new IllegalStateException("the connection is in use or over");
         }
-        waiting = answer;
-        asked = false;
+        responseHandler = answer;
+        requestComplete = false;
         parser.expectResponseTo(head.method());
         writtenBefore = connection.writtenBytes();
         HttpFields fields = head.fields().copy();
@@ -92,26 +92,26 @@
         } else if (head.contentLength() > 0 || !head.method().equals("GET") && !head.method().equals("HEAD")) {
             fields.set("Content-Length", Long.toString(head.contentLength()));
         }
-        out.head(head.method() + " " + head.target() + " HTTP/1.1", fields, head.contentLength());
+        writer.writeHead(head.method() + " " + head.target() + " HTTP/1.1", fields, head.contentLength());
     }
 
     /** Some of the request's content, copied; false if the writer should pause until drained. */
     public boolean write(ByteBuffer bytes) {
-        if (connection.isClosed() || waiting == null) {
+        if (connection.isClosed() || responseHandler == null) {
             return true;
         }
-        if (!out.piece(bytes)) {
+        if (!writer.writeContent(bytes)) {
             connection.close(CloseReason.OVERFLOW, "content beyond its bound");
             return true;
         }
-        return !out.enough();
+        return !writer.isAboveHighWater();
     }
 
     /** The request is whole. */
     public void endRequest(HttpFields trailers) {
-        if (!connection.isClosed() && !asked) {
-            asked = true;
-            out.end(trailers);
+        if (!connection.isClosed() && !requestComplete) {
+            requestComplete = true;
+            writer.writeEnd(trailers);
         }
     }
 
@@ -128,7 +128,7 @@
 
     /** Whether a request can be sent. */
     public boolean isAvailable() {
-        return waiting == null && asked && !spent && !connection.isClosed();
+        return responseHandler == null && requestComplete && !unusable && !connection.isClosed();
     }
 
     /** Whether a request can be sent, going by all that has arrived, read or not: the peer may have ended. */
@@ -152,14 +152,14 @@
 
     /** Gives the request in work up: nothing more is heard of it, and the connection closes. */
     public void cancel() {
-        waiting = null;
-        spent = true;
+        responseHandler = null;
+        unusable = true;
         connection.close(CloseReason.LOCAL, "given up");
     }
 
     /** Answers what is in work from now on to another. */
     public void setResponseHandler(ResponseHandler other) {
-        waiting = other;
+        responseHandler = other;
     }
 
     @Override
@@ -170,43 +170,43 @@
                 if (part == null) {
                     break;
                 }
-                take(part, bytes);
+                handlePart(part, bytes);
             }
         } catch (HttpError e) {
             connection.close(CloseReason.PROTOCOL, e.getMessage());
         }
     }
 
-    private void take(MessagePart part, ByteBuffer bytes) {
-        if (waiting == null) {
+    private void handlePart(MessagePart part, ByteBuffer bytes) {
+        if (responseHandler == null) {
             connection.close(CloseReason.PROTOCOL, "an answer that nothing asked for");
         } else if (part instanceof MessagePart.ResponseHead head) {
-            keeps = head.isKeepAlive();
+            keepAlive = head.isKeepAlive();
             if (head.status() == 101) {
                 connection.close(CloseReason.PROTOCOL, "a change of protocol that nothing asked for");
             } else if (head.status() < 200) {
-                interim = true;
-                waiting.onInterimHead(head);
+                inInterimResponse = true;
+                responseHandler.onInterimHead(head);
             } else {
-                interim = false;
-                waiting.onResponseHead(head);
+                inInterimResponse = false;
+                responseHandler.onResponseHead(head);
             }
-        } else if (part instanceof MessagePart.Piece piece) {
-            waiting.onResponseContent(piece.bytes());
-        } else if (interim) {
-            interim = false; // the end of an interim answer
+        } else if (part instanceof MessagePart.Content piece) {
+            responseHandler.onResponseContent(piece.bytes());
+        } else if (inInterimResponse) {
+            inInterimResponse = false; // the end of an interim answer
         } else {
-            whole(((MessagePart.End) part).trailers(), bytes);
+            finishResponse(((MessagePart.End) part).trailers(), bytes);
         }
     }
 
-    private void whole(HttpFields trailers, ByteBuffer bytes) {
-        ResponseHandler answer = waiting;
-        waiting = null;
+    private void finishResponse(HttpFields trailers, ByteBuffer bytes) {
+        ResponseHandler answer = responseHandler;
+        responseHandler = null;
         idleSince = loop.now();
         // Bytes after an answer belong to no request; an answer before the request was whole leaves its rest.
-        spent = !keeps || bytes.hasRemaining() || !asked;
-        if (spent) {
+        unusable = !keepAlive || bytes.hasRemaining() || !requestComplete;
+        if (unusable) {
             connection.close(CloseReason.LOCAL, "not kept alive");
         } else {
             connection.resume(); // its last piece may have paused it: the next answer must be read
@@ -218,9 +218,9 @@
     public boolean onInputEnd(Connection its) {
         try {
             MessagePart last = parser.end();
-            if (last instanceof MessagePart.End end && waiting != null) {
-                keeps = false;
-                whole(end.trailers(), ByteBuffer.allocate(0));
+            if (last instanceof MessagePart.End end && responseHandler != null) {
+                keepAlive = false;
+                finishResponse(end.trailers(), ByteBuffer.allocate(0));
             }
         } catch (HttpError e) {
             connection.close(CloseReason.PROTOCOL, e.getMessage());
@@ -230,16 +230,16 @@
 
     @Override
     public void onDrained(Connection its) {
-        if (waiting != null) {
-            waiting.onRequestDrained();
+        if (responseHandler != null) {
+            responseHandler.onRequestDrained();
         }
     }
 
     @Override
     public void onClose(Connection its, CloseReason why, String detail) {
-        spent = true;
-        ResponseHandler answer = waiting;
-        waiting = null;
+        unusable = true;
+        ResponseHandler answer = responseHandler;
+        responseHandler = null;
         if (answer != null) {
             answer.onFailure(why.neverConnected() || nothingWritten(), why, detail);
         }
--- a/src/main/java/rowanmoor/http/Message.java
+++ b/src/main/java/rowanmoor/http/Message.java
@@ -57,7 +57,7 @@
     record Response(int status, String reason, int minorVersion, HttpFields fields, byte[] body) implements Message {
 
         public static Response of(int status, String text, String... fields) {
-            return new Response(status, Reason.of(status), 1, HttpFields.of(fields),
+            return new Response(status, ReasonPhrases.of(status), 1, HttpFields.of(fields),
                     text.getBytes(StandardCharsets.UTF_8));
         }
 
--- a/src/main/java/rowanmoor/http/MessageParser.java
+++ b/src/main/java/rowanmoor/http/MessageParser.java
@@ -39,7 +39,7 @@
     /** Reads up to the end of one message and leaves the rest; null if the bytes end before it does. */
     public Message next(ByteBuffer bytes) throws HttpError {
         for (MessagePart part = parts.next(bytes); part != null; part = parts.next(bytes)) {
-            Message whole = take(part);
+            Message whole = handlePart(part);
             if (whole != null) {
                 return whole;
             }
@@ -50,16 +50,16 @@
     /** The peer has ended its bytes: the message that this completes, or null if none had begun. */
     public Message end() throws HttpError {
         MessagePart part = parts.end();
-        return part == null ? null : take(part);
+        return part == null ? null : handlePart(part);
     }
 
-    private Message take(MessagePart part) {
+    private Message handlePart(MessagePart part) {
         if (part instanceof MessagePart.Head begun) {
             head = begun;
             body = new ByteArrayOutputStream(0);
             return null;
         }
-        if (part instanceof MessagePart.Piece piece) {
+        if (part instanceof MessagePart.Content piece) {
             byte[] bytes = new byte[piece.bytes().remaining()];
             piece.bytes().get(bytes);
             body.write(bytes, 0, bytes.length);
--- a/src/main/java/rowanmoor/http/MessagePart.java
+++ b/src/main/java/rowanmoor/http/MessagePart.java
@@ -40,7 +40,7 @@
             implements Head { }
 
     /** Some content; the bytes are the reader's buffer and must be copied to be kept. */
-    record Piece(ByteBuffer bytes) implements MessagePart { }
+    record Content(ByteBuffer bytes) implements MessagePart { }
 
     /** The message is whole. {@code trailers} are empty but after chunks. */
     record End(HttpFields trailers) implements MessagePart { }
--- a/src/main/java/rowanmoor/http/MessagePartParser.java
+++ b/src/main/java/rowanmoor/http/MessagePartParser.java
@@ -15,24 +15,24 @@
 
     private enum Step { START, FIELDS, FIXED, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS, UNTIL_END, BROKEN }
 
-    private static final int LENGTH_DIGITS = 15;
-    private static final int CHUNK_DIGITS = 7;
-    private static final int CHUNK_LINE = 256;
-    private static final int BLANK_LINES = 2;
-    private static final int FIRST_LINE = 256;
+    private static final int MAX_LENGTH_DIGITS = 15;
+    private static final int MAX_CHUNK_SIZE_DIGITS = 7;
+    private static final int MAX_CHUNK_LINE_BYTES = 256;
+    private static final int MAX_BLANK_LINES = 2;
+    private static final int INITIAL_LINE_BYTES = 256;
 
     private final boolean requests;
     private final MessageLimits limits;
-    private byte[] line = new byte[FIRST_LINE];
+    private byte[] line = new byte[INITIAL_LINE_BYTES];
     private int lineLength;
     private Step step = Step.START;
     private boolean sawCr;
-    private int blanks;
+    private int blankLines;
     private int headBytes;
     private int fieldCount;
-    private long left;
+    private long remainingBytes;
     private long bodyBytes;
-    private long bodyMost;
+    private long maxBodyBytes;
     private HttpFields fields = new HttpFields();
     private HttpFields trailers = new HttpFields();
     private String method;
@@ -40,14 +40,14 @@
     private String reason;
     private int status;
     private int minor;
-    private String answerTo = "GET";
-    private MessagePart done;
-    private boolean endDue;
+    private String requestMethod = "GET";
+    private MessagePart pendingPart;
+    private boolean endPending;
 
     private MessagePartParser(boolean requests, MessageLimits limits) {
         this.requests = requests;
         this.limits = limits;
-        this.bodyMost = limits.maxBodyBytes();
+        this.maxBodyBytes = limits.maxBodyBytes();
     }
 
     public static MessagePartParser forRequests(MessageLimits limits) {
@@ -60,13 +60,13 @@
 
     /** Content of any length: for one who passes it on piece by piece. */
     public MessagePartParser withoutBodyLimit() {
-        bodyMost = Long.MAX_VALUE;
+        maxBodyBytes = Long.MAX_VALUE;
         return this;
     }
 
     /** Which method the next response answers: one to HEAD has no content (RFC 9112, 6.3). */
     public void expectResponseTo(String itsMethod) {
-        answerTo = itsMethod;
+        requestMethod = itsMethod;
     }
 
     /** Whether a message has begun and is not whole. */
@@ -80,21 +80,21 @@
             throw new HttpError(400, "the connection's bytes are no longer framed");
         }
         try {
-            while (done == null && !endDue && bytes.hasRemaining()) {
-                take(bytes);
+            while (pendingPart == null && !endPending && bytes.hasRemaining()) {
+                parseSome(bytes);
             }
         } catch (HttpError e) {
             step = Step.BROKEN;
             throw e;
         }
-        return taken();
+        return pollPart();
     }
 
-    private MessagePart taken() {
-        MessagePart part = done;
-        done = null;
-        if (part == null && endDue) {
-            endDue = false;
+    private MessagePart pollPart() {
+        MessagePart part = pendingPart;
+        pendingPart = null;
+        if (part == null && endPending) {
+            endPending = false;
             part = new MessagePart.End(trailers);
             trailers = new HttpFields();
         }
@@ -104,8 +104,8 @@
     /** The peer has ended its bytes: the end that this makes, or null if no message had begun. */
     public MessagePart end() throws HttpError {
         if (step == Step.UNTIL_END) {
-            finish();
-            return taken();
+            finishMessage();
+            return pollPart();
         }
         if (inMessage()) {
             step = Step.BROKEN;
@@ -114,33 +114,33 @@
         return null;
     }
 
-    private void take(ByteBuffer bytes) throws HttpError {
+    private void parseSome(ByteBuffer bytes) throws HttpError {
         switch (step) {
-            case FIXED, CHUNK -> takeBody(bytes, (int) Math.min(left, bytes.remaining()));
+            case FIXED, CHUNK -> parseBody(bytes, (int) Math.min(remainingBytes, bytes.remaining()));
             case UNTIL_END -> {
-                left = bytes.remaining();
-                takeBody(bytes, bytes.remaining());
+                remainingBytes = bytes.remaining();
+                parseBody(bytes, bytes.remaining());
             }
-            default -> takeLineByte(bytes.get() & 0xff);
+            default -> parseLineByte(bytes.get() & 0xff);
         }
     }
 
-    private void takeBody(ByteBuffer bytes, int count) throws HttpError {
-        if (count > bodyMost - bodyBytes) {
-            throw new HttpError(413, "content of more than " + bodyMost + " bytes");
+    private void parseBody(ByteBuffer bytes, int count) throws HttpError {
+        if (count > maxBodyBytes - bodyBytes) {
+            throw new HttpError(413, "content of more than " + maxBodyBytes + " bytes");
         }
-        done = new MessagePart.Piece(bytes.slice(bytes.position(), count));
+        pendingPart = new MessagePart.Content(bytes.slice(bytes.position(), count));
         bytes.position(bytes.position() + count);
         bodyBytes += count;
-        left -= count;
-        if (left == 0 && step == Step.FIXED) {
-            finish();
-        } else if (left == 0 && step == Step.CHUNK) {
+        remainingBytes -= count;
+        if (remainingBytes == 0 && step == Step.FIXED) {
+            finishMessage();
+        } else if (remainingBytes == 0 && step == Step.CHUNK) {
             step = Step.CHUNK_END;
         }
     }
 
-    private void takeLineByte(int c) throws HttpError {
+    private void parseLineByte(int c) throws HttpError {
         if (sawCr) {
             if (c != '\n') {
                 throw new HttpError(400, "a CR without its LF");
@@ -148,7 +148,7 @@
             sawCr = false;
             String text = new String(line, 0, lineLength, StandardCharsets.ISO_8859_1);
             lineLength = 0;
-            takeLine(text);
+            parseLine(text);
         } else if (c == '\r') {
             sawCr = true;
         } else if (c == '\n') {
@@ -167,7 +167,7 @@
             throw new HttpError(requests ? 414 : 400, "a first line of more than " + limits.maxStartLineBytes()
                     + " bytes");
         }
-        if (step == Step.CHUNK_END || step == Step.CHUNK_SIZE && lineLength > CHUNK_LINE) {
+        if (step == Step.CHUNK_END || step == Step.CHUNK_SIZE && lineLength > MAX_CHUNK_LINE_BYTES) {
             throw new HttpError(400, "a chunk is not framed");
         }
         if ((step == Step.FIELDS || step == Step.TRAILERS) && ++headBytes > limits.maxHeadBytes()) {
@@ -175,46 +175,46 @@
         }
     }
 
-    private void takeLine(String text) throws HttpError {
+    private void parseLine(String text) throws HttpError {
         switch (step) {
-            case START -> takeStart(text);
+            case START -> parseStartLine(text);
             case FIELDS -> {
                 if (text.isEmpty()) {
-                    takeHead();
+                    finishHead();
                 } else {
-                    takeField(text, fields);
+                    parseField(text, fields);
                 }
             }
-            case CHUNK_SIZE -> takeChunkSize(text);
+            case CHUNK_SIZE -> parseChunkSize(text);
             case CHUNK_END -> step = Step.CHUNK_SIZE;
             case TRAILERS -> {
                 if (text.isEmpty()) {
-                    finish();
+                    finishMessage();
                 } else {
-                    takeField(text, trailers);
+                    parseField(text, trailers);
                 }
             }
             default -> throw new IllegalStateException("a line in step " + step);
         }
     }
 
-    private void takeStart(String text) throws HttpError {
+    private void parseStartLine(String text) throws HttpError {
         if (text.isEmpty()) {
             // A server should ignore an empty line before a request (RFC 9112, 2.2); not any number of them.
-            if (!requests || ++blanks > BLANK_LINES) {
+            if (!requests || ++blankLines > MAX_BLANK_LINES) {
                 throw new HttpError(400, "empty lines before a message");
             }
             return;
         }
         if (requests) {
-            takeRequestLine(text);
+            parseRequestLine(text);
         } else {
-            takeStatusLine(text);
+            parseStatusLine(text);
         }
         step = Step.FIELDS;
     }
 
-    private void takeRequestLine(String text) throws HttpError {
+    private void parseRequestLine(String text) throws HttpError {
         int first = text.indexOf(' ');
         int last = text.lastIndexOf(' ');
         if (first <= 0 || last <= first + 1 || text.indexOf(' ', first + 1) != last) {
@@ -228,17 +228,17 @@
         if (!Syntax.isTarget(target)) {
             throw new HttpError(400, "a request target has a character that may not stand there");
         }
-        takeVersion(text.substring(last + 1));
+        parseVersion(text.substring(last + 1));
     }
 
-    private void takeStatusLine(String text) throws HttpError {
+    private void parseStatusLine(String text) throws HttpError {
         boolean shaped = text.length() >= 12 && text.charAt(8) == ' '
                 && (text.length() == 12 || text.charAt(12) == ' ')
                 && text.substring(9, 12).chars().allMatch(c -> c >= '0' && c <= '9');
         if (!shaped) {
             throw new HttpError(400, "a status line is not VERSION CODE REASON");
         }
-        takeVersion(text.substring(0, 8));
+        parseVersion(text.substring(0, 8));
         status = Integer.parseInt(text.substring(9, 12));
         reason = text.length() > 13 ? text.substring(13) : "";
         if (status < 100 || status > 599 || !Syntax.isValue(reason)) {
@@ -246,7 +246,7 @@
         }
     }
 
-    private void takeVersion(String text) throws HttpError {
+    private void parseVersion(String text) throws HttpError {
         if (!text.startsWith("HTTP/")) {
             throw new HttpError(400, "a first line names no HTTP version");
         }
@@ -256,7 +256,7 @@
         minor = text.charAt(7) - '0';
     }
 
-    private void takeField(String text, HttpFields into) throws HttpError {
+    private void parseField(String text, HttpFields into) throws HttpError {
         char first = text.charAt(0);
         if (first == ' ' || first == '\t') {
             throw new HttpError(400, "a folded field line");
@@ -288,7 +288,7 @@
         return text.substring(from, to);
     }
 
-    private void takeHead() throws HttpError {
+    private void finishHead() throws HttpError {
         if (requests && minor == 1 && fields.count("host") != 1) {
             throw new HttpError(400, "a request without exactly one Host");
         }
@@ -299,31 +299,31 @@
         }
         bodyBytes = 0;
         boolean bare = !requests && (status < 200 || status == 204 || status == 304
-                || answerTo.equals("HEAD"));
+                || requestMethod.equals("HEAD"));
         if (codings > 0) {
-            takeCoding(bare);
+            checkTransferCoding(bare);
         } else if (lengths == 1) {
-            left = length(fields.get("content-length"));
-            if (left > bodyMost && !bare) {
-                throw new HttpError(413, "content of " + left + " bytes");
+            remainingBytes = parseContentLength(fields.get("content-length"));
+            if (remainingBytes > maxBodyBytes && !bare) {
+                throw new HttpError(413, "content of " + remainingBytes + " bytes");
             }
             step = Step.FIXED;
         } else {
-            left = 0;
+            remainingBytes = 0;
             step = requests ? Step.FIXED : Step.UNTIL_END;
         }
         long length = bare ? 0 : step == Step.CHUNK_SIZE ? MessagePart.CHUNKED : step == Step.UNTIL_END
-                ? MessagePart.UNTIL_CLOSE : left;
-        done = requests ? new MessagePart.RequestHead(method, target, minor, fields, length)
+                ? MessagePart.UNTIL_CLOSE : remainingBytes;
+        pendingPart = requests ? new MessagePart.RequestHead(method, target, minor, fields, length)
                 : new MessagePart.ResponseHead(status, reason, minor, fields, length);
         fields = new HttpFields();
         fieldCount = 0;
-        if (bare || step == Step.FIXED && left == 0) {
-            finish();
+        if (bare || step == Step.FIXED && remainingBytes == 0) {
+            finishMessage();
         }
     }
 
-    private void takeCoding(boolean bare) throws HttpError {
+    private void checkTransferCoding(boolean bare) throws HttpError {
         if (fields.count("transfer-encoding") > 1
                 || !fields.get("transfer-encoding").equalsIgnoreCase("chunked")) {
             throw new HttpError(501, "a transfer coding other than chunked");
@@ -336,8 +336,8 @@
         step = Step.CHUNK_SIZE;
     }
 
-    private static long length(String digits) throws HttpError {
-        boolean whole = !digits.isEmpty() && digits.length() <= LENGTH_DIGITS
+    private static long parseContentLength(String digits) throws HttpError {
+        boolean whole = !digits.isEmpty() && digits.length() <= MAX_LENGTH_DIGITS
                 && digits.chars().allMatch(c -> c >= '0' && c <= '9');
         if (!whole) {
             throw new HttpError(400, "a content length is not a number");
@@ -345,28 +345,28 @@
         return Long.parseLong(digits);
     }
 
-    private void takeChunkSize(String text) throws HttpError {
+    private void parseChunkSize(String text) throws HttpError {
         int semicolon = text.indexOf(';');
         String digits = semicolon < 0 ? text : text.substring(0, semicolon);
-        boolean hex = !digits.isEmpty() && digits.length() <= CHUNK_DIGITS
+        boolean hex = !digits.isEmpty() && digits.length() <= MAX_CHUNK_SIZE_DIGITS
                 && digits.chars().allMatch(c -> Character.digit(c, 16) >= 0 && c < 128);
         if (!hex || !Syntax.isValue(text)) {
             throw new HttpError(400, "a chunk size is not a hexadecimal number");
         }
-        left = Long.parseLong(digits, 16);
-        if (left > bodyMost - bodyBytes) {
-            throw new HttpError(413, "content of more than " + bodyMost + " bytes");
+        remainingBytes = Long.parseLong(digits, 16);
+        if (remainingBytes > maxBodyBytes - bodyBytes) {
+            throw new HttpError(413, "content of more than " + maxBodyBytes + " bytes");
         }
         headBytes = 0;
-        step = left == 0 ? Step.TRAILERS : Step.CHUNK;
+        step = remainingBytes == 0 ? Step.TRAILERS : Step.CHUNK;
     }
 
-    private void finish() {
-        endDue = true;
+    private void finishMessage() {
+        endPending = true;
         headBytes = 0;
         fieldCount = 0;
-        blanks = 0;
-        left = 0;
+        blankLines = 0;
+        remainingBytes = 0;
         step = Step.START;
     }
 }
--- a/src/main/java/rowanmoor/http/Out.java
+++ b/src/main/java/rowanmoor/http/MessageWriter.java
@@ -8,19 +8,19 @@
  * Writes one message part by part: a head, its content framed as the head says, an end. It says when enough
  * waits to be written; what is written after that is still taken, up to the connection's bound.
  */
-final class Out {
+final class MessageWriter {
 
     /** Bytes, or frames, that wait to be written: from here on a writer should pause. */
-    static final long BYTES_ENOUGH = 1 << 16;
-    static final int FRAMES_ENOUGH = 512;
+    static final long HIGH_WATER_BYTES = 1 << 16;
+    static final int HIGH_WATER_FRAMES = 512;
     private static final byte[] LAST_CHUNK = "0\r\n".getBytes(StandardCharsets.ISO_8859_1);
-    private static final int CHUNK_HEAD = 12;
+    private static final int CHUNK_OVERHEAD_BYTES = 12;
 
     private final Connection connection;
     private boolean chunked;
-    private long left;
+    private long remainingBytes;
 
-    Out(Connection connection) {
+    MessageWriter(Connection connection) {
         this.connection = connection;
     }
 
@@ -29,9 +29,9 @@
      *
      * @param length the content's length, {@link MessagePart#CHUNKED}, or {@link MessagePart#UNTIL_CLOSE} for as it comes
      */
-    boolean head(String start, HttpFields fields, long length) {
+    boolean writeHead(String start, HttpFields fields, long length) {
         chunked = length == MessagePart.CHUNKED;
-        left = length >= 0 ? length : Long.MAX_VALUE;
+        remainingBytes = length >= 0 ? length : Long.MAX_VALUE;
         return connection.send(encode(start, fields));
     }
 
@@ -45,19 +45,19 @@
     }
 
     /** Writes some content, which is copied. False if the connection did not take it. */
-    boolean piece(ByteBuffer bytes) {
+    boolean writeContent(ByteBuffer bytes) {
         int count = bytes.remaining();
         if (count == 0) {
             return true;
         }
-        if (count > left) {
+        if (count > remainingBytes) {
             throw new IllegalStateException("more content than its head said");
         }
-        left -= count;
+        remainingBytes -= count;
         ByteBuffer copy;
         if (chunked) {
             byte[] size = Integer.toHexString(count).getBytes(StandardCharsets.ISO_8859_1);
-            copy = ByteBuffer.allocate(count + CHUNK_HEAD).put(size).put((byte) '\r').put((byte) '\n');
+            copy = ByteBuffer.allocate(count + CHUNK_OVERHEAD_BYTES).put(size).put((byte) '\r').put((byte) '\n');
             copy.put(bytes).put((byte) '\r').put((byte) '\n');
         } else {
             copy = ByteBuffer.allocate(count).put(bytes);
@@ -66,7 +66,7 @@
     }
 
     /** Ends the message; trailers go only after chunks (RFC 9112, 7.1.2). */
-    boolean end(HttpFields trailers) {
+    boolean writeEnd(HttpFields trailers) {
         if (!chunked) {
             return true;
         }
@@ -77,11 +77,11 @@
     }
 
     /** Whether all the content that the head promised was written. */
-    boolean whole() {
-        return left == 0 || left > Long.MAX_VALUE / 2;
+    boolean isContentComplete() {
+        return remainingBytes == 0 || remainingBytes > Long.MAX_VALUE / 2;
     }
 
-    boolean enough() {
-        return connection.queuedBytes() >= BYTES_ENOUGH || connection.queuedFrames() >= FRAMES_ENOUGH;
+    boolean isAboveHighWater() {
+        return connection.queuedBytes() >= HIGH_WATER_BYTES || connection.queuedFrames() >= HIGH_WATER_FRAMES;
     }
 }
--- a/src/main/java/rowanmoor/http/OrcaLoadReport.java
+++ b/src/main/java/rowanmoor/http/OrcaLoadReport.java
@@ -10,20 +10,20 @@
 public final class OrcaLoadReport {
 
     public static final String HEADER_NAME = "endpoint-load-metrics";
-    private static final String FORM = "TEXT ";
-    private static final int ENTRIES_MOST = 32;
+    private static final String TEXT_PREFIX = "TEXT ";
+    private static final int MAX_ENTRIES = 32;
 
     private OrcaLoadReport() { }
 
     /** The figures by name; empty for another form. What is no finite, non-negative number is left out. */
     public static Map<String, Double> parse(String field) {
         Map<String, Double> figures = new LinkedHashMap<>();
-        if (field == null || !field.startsWith(FORM)) {
+        if (field == null || !field.startsWith(TEXT_PREFIX)) {
             return figures;
         }
-        for (String entry : field.substring(FORM.length()).split(",", ENTRIES_MOST + 1)) {
+        for (String entry : field.substring(TEXT_PREFIX.length()).split(",", MAX_ENTRIES + 1)) {
             int equals = entry.indexOf('=');
-            if (equals > 0 && figures.size() < ENTRIES_MOST) {
+            if (equals > 0 && figures.size() < MAX_ENTRIES) {
                 try {
                     double value = Double.parseDouble(entry.substring(equals + 1).trim());
                     if (Double.isFinite(value) && value >= 0) {
@@ -39,8 +39,8 @@
 
     /** The field's value for these figures. */
     public static String format(Map<String, Double> figures) {
-        StringBuilder text = new StringBuilder(FORM);
-        figures.forEach((name, value) -> text.append(text.length() > FORM.length() ? ", " : "")
+        StringBuilder text = new StringBuilder(TEXT_PREFIX);
+        figures.forEach((name, value) -> text.append(text.length() > TEXT_PREFIX.length() ? ", " : "")
                 .append(name).append('=').append(value));
         return text.toString();
     }
--- a/src/main/java/rowanmoor/http/Reason.java
+++ b/src/main/java/rowanmoor/http/ReasonPhrases.java
@@ -1,9 +1,9 @@
 package rowanmoor.http;
 
 /** Reason phrases of the status codes that this program sends (RFC 9110, 15). */
-final class Reason {
+final class ReasonPhrases {
 
-    private Reason() { }
+    private ReasonPhrases() { }
 
     static String of(int status) {
         return switch (status) {
--- a/src/main/java/rowanmoor/http/ServerConnection.java
+++ b/src/main/java/rowanmoor/http/ServerConnection.java
@@ -53,7 +53,7 @@
     }
 
     /** Puts a request together and hands it over. */
-    private record Whole(Service service) implements ServerStream.Service {
+    private record RequestAssembler(Service service) implements ServerStream.Service {
 
         @Override
         public void onRequest(ServerStream.Exchange parts) {
@@ -86,6 +86,6 @@
     }
 
     public ServerConnection(MessageLimits limits, Service service) {
-        super(limits, new Whole(service));
+        super(limits, new RequestAssembler(service));
     }
 }
--- a/src/main/java/rowanmoor/http/ServerStream.java
+++ b/src/main/java/rowanmoor/http/ServerStream.java
@@ -21,16 +21,16 @@
 
     /** Set on a refusal: proof that nothing was done for the request. */
     public static final String NEVER_RAN_FIELD = "x-never-ran";
-    static final int AHEAD_MOST = 1 << 16;
+    static final int MAX_PIPELINED_BYTES = 1 << 16;
     /**
      * A client that opens a connection for a request sends it along with the handshake's last packet: one
      * that has sent nothing for so long was opened in advance. It is not waited for when the server stops,
      * ns.
      */
-    private static final long FIRST_REQUEST_WITHIN = 50_000_000L;
+    private static final long FIRST_REQUEST_TIMEOUT_NS = 50_000_000L;
     /** An answered request's content up to this is read to its end, so that the connection can be kept. */
-    private static final long DRAIN_MOST = 1 << 16;
-    private static final BodyConsumer NOBODY = new BodyConsumer() {
+    private static final long MAX_DISCARDED_BYTES = 1 << 16;
+    private static final BodyConsumer DISCARD = new BodyConsumer() {
         @Override
         public void onRequestContent(ByteBuffer bytes) { }
 
@@ -58,11 +58,11 @@
     public record Timeouts(long headNs, long idleNs) {
 
         /** No bound at all. */
-        static final Timeouts ENDLESS = new Timeouts(0, 0);
+        static final Timeouts NONE = new Timeouts(0, 0);
     }
 
     /** What is waited for from the client. */
-    private enum Awaited { NOTHING, REQUEST, HEAD, REST_OF_CONTENT }
+    private enum ClientDuty { NOTHING, REQUEST, HEAD, REST_OF_CONTENT }
 
     /** Takes a request's content. */
     public interface BodyConsumer {
@@ -76,15 +76,15 @@
     /** One request and its answer's way back. */
     public final class Exchange {
         private final MessagePart.RequestHead head;
-        private final Out out = new Out(connection);
-        private BodyConsumer body = NOBODY;
-        private Runnable drained = () -> { };
-        private boolean asked;
-        private boolean begun;
-        private boolean over;
-        private boolean untilEnd;
-        private boolean bare;
-        private boolean closes;
+        private final MessageWriter writer = new MessageWriter(connection);
+        private BodyConsumer bodyConsumer = DISCARD;
+        private Runnable onDrained = () -> { };
+        private boolean requestComplete;
+        private boolean responseBegun;
+        private boolean finished;
+        private boolean untilClose;
+        private boolean withoutContent;
+        private boolean closeAfterResponse;
         /** Free for the service's own use. */
         public Object attachment;
 
@@ -102,26 +102,26 @@
 
         /** Where the request's content goes; without it, nowhere. */
         public void setBodyConsumer(BodyConsumer itsBody) {
-            body = itsBody;
+            bodyConsumer = itsBody;
         }
 
         /** Whether the request's content is whole. */
         public boolean isRequestComplete() {
-            return asked;
+            return requestComplete;
         }
 
         /** Whether the answer's head has gone out. */
         public boolean hasResponseBegun() {
-            return begun;
+            return responseBegun;
         }
 
         public boolean isFinished() {
-            return over;
+            return finished;
         }
 
         /** Reads no more of the content, or goes on. */
         public void setPaused(boolean on) {
-            if (current == this && !over) {
+            if (current == this && !finished) {
                 if (on) {
                     connection.pause();
                 } else {
@@ -132,20 +132,20 @@
 
         /** Called when all that was written has gone out. */
         public void onDrained(Runnable then) {
-            drained = then;
+            onDrained = then;
         }
 
         /** An interim answer (1xx); a client of HTTP/1.0 must not see one (RFC 9110, 15.2). */
         public void interim(MessagePart.ResponseHead interim) {
-            if (!over && !begun && head.minorVersion() == 1) {
-                connection.send(Out.encode(start(interim.status(), interim.reason()), interim.fields()));
+            if (!finished && !responseBegun && head.minorVersion() == 1) {
+                connection.send(MessageWriter.encode(statusLine(interim.status(), interim.reason()), interim.fields()));
             }
         }
 
         /** A whole answer of the server's own; false if an answer has begun. */
         public boolean respond(int status, String text, String... fields) {
             byte[] bytes = text.getBytes(java.nio.charset.StandardCharsets.UTF_8);
-            if (!beginResponse(new MessagePart.ResponseHead(status, Reason.of(status), 1, HttpFields.of(fields),
+            if (!beginResponse(new MessagePart.ResponseHead(status, ReasonPhrases.of(status), 1, HttpFields.of(fields),
                     bytes.length))) {
                 return false;
             }
@@ -156,19 +156,19 @@
 
         /** Begins an answer: its fields say nothing of framing but for HEAD and 304. False if too late. */
         public boolean beginResponse(MessagePart.ResponseHead answer) {
-            if (over || begun) {
+            if (finished || responseBegun) {
                 return false;
             }
-            begun = true;
+            responseBegun = true;
             int status = answer.status();
-            bare = head.method().equals("HEAD") || status == 204 || status == 304;
+            withoutContent = head.method().equals("HEAD") || status == 204 || status == 304;
             HttpFields fields = answer.fields().copy();
-            long length = bare ? 0 : answer.contentLength();
+            long length = withoutContent ? 0 : answer.contentLength();
             if (length < 0) {
-                untilEnd = head.minorVersion() == 0;
-                length = untilEnd ? MessagePart.UNTIL_CLOSE : MessagePart.CHUNKED;
+                untilClose = head.minorVersion() == 0;
+                length = untilClose ? MessagePart.UNTIL_CLOSE : MessagePart.CHUNKED;
             }
-            if (!bare) {
+            if (!withoutContent) {
                 fields.remove("Content-Length");
                 if (length >= 0) {
                     fields.set("Content-Length", Long.toString(length));
@@ -178,61 +178,61 @@
             if (length == MessagePart.CHUNKED) {
                 fields.set("Transfer-Encoding", "chunked");
             }
-            closes = untilEnd || head.minorVersion() == 0 || answer.fields().hasToken("connection",
+            closeAfterResponse = untilClose || head.minorVersion() == 0 || answer.fields().hasToken("connection",
                     "close") || !head.isKeepAlive() || stopping
-                    || !asked && !mayDrain();
-            if (closes) {
+                    || !requestComplete && !canDiscardRest();
+            if (closeAfterResponse) {
                 fields.set("Connection", "close");
             }
-            out.head(start(status, answer.reason()), fields, length);
+            writer.writeHead(statusLine(status, answer.reason()), fields, length);
             return true;
         }
 
-        private boolean mayDrain() {
+        private boolean canDiscardRest() {
             // A client that waits for 100 may leave its content out: what came next would be read as content.
-            return head.contentLength() >= 0 && head.contentLength() <= DRAIN_MOST && head.fields().get("expect") == null;
+            return head.contentLength() >= 0 && head.contentLength() <= MAX_DISCARDED_BYTES && head.fields().get("expect") == null;
         }
 
         /** Some of the answer's content, copied; false if the writer should pause until drained. */
         public boolean write(ByteBuffer bytes) {
-            if (over || bare) {
+            if (finished || withoutContent) {
                 return true;
             }
-            if (!out.piece(bytes)) {
+            if (!writer.writeContent(bytes)) {
                 abort();
                 return true;
             }
-            return !out.enough();
+            return !writer.isAboveHighWater();
         }
 
         /** Ends the answer. */
         public void endResponse(HttpFields trailers) {
-            if (over) {
+            if (finished) {
                 return;
             }
-            if (!bare && !out.whole()) {
+            if (!withoutContent && !writer.isContentComplete()) {
                 abort(); // a length was promised: the client must see that it is not kept
                 return;
             }
-            over = true;
-            if (!bare) {
-                out.end(trailers);
+            finished = true;
+            if (!withoutContent) {
+                writer.writeEnd(trailers);
             }
-            if (closes) {
+            if (closeAfterResponse) {
                 current = null;
                 connection.closeGracefully();
-            } else if (asked) {
+            } else if (requestComplete) {
                 current = null;
-                goOn();
+                nextRequest();
             } else {
                 connection.resume(); // the rest of the content is read and dropped
-                awaitClient();
+                updateTimer();
             }
         }
 
         /** Breaks the connection off: the client sees that its answer is not whole. */
         public void abort() {
-            over = true;
+            finished = true;
             if (current == this) {
                 current = null;
             }
@@ -243,22 +243,22 @@
     private final Loop loop;
     private final Service service;
     private final MessagePartParser parser;
-    private final Timeouts patience;
+    private final Timeouts timeouts;
     private Connection connection;
-    private ByteBuffer ahead;
+    private ByteBuffer pipelined;
     private Exchange current;
-    private Awaited awaited = Awaited.NOTHING;
+    private ClientDuty armedFor = ClientDuty.NOTHING;
     private Timer timer;
-    private long requests;
-    private long requestsWhenArmed;
-    private boolean pumping;
+    private long requestCount;
+    private long requestCountWhenArmed;
+    private boolean parsing;
     private boolean stopping;
-    private long idleWhenStopping;
+    private long stoppingIdleTimeoutNs;
 
     public ServerStream(Loop loop, MessageLimits limits, Timeouts patience, Service service) {
         this.loop = loop;
         this.parser = MessagePartParser.forRequests(limits).withoutBodyLimit();
-        this.patience = patience;
+        this.timeouts = patience;
         this.service = service;
     }
 
@@ -266,7 +266,7 @@
     ServerStream(MessageLimits limits, Service service) {
         this.loop = null;
         this.parser = MessagePartParser.forRequests(limits);
-        this.patience = Timeouts.ENDLESS;
+        this.timeouts = Timeouts.NONE;
         this.service = service;
     }
 
@@ -281,95 +281,95 @@
      */
     public void stop(long idleWithin) {
         stopping = true;
-        idleWhenStopping = idleWithin;
-        disarm();
-        awaitClient();
+        stoppingIdleTimeoutNs = idleWithin;
+        cancelTimer();
+        updateTimer();
     }
 
     /** Ends, unless a request is in work. */
     public void closeIfIdle() {
         if (connection != null && connection.isOpen() && current == null) {
-            refuseLate("the server stops");
+            rejectWithTimeout("the server stops");
         }
     }
 
-    private static String start(int status, String reason) {
+    private static String statusLine(int status, String reason) {
         return "HTTP/1.1 " + status + " " + reason;
     }
 
     @Override
     public void onOpen(Connection itsConnection) {
         connection = itsConnection;
-        awaitClient();
+        updateTimer();
     }
 
     @Override
     public void onData(Connection itsConnection, ByteBuffer bytes) {
-        if (ahead == null && !waits()) {
-            pump(bytes);
+        if (pipelined == null && !isRequestComplete()) {
+            parse(bytes);
         }
         if (bytes.hasRemaining() && connection.isOpen()) {
-            keep(bytes);
+            bufferPipelined(bytes);
         }
-        awaitClient();
+        updateTimer();
     }
 
     /** Whether the next bytes belong to a later request. */
-    private boolean waits() {
-        return current != null && current.asked;
+    private boolean isRequestComplete() {
+        return current != null && current.requestComplete;
     }
 
-    private void keep(ByteBuffer bytes) {
-        int before = ahead == null ? 0 : ahead.remaining();
+    private void bufferPipelined(ByteBuffer bytes) {
+        int before = pipelined == null ? 0 : pipelined.remaining();
         ByteBuffer joined = ByteBuffer.allocate(before + bytes.remaining());
-        if (ahead != null) {
-            joined.put(ahead);
+        if (pipelined != null) {
+            joined.put(pipelined);
         }
-        ahead = joined.put(bytes).flip();
-        if (ahead.remaining() > AHEAD_MOST) {
+        pipelined = joined.put(bytes).flip();
+        if (pipelined.remaining() > MAX_PIPELINED_BYTES) {
             connection.pause();
         }
     }
 
     /** The request in work is over: on with what waits. */
-    private void goOn() {
-        if (pumping) {
+    private void nextRequest() {
+        if (parsing) {
             return; // the loop in pump goes on by itself
         }
-        if (ahead != null) {
-            ByteBuffer waiting = ahead;
-            ahead = null;
-            pump(waiting);
+        if (pipelined != null) {
+            ByteBuffer waiting = pipelined;
+            pipelined = null;
+            parse(waiting);
             if (waiting.hasRemaining() && connection.isOpen()) {
-                ahead = waiting.slice();
+                pipelined = waiting.slice();
             }
         }
-        if (connection.isOpen() && (ahead == null || ahead.remaining() <= AHEAD_MOST)) {
+        if (connection.isOpen() && (pipelined == null || pipelined.remaining() <= MAX_PIPELINED_BYTES)) {
             connection.resume();
         }
-        awaitClient();
+        updateTimer();
     }
 
-    private void pump(ByteBuffer bytes) {
-        pumping = true;
+    private void parse(ByteBuffer bytes) {
+        parsing = true;
         try {
-            while (connection.isOpen() && !waits()) {
+            while (connection.isOpen() && !isRequestComplete()) {
                 MessagePart part = parser.next(bytes);
                 if (part == null) {
                     break;
                 }
-                take(part);
+                handlePart(part);
             }
         } catch (HttpError e) {
-            refuse(e);
+            rejectMalformed(e);
         } finally {
-            pumping = false;
+            parsing = false;
         }
     }
 
-    private void take(MessagePart part) {
+    private void handlePart(MessagePart part) {
         if (part instanceof MessagePart.RequestHead head) {
-            requests++;
+            requestCount++;
             current = new Exchange(head);
             if (head.contentLength() != 0) {
                 service.onRequest(current);
@@ -380,31 +380,31 @@
         if (its == null) {
             return; // answered and closing
         }
-        if (part instanceof MessagePart.Piece piece) {
-            if (!its.over) {
-                its.body.onRequestContent(piece.bytes());
+        if (part instanceof MessagePart.Content piece) {
+            if (!its.finished) {
+                its.bodyConsumer.onRequestContent(piece.bytes());
             }
             return;
         }
-        its.asked = true;
+        its.requestComplete = true;
         if (its.head.contentLength() == 0) {
             service.onRequest(its);
         }
-        if (its.over) {
+        if (its.finished) {
             current = null; // its answer was whole before
         } else {
-            its.body.onRequestEnd(((MessagePart.End) part).trailers());
+            its.bodyConsumer.onRequestEnd(((MessagePart.End) part).trailers());
         }
     }
 
-    private void refuse(HttpError e) {
+    private void rejectMalformed(HttpError e) {
         Exchange its = current;
-        if (its != null && !its.over && its.begun) {
-            abandon();
+        if (its != null && !its.finished && its.responseBegun) {
+            abortExchange();
             connection.reset(e.getMessage());
             return;
         }
-        abandon();
+        abortExchange();
         connection.send(Message.Response.of(e.status(), e.getMessage() + "\n", "Connection", "close")
                 .encode(false));
         connection.closeGracefully();
@@ -414,7 +414,7 @@
      * Ends the connection under a request that has not come whole: whatever of it is on its way
      * never ran.
      */
-    private void refuseLate(String why) {
+    private void rejectWithTimeout(String why) {
         connection.send(Message.Response.of(408, why + "\n", "Connection", "close", NEVER_RAN_FIELD, "1")
                 .encode(false));
         connection.closeGracefully();
@@ -422,54 +422,54 @@
 
     // ---- how long the client is waited for -------------------------------------------------------------
 
-    private Awaited awaitedNow() {
+    private ClientDuty currentDuty() {
         if (connection == null || !connection.isOpen()) {
-            return Awaited.NOTHING;
+            return ClientDuty.NOTHING;
         }
         if (current != null) {
-            return current.over ? Awaited.REST_OF_CONTENT : Awaited.NOTHING;
+            return current.finished ? ClientDuty.REST_OF_CONTENT : ClientDuty.NOTHING;
         }
-        return parser.inMessage() || ahead != null ? Awaited.HEAD : Awaited.REQUEST;
+        return parser.inMessage() || pipelined != null ? ClientDuty.HEAD : ClientDuty.REQUEST;
     }
 
     /** Sets the timer for what the client owes by now, unless it is set already. */
-    private void awaitClient() {
-        Awaited now = awaitedNow();
-        if (now == awaited && requests == requestsWhenArmed) {
+    private void updateTimer() {
+        ClientDuty now = currentDuty();
+        if (now == armedFor && requestCount == requestCountWhenArmed) {
             return;
         }
-        disarm();
-        awaited = now;
-        requestsWhenArmed = requests;
+        cancelTimer();
+        armedFor = now;
+        requestCountWhenArmed = requestCount;
         long within = switch (now) {
             case NOTHING -> 0;
-            case HEAD, REST_OF_CONTENT -> patience.headNs();
-            case REQUEST -> requestWithin();
+            case HEAD, REST_OF_CONTENT -> timeouts.headNs();
+            case REQUEST -> requestTimeoutNs();
         };
         if (within > 0) {
-            timer = loop.after(within, this::late);
+            timer = loop.after(within, this::onTimeout);
         }
     }
 
-    private long requestWithin() {
+    private long requestTimeoutNs() {
         if (!stopping) {
-            return patience.idleNs();
+            return timeouts.idleNs();
         }
-        return requests == 0 ? Math.min(FIRST_REQUEST_WITHIN, idleWhenStopping) : idleWhenStopping;
+        return requestCount == 0 ? Math.min(FIRST_REQUEST_TIMEOUT_NS, stoppingIdleTimeoutNs) : stoppingIdleTimeoutNs;
     }
 
-    private void disarm() {
-        awaited = Awaited.NOTHING;
+    private void cancelTimer() {
+        armedFor = ClientDuty.NOTHING;
         if (timer != null) {
             timer.cancel();
             timer = null;
         }
     }
 
-    private void late() {
-        switch (awaitedNow()) {
-            case REQUEST -> refuseLate(stopping ? "the server stops" : "no request for too long");
-            case HEAD -> refuseLate("a head took too long");
+    private void onTimeout() {
+        switch (currentDuty()) {
+            case REQUEST -> rejectWithTimeout(stopping ? "the server stops" : "no request for too long");
+            case HEAD -> rejectWithTimeout("a head took too long");
             case REST_OF_CONTENT -> connection.closeGracefully();
             case NOTHING -> { }
         }
@@ -478,27 +478,27 @@
     @Override
     public void onDrained(Connection its) {
         if (current != null) {
-            current.drained.run();
+            current.onDrained.run();
         }
     }
 
     @Override
     public boolean onInputEnd(Connection itsConnection) {
-        abandon();
+        abortExchange();
         return false;
     }
 
     @Override
     public void onClose(Connection itsConnection, CloseReason why, String detail) {
-        disarm();
-        abandon();
+        cancelTimer();
+        abortExchange();
     }
 
-    private void abandon() {
+    private void abortExchange() {
         Exchange unanswered = current;
         current = null;
-        if (unanswered != null && !unanswered.over) {
-            unanswered.over = true;
+        if (unanswered != null && !unanswered.finished) {
+            unanswered.finished = true;
             service.onAborted(unanswered);
         }
     }
--- a/src/main/java/rowanmoor/http/Syntax.java
+++ b/src/main/java/rowanmoor/http/Syntax.java
@@ -3,13 +3,13 @@
 /** Which characters may stand where (RFC 9110, 5.5 and 5.6.2). */
 final class Syntax {
 
-    private static final String TOKEN_MARKS = "!#$%&'*+-.^_`|~";
+    private static final String TOKEN_PUNCTUATION = "!#$%&'*+-.^_`|~";
 
     private Syntax() { }
 
     static boolean isTokenChar(int c) {
         return c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
-                || c > 0 && TOKEN_MARKS.indexOf(c) >= 0;
+                || c > 0 && TOKEN_PUNCTUATION.indexOf(c) >= 0;
     }
 
     static boolean isToken(String text) {
--- a/src/main/java/rowanmoor/net/Wire.java
+++ b/src/main/java/rowanmoor/net/ByteStream.java
@@ -5,13 +5,13 @@
 import java.nio.ByteBuffer;
 
 /** One byte stream that never blocks: a socket, or a pipe in memory. */
-interface Wire {
+interface ByteStream {
 
     /** What to call, from the loop's thread, when the stream is ready for what was wanted. */
-    void attach(Ready ready);
+    void setListener(ReadinessListener ready);
 
     /** Which kinds of readiness are reported from now on. */
-    void want(boolean read, boolean write);
+    void setInterest(boolean read, boolean write);
 
     /** Whether the connection is made; throws if it was refused. */
     boolean finishConnect() throws IOException;
@@ -34,7 +34,7 @@
 
     /** Readiness. A stream that is connecting reports {@code write} when that is over. */
     @FunctionalInterface
-    interface Ready {
-        void ready(boolean read, boolean write);
+    interface ReadinessListener {
+        void onReady(boolean read, boolean write);
     }
 }
--- a/src/main/java/rowanmoor/net/Connection.java
+++ b/src/main/java/rowanmoor/net/Connection.java
@@ -14,37 +14,37 @@
     private enum State { CONNECTING, OPEN, ENDING, CLOSED }
 
     /** Reads of one readiness before other connections have their turn. */
-    private static final int READS_A_TURN = 4;
+    private static final int MAX_READS_PER_TURN = 4;
 
     private final Loop loop;
-    private final Wire wire;
+    private final ByteStream stream;
     private final ConnectionHandler handler;
-    private final WriteLimit bound;
+    private final WriteLimit writeLimit;
     private final ArrayDeque<ByteBuffer> queue = new ArrayDeque<>();
-    private final long idleAfter;
+    private final long idleTimeoutNs;
     private State state;
     private long queuedBytes;
-    private long mostQueuedBytes;
+    private long peakQueuedBytes;
     private long writtenBytes;
     private boolean paused;
-    private boolean peerEnded;
+    private boolean inputEnded;
     private boolean outputEnded;
-    private boolean dirty;
-    private long heardAt;
-    private Timer idle;
-    private Timer connecting;
+    private boolean flushScheduled;
+    private long lastReadAt;
+    private Timer idleTimer;
+    private Timer connectTimer;
 
-    Connection(Loop loop, Wire wire, ConnectionHandler handler, Options options, boolean made) {
+    Connection(Loop loop, ByteStream wire, ConnectionHandler handler, Options options, boolean made) {
         this.loop = loop;
-        this.wire = wire;
+        this.stream = wire;
         this.handler = handler;
-        this.bound = options.writeLimit();
-        this.idleAfter = options.idleTimeoutNs();
+        this.writeLimit = options.writeLimit();
+        this.idleTimeoutNs = options.idleTimeoutNs();
         this.state = made ? State.OPEN : State.CONNECTING;
-        this.heardAt = loop.now();
-        wire.attach(this::ready);
+        this.lastReadAt = loop.now();
+        wire.setListener(this::onReady);
         if (!made) {
-            connecting = loop.after(options.connectTimeoutNs(), () ->
+            connectTimer = loop.after(options.connectTimeoutNs(), () ->
                     close(CloseReason.CONNECT_TIMEOUT, "no answer from " + wire.remote()));
         }
     }
@@ -52,11 +52,11 @@
     /** Options of one connection; times in nanoseconds, 0 for never. */
     public record Options(WriteLimit writeLimit, long connectTimeoutNs, long idleTimeoutNs) {
 
-        private static final long SECOND = 1_000_000_000L;
+        private static final long SECOND_NS = 1_000_000_000L;
 
         /** A mebibyte and a thousand frames may wait, refused beyond; 1 s to connect; never idle. */
         public static Options defaults() {
-            return new Options(new WriteLimit(1 << 20, 1024, WriteLimit.OverflowPolicy.REFUSE), SECOND, 0);
+            return new Options(new WriteLimit(1 << 20, 1024, WriteLimit.OverflowPolicy.REFUSE), SECOND_NS, 0);
         }
 
         public Options idleAfter(long nanos) {
@@ -72,11 +72,11 @@
         }
     }
 
-    void begin() {
-        guard(() -> {
+    void open() {
+        runGuarded(() -> {
             handler.onOpen(this);
-            watchIdle();
-            wants();
+            startIdleTimer();
+            updateInterest();
         });
     }
 
@@ -86,25 +86,25 @@
             return false;
         }
         if (!fits(frame)) {
-            if (bound.overflowPolicy() == WriteLimit.OverflowPolicy.CLOSE) {
+            if (writeLimit.overflowPolicy() == WriteLimit.OverflowPolicy.CLOSE) {
                 close(CloseReason.OVERFLOW, queue.size() + " frames of " + queuedBytes + " bytes wait");
             }
             return false;
         }
         queue.add(frame);
         queuedBytes += frame.remaining();
-        mostQueuedBytes = Math.max(mostQueuedBytes, queuedBytes);
-        markDirty();
+        peakQueuedBytes = Math.max(peakQueuedBytes, queuedBytes);
+        scheduleFlush();
         return true;
     }
 
     private boolean fits(ByteBuffer frame) {
-        return queue.size() < bound.maxFrames() && queuedBytes + frame.remaining() <= bound.maxBytes();
+        return queue.size() < writeLimit.maxFrames() && queuedBytes + frame.remaining() <= writeLimit.maxBytes();
     }
 
-    private void markDirty() {
-        if (!dirty && state != State.CONNECTING) {
-            dirty = true;
+    private void scheduleFlush() {
+        if (!flushScheduled && state != State.CONNECTING) {
+            flushScheduled = true;
             loop.flushLater(this);
         }
     }
@@ -115,7 +115,7 @@
      */
     public void readPending() {
         if (state == State.OPEN) {
-            guard(this::readSome);
+            runGuarded(this::readAvailable);
         }
     }
 
@@ -125,7 +125,7 @@
      */
     public boolean probeReusable() {
         try {
-            return state == State.OPEN && !peerEnded && wire.read(loop.probe()) == 0;
+            return state == State.OPEN && !inputEnded && stream.read(loop.probeBuffer()) == 0;
         } catch (IOException e) {
             return false;
         }
@@ -134,13 +134,13 @@
     /** Reads nothing until {@link #resume}: what the peer sends waits with it. */
     public void pause() {
         paused = true;
-        wants();
+        updateInterest();
     }
 
     public void resume() {
         paused = false;
-        heardAt = loop.now();
-        wants();
+        lastReadAt = loop.now();
+        updateInterest();
     }
 
     /**
@@ -151,8 +151,8 @@
      */
     public void closeGracefully() {
         if (state == State.OPEN) {
-            beginEnding();
-            markDirty();
+            startClosing();
+            scheduleFlush();
         } else if (state == State.CONNECTING) {
             close(CloseReason.LOCAL, "ended before it was made");
         }
@@ -175,14 +175,14 @@
         state = State.CLOSED;
         queue.clear();
         queuedBytes = 0;
-        cancel(idle);
-        cancel(connecting);
-        wire.close(reset);
+        cancel(idleTimer);
+        cancel(connectTimer);
+        stream.close(reset);
         loop.forget(this);
         try {
             handler.onClose(this, why, detail);
         } catch (RuntimeException e) {
-            loop.fault(e);
+            loop.reportFault(e);
         }
     }
 
@@ -210,7 +210,7 @@
 
     /** The most bytes that ever waited at once. */
     public long peakQueuedBytes() {
-        return mostQueuedBytes;
+        return peakQueuedBytes;
     }
 
     /** Bytes that the stream has taken so far; none of those that wait. */
@@ -219,25 +219,25 @@
     }
 
     public InetSocketAddress remote() {
-        return wire.remote();
+        return stream.remote();
     }
 
     public InetSocketAddress local() {
-        return wire.local();
+        return stream.local();
     }
 
     /** Time of the last bytes read, by the loop's clock. */
     public long lastReadAt() {
-        return heardAt;
+        return lastReadAt;
     }
 
-    private void ready(boolean read, boolean write) {
+    private void onReady(boolean read, boolean write) {
         if (state == State.CONNECTING) {
             finishConnecting();
             return;
         }
         if (read) {
-            guard(this::readSome);
+            runGuarded(this::readAvailable);
         }
         if (write && state != State.CLOSED) {
             flush();
@@ -246,28 +246,28 @@
 
     private void finishConnecting() {
         try {
-            if (!wire.finishConnect()) {
+            if (!stream.finishConnect()) {
                 return;
             }
         } catch (IOException e) {
             close(CloseReason.REFUSED, e.getMessage());
             return;
         }
-        cancel(connecting);
+        cancel(connectTimer);
         state = State.OPEN;
-        heardAt = loop.now();
-        begin();
+        lastReadAt = loop.now();
+        open();
         if (state != State.CLOSED && !queue.isEmpty()) {
-            markDirty();
+            scheduleFlush();
         }
     }
 
-    private void readSome() {
-        for (int i = 0; i < READS_A_TURN && state != State.CLOSED && !paused && !peerEnded; i++) {
-            ByteBuffer into = loop.scratch();
+    private void readAvailable() {
+        for (int i = 0; i < MAX_READS_PER_TURN && state != State.CLOSED && !paused && !inputEnded; i++) {
+            ByteBuffer into = loop.readBuffer();
             int count;
             try {
-                count = wire.read(into);
+                count = stream.read(into);
             } catch (IOException e) {
                 close(CloseReason.RESET, e.getMessage());
                 return;
@@ -275,9 +275,9 @@
             if (count == 0) {
                 return;
             }
-            heardAt = loop.now();
+            lastReadAt = loop.now();
             if (count < 0) {
-                hearEnd();
+                handleInputEnd();
                 return;
             }
             into.flip();
@@ -287,22 +287,22 @@
         }
     }
 
-    private void hearEnd() {
-        peerEnded = true;
+    private void handleInputEnd() {
+        inputEnded = true;
         boolean goesOn = state == State.OPEN && handler.onInputEnd(this);
         if (!goesOn && state != State.CLOSED) {
             if (queue.isEmpty()) {
                 close(CloseReason.ENDED, "the peer ended");
             } else {
-                beginEnding();
+                startClosing();
             }
         }
-        wants();
+        updateInterest();
     }
 
     /** Writes what the stream takes. */
     void flush() {
-        dirty = false;
+        flushScheduled = false;
         if (state == State.CLOSED || state == State.CONNECTING) {
             return;
         }
@@ -311,7 +311,7 @@
             while (!queue.isEmpty()) {
                 ByteBuffer head = queue.peek();
                 int before = head.remaining();
-                wire.write(head);
+                stream.write(head);
                 queuedBytes -= before - head.remaining();
                 writtenBytes += before - head.remaining();
                 if (head.hasRemaining()) {
@@ -320,42 +320,42 @@
                 queue.poll();
             }
             if (queue.isEmpty() && state == State.ENDING) {
-                finishEnding();
+                shutDownOutput();
             }
         } catch (IOException e) {
             close(CloseReason.RESET, e.getMessage());
             return;
         }
-        wants();
+        updateInterest();
         if (had && queue.isEmpty() && state == State.OPEN) {
-            guard(() -> handler.onDrained(this));
+            runGuarded(() -> handler.onDrained(this));
         }
     }
 
-    private void finishEnding() throws IOException {
-        if (peerEnded) {
+    private void shutDownOutput() throws IOException {
+        if (inputEnded) {
             close(CloseReason.ENDED, "both sides ended");
         } else if (!outputEnded) {
             outputEnded = true;
-            wire.endOutput();
-            heardAt = loop.now();
-            watchEnding();
+            stream.endOutput();
+            lastReadAt = loop.now();
+            startLingerTimer();
         }
     }
 
-    private void beginEnding() {
+    private void startClosing() {
         state = State.ENDING;
         paused = false;
-        watchEnding();
+        startLingerTimer();
     }
 
     /** A peer that never reads what waits, or never ends its side, must not hold the connection for good. */
-    private void watchEnding() {
-        cancel(idle);
+    private void startLingerTimer() {
+        cancel(idleTimer);
         long before = writtenBytes;
-        idle = loop.after(loop.lingerFor(), () -> {
+        idleTimer = loop.after(loop.lingerTimeoutNs(), () -> {
             if (writtenBytes > before) {
-                watchEnding();
+                startLingerTimer();
             } else {
                 close(CloseReason.LOCAL, outputEnded ? "the peer did not end its side"
                         : "the peer took none of the last " + queuedBytes + " bytes");
@@ -363,29 +363,29 @@
         });
     }
 
-    private void wants() {
+    private void updateInterest() {
         if (state == State.OPEN || state == State.ENDING) {
-            wire.want(!paused && !peerEnded, !queue.isEmpty());
+            stream.setInterest(!paused && !inputEnded, !queue.isEmpty());
         }
     }
 
-    private void watchIdle() {
-        if (idleAfter > 0 && state == State.OPEN) {
-            long left = heardAt + idleAfter - loop.now();
+    private void startIdleTimer() {
+        if (idleTimeoutNs > 0 && state == State.OPEN) {
+            long left = lastReadAt + idleTimeoutNs - loop.now();
             if (left <= 0 && !paused) {
-                close(CloseReason.IDLE, "nothing heard for " + idleAfter / 1_000_000 + " ms");
+                close(CloseReason.IDLE, "nothing heard for " + idleTimeoutNs / 1_000_000 + " ms");
             } else {
-                idle = loop.after(left <= 0 ? idleAfter : left, this::watchIdle);
+                idleTimer = loop.after(left <= 0 ? idleTimeoutNs : left, this::startIdleTimer);
             }
         }
     }
 
     /** A handler that throws costs its own connection and no other. */
-    private void guard(Runnable step) {
+    private void runGuarded(Runnable step) {
         try {
             step.run();
         } catch (RuntimeException e) {
-            loop.fault(e);
+            loop.reportFault(e);
             close(CloseReason.FAULT, e.toString());
         }
     }
--- a/src/main/java/rowanmoor/net/Loop.java
+++ b/src/main/java/rowanmoor/net/Loop.java
@@ -18,104 +18,104 @@
  */
 public final class Loop implements AutoCloseable, Runnable {
 
-    private static final int SCRATCH_BYTES = 1 << 16;
-    private static final long SECOND = 1_000_000_000L;
-    private static final long ACCEPT_PAUSE = SECOND / 10;
-    private static final int ACCEPTS_A_TURN = 64;
-    private static final int BACKLOG = 512;
+    private static final int READ_BUFFER_BYTES = 1 << 16;
+    private static final long SECOND_NS = 1_000_000_000L;
+    private static final long ACCEPT_PAUSE_NS = SECOND_NS / 10;
+    private static final int MAX_ACCEPTS_PER_TURN = 64;
+    private static final int LISTEN_BACKLOG = 512;
 
     private final Clock clock;
-    private final Ports ports;
+    private final Transport transport;
     private final Consumer<Throwable> onFault;
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
     private final ConcurrentLinkedQueue<Runnable> posted = new ConcurrentLinkedQueue<>();
     private final LinkedHashSet<Connection> connections = new LinkedHashSet<>();
-    private final ArrayDeque<Connection> dirty = new ArrayDeque<>();
-    private final ByteBuffer scratch = ByteBuffer.allocateDirect(SCRATCH_BYTES);
-    private final ByteBuffer probe = ByteBuffer.allocateDirect(1);
-    private long timerNumber;
-    private long acceptPauses;
-    private long faults;
+    private final ArrayDeque<Connection> pendingFlushes = new ArrayDeque<>();
+    private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
+    private final ByteBuffer probeBuffer = ByteBuffer.allocateDirect(1);
+    private long nextTimerSequence;
+    private long acceptPauseCount;
+    private long faultCount;
     private volatile boolean stopped;
 
-    Loop(Clock clock, Ports ports, Consumer<Throwable> onFault) {
+    Loop(Clock clock, Transport ports, Consumer<Throwable> onFault) {
         this.clock = clock;
-        this.ports = ports;
+        this.transport = ports;
         this.onFault = onFault;
     }
 
     /** A loop on sockets and the machine's clock. What a handler or task throws goes to {@code onFault}. */
     public static Loop onSockets(Consumer<Throwable> onFault) throws IOException {
-        return new Loop(Clock.system(), new SelectorPorts(), onFault);
+        return new Loop(Clock.system(), new SelectorTransport(), onFault);
     }
 
     /** A listening address; close it to refuse new connections. */
     public final class Listener {
-        private final Ports.Door door;
-        private final Function<Connection, ConnectionHandler> accept;
+        private final Transport.Acceptor acceptor;
+        private final Function<Connection, ConnectionHandler> handlerFactory;
         private final Connection.Options options;
 
-        private Listener(Ports.Door door, Function<Connection, ConnectionHandler> accept, Connection.Options options) {
-            this.door = door;
-            this.accept = accept;
+        private Listener(Transport.Acceptor door, Function<Connection, ConnectionHandler> accept, Connection.Options options) {
+            this.acceptor = door;
+            this.handlerFactory = accept;
             this.options = options;
-            door.attach(this::acceptSome);
+            door.setListener(this::acceptBatch);
         }
 
         public InetSocketAddress address() {
-            return door.address();
+            return acceptor.address();
         }
 
         /** Takes what has been connected by now, which a closed address would reset, and refuses the rest. */
         public void close() {
-            for (int taken = 0; taken < BACKLOG && acceptSome(); taken += ACCEPTS_A_TURN) {
+            for (int taken = 0; taken < LISTEN_BACKLOG && acceptBatch(); taken += MAX_ACCEPTS_PER_TURN) {
                 // the next ones that wait
             }
-            door.close();
+            acceptor.close();
         }
 
         /**
          * Accepts a turn's connections; true if more may wait. Without a descriptor left, a ready door would
          * spin: it rests, and connections wait in its backlog.
          */
-        private boolean acceptSome() {
-            for (int i = 0; i < ACCEPTS_A_TURN; i++) {
+        private boolean acceptBatch() {
+            for (int i = 0; i < MAX_ACCEPTS_PER_TURN; i++) {
                 try {
-                    Wire wire = door.accept();
+                    ByteStream wire = acceptor.accept();
                     if (wire == null) {
                         return false;
                     }
                     take(wire);
                 } catch (IOException e) {
-                    acceptPauses++;
-                    door.want(false);
-                    after(ACCEPT_PAUSE, () -> door.want(true));
+                    acceptPauseCount++;
+                    acceptor.setAccepting(false);
+                    after(ACCEPT_PAUSE_NS, () -> acceptor.setAccepting(true));
                     return false;
                 }
             }
             return true;
         }
 
-        private void take(Wire wire) {
-            var made = new Made(accept);
+        private void take(ByteStream wire) {
+            var made = new DeferredHandler(handlerFactory);
             Connection connection = new Connection(Loop.this, wire, made, options, true);
-            made.handler = made.accept.apply(connection);
+            made.handler = made.handlerFactory.apply(connection);
             if (made.handler == null) {
                 connection.close(CloseReason.LOCAL, "not accepted");
                 return;
             }
             connections.add(connection);
-            connection.begin();
+            connection.open();
         }
     }
 
     /** Lets a handler be made from the connection that it is for. */
-    private static final class Made implements ConnectionHandler {
-        private final Function<Connection, ConnectionHandler> accept;
+    private static final class DeferredHandler implements ConnectionHandler {
+        private final Function<Connection, ConnectionHandler> handlerFactory;
         private ConnectionHandler handler;
 
-        Made(Function<Connection, ConnectionHandler> accept) {
-            this.accept = accept;
+        DeferredHandler(Function<Connection, ConnectionHandler> accept) {
+            this.handlerFactory = accept;
         }
 
         @Override
@@ -152,7 +152,7 @@
 
     /** Calls at a time of this loop's clock, on its thread; at once, in the next turn, if that is past. */
     public Timer at(long time, Runnable task) {
-        Timer timer = new Timer(time, timerNumber++, task);
+        Timer timer = new Timer(time, nextTimerSequence++, task);
         timers.add(timer);
         return timer;
     }
@@ -164,17 +164,17 @@
     /** Runs a task on the loop's thread; from any thread. */
     public void post(Runnable task) {
         posted.add(task);
-        ports.wakeup();
+        transport.wakeup();
     }
 
     /** Connects; the handler hears {@code opened}, or {@code closed} if it is never made. */
     public Connection connect(InetSocketAddress from, InetSocketAddress to, Connection.Options options,
             ConnectionHandler handler) {
-        Wire wire;
+        ByteStream wire;
         try {
-            wire = ports.connect(from, to);
+            wire = transport.connect(from, to);
         } catch (IOException | RuntimeException e) {
-            wire = new NoWire(to);
+            wire = new FailedStream(to);
             Connection failed = new Connection(this, wire, handler, options, false);
             connections.add(failed);
             String why = e.getMessage() == null ? e.toString() : e.getMessage();
@@ -189,23 +189,23 @@
     /** Listens; the function makes each connection's handler, or answers null to turn it away. */
     public Listener listen(InetSocketAddress at, Connection.Options options,
             Function<Connection, ConnectionHandler> accept) throws IOException {
-        return new Listener(ports.listen(at, BACKLOG), accept, options);
+        return new Listener(transport.listen(at, LISTEN_BACKLOG), accept, options);
     }
 
     /** Turns until {@link #stop}. */
     @Override
     public void run() {
         while (!stopped) {
-            turn(SECOND);
+            runTurn(SECOND_NS);
         }
         List.copyOf(connections).forEach(c -> c.close(CloseReason.STOPPED, "the loop was stopped"));
-        ports.close();
+        transport.close();
     }
 
     /** Ends {@link #run} after its turn; from any thread. */
     public void stop() {
         stopped = true;
-        ports.wakeup();
+        transport.wakeup();
     }
 
     @Override
@@ -214,89 +214,89 @@
     }
 
     /** One duty cycle; waits at most so many nanoseconds. */
-    void turn(long longest) {
+    void runTurn(long longest) {
         try {
-            boolean busy = !posted.isEmpty() || !dirty.isEmpty();
-            ports.poll(busy ? 0 : Math.min(longest, untilNextTimer()));
+            boolean busy = !posted.isEmpty() || !pendingFlushes.isEmpty();
+            transport.poll(busy ? 0 : Math.min(longest, nsUntilNextTimer()));
         } catch (IOException e) {
-            fault(e);
+            reportFault(e);
         }
         runTimers();
         // What these bring anew waits for the next turn: neither may keep others from theirs.
         for (int left = posted.size(); left > 0; left--) {
-            guard(posted.poll());
+            runGuarded(posted.poll());
         }
-        for (int left = dirty.size(); left > 0; left--) {
-            dirty.poll().flush();
+        for (int left = pendingFlushes.size(); left > 0; left--) {
+            pendingFlushes.poll().flush();
         }
     }
 
     private void runTimers() {
         long now = now();
-        while (!timers.isEmpty() && (timers.peek().time <= now || !timers.peek().live())) {
-            guard(timers.poll()::run);
+        while (!timers.isEmpty() && (timers.peek().time <= now || !timers.peek().isLive())) {
+            runGuarded(timers.poll()::run);
         }
     }
 
     /** Nanoseconds to the next timer, 0 if one is due, or a very long time. */
-    long untilNextTimer() {
-        while (!timers.isEmpty() && !timers.peek().live()) {
+    long nsUntilNextTimer() {
+        while (!timers.isEmpty() && !timers.peek().isLive()) {
             timers.poll();
         }
         return timers.isEmpty() ? Long.MAX_VALUE : Math.max(0, timers.peek().time - now());
     }
 
-    int liveTimers() {
-        return (int) timers.stream().filter(Timer::live).count();
+    int liveTimerCount() {
+        return (int) timers.stream().filter(Timer::isLive).count();
     }
 
-    int openConnections() {
+    int openConnectionCount() {
         return connections.size();
     }
 
     /** Whether a turn has something to do at once, readiness aside. */
     boolean hasWork() {
-        return !posted.isEmpty() || !dirty.isEmpty() || untilNextTimer() == 0;
+        return !posted.isEmpty() || !pendingFlushes.isEmpty() || nsUntilNextTimer() == 0;
     }
 
-    private void guard(Runnable task) {
+    private void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
-            fault(e);
+            reportFault(e);
         }
     }
 
-    void fault(Throwable cause) {
-        faults++;
+    void reportFault(Throwable cause) {
+        faultCount++;
         onFault.accept(cause);
     }
 
     /** How often accepting rested for want of descriptors. */
     public long acceptPauseCount() {
-        return acceptPauses;
+        return acceptPauseCount;
     }
 
     /** How many handlers and tasks threw. */
     public long faultCount() {
-        return faults;
+        return faultCount;
     }
 
-    ByteBuffer scratch() {
-        return scratch.clear();
+    ByteBuffer readBuffer() {
+        return readBuffer.clear();
     }
 
-    /** Room for a byte that is not kept: {@link #scratch} may be in use further up. */
-    ByteBuffer probe() {
-        return probe.clear();
+    /** Room for a byte that is not kept: {@link #readBuffer} may be in use further up. */
+    ByteBuffer probeBuffer() {
+        return probeBuffer.clear();
     }
 
-    long lingerFor() {
-        return SECOND;
+    long lingerTimeoutNs() {
+        return SECOND_NS;
     }
 
     void flushLater(Connection connection) {
-        dirty.add(connection);
+        pendingFlushes.add(connection);
     }
 
     void forget(Connection connection) {
@@ -304,12 +304,12 @@
     }
 
     /** Stands for a stream that could not even be begun. */
-    private record NoWire(InetSocketAddress remote) implements Wire {
+    private record FailedStream(InetSocketAddress remote) implements ByteStream {
         @Override
-        public void attach(Ready ready) { }
+        public void setListener(ReadinessListener ready) { }
 
         @Override
-        public void want(boolean read, boolean write) { }
+        public void setInterest(boolean read, boolean write) { }
 
         @Override
         public boolean finishConnect() {
--- a/src/main/java/rowanmoor/net/MemoryNet.java
+++ b/src/main/java/rowanmoor/net/MemoryNet.java
@@ -41,27 +41,27 @@
         }
     }
 
-    private record Due(long time, long number, Runnable task) implements Comparable<Due> {
+    private record ScheduledTask(long time, long sequence, Runnable task) implements Comparable<ScheduledTask> {
         @Override
-        public int compareTo(Due other) {
+        public int compareTo(ScheduledTask other) {
             int byTime = Long.compare(time, other.time);
-            return byTime != 0 ? byTime : Long.compare(number, other.number);
+            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
     }
 
-    private static final int WINDOW = 1 << 16;
-    private static final int TURNS_MOST = 100_000;
+    private static final int WINDOW_BYTES = 1 << 16;
+    private static final int MAX_TURNS_PER_INSTANT = 100_000;
 
     private final ManualClock clock;
     private final SplittableRandom random;
-    private final PriorityQueue<Due> underWay = new PriorityQueue<>();
-    private final Map<InetSocketAddress, MemoryDoor> doors = new HashMap<>();
-    private final Set<InetSocketAddress> silent = new HashSet<>();
+    private final PriorityQueue<ScheduledTask> scheduled = new PriorityQueue<>();
+    private final Map<InetSocketAddress, MemoryAcceptor> acceptors = new HashMap<>();
+    private final Set<InetSocketAddress> blackholed = new HashSet<>();
     private final List<Loop> loops = new ArrayList<>();
-    private final List<MemoryPorts> ports = new ArrayList<>();
+    private final List<MemoryTransport> transports = new ArrayList<>();
     private final Set<Loop> frozen = new HashSet<>();
     private Faults faults = Faults.none();
-    private long number;
+    private long nextSequence;
     private int nextPort = 40_000;
     private int descriptorsLeft = Integer.MAX_VALUE;
 
@@ -72,9 +72,9 @@
 
     /** A loop on this network; it is turned by {@link #runUntil}. */
     public Loop newLoop(Consumer<Throwable> onFault) {
-        MemoryPorts itsPorts = new MemoryPorts();
+        MemoryTransport itsPorts = new MemoryTransport();
         Loop loop = new Loop(clock, itsPorts, onFault);
-        ports.add(itsPorts);
+        transports.add(itsPorts);
         loops.add(loop);
         return loop;
     }
@@ -82,7 +82,7 @@
     /** A loop's process is killed: its streams are reset, its timers never come due. */
     public void killLoop(Loop loop) {
         int place = loops.indexOf(loop);
-        ports.remove(place).close();
+        transports.remove(place).close();
         loops.remove(place);
         frozen.remove(loop);
     }
@@ -98,12 +98,12 @@
 
     /** Timers of a loop that are still to come due. */
     public int liveTimerCount(Loop loop) {
-        return loop.liveTimers();
+        return loop.liveTimerCount();
     }
 
     /** Connections of a loop that are not closed, those being made among them. */
     public int openConnectionCount(Loop loop) {
-        return loop.openConnections();
+        return loop.openConnectionCount();
     }
 
     public long now() {
@@ -121,9 +121,9 @@
     /** Connections to this address are neither made nor refused from now on. */
     public void blackhole(InetSocketAddress address, boolean on) {
         if (on) {
-            silent.add(address);
+            blackholed.add(address);
         } else {
-            silent.remove(address);
+            blackholed.remove(address);
         }
     }
 
@@ -135,13 +135,13 @@
     /** Plays until a time; true if the condition held before. */
     public boolean runUntil(long time, BooleanSupplier done) {
         while (true) {
-            settle();
+            runReadyLoops();
             if (done.getAsBoolean()) {
                 return true;
             }
-            long next = underWay.isEmpty() ? Long.MAX_VALUE : underWay.peek().time();
+            long next = scheduled.isEmpty() ? Long.MAX_VALUE : scheduled.peek().time();
             for (Loop loop : loops) {
-                long timer = frozen.contains(loop) ? Long.MAX_VALUE : loop.untilNextTimer();
+                long timer = frozen.contains(loop) ? Long.MAX_VALUE : loop.nsUntilNextTimer();
                 next = Math.min(next, timer == Long.MAX_VALUE ? timer : now() + timer);
             }
             if (next > time) {
@@ -149,8 +149,8 @@
                 return false;
             }
             clock.moveTo(Math.max(now(), next));
-            while (!underWay.isEmpty() && underWay.peek().time() <= now()) {
-                underWay.poll().task().run();
+            while (!scheduled.isEmpty() && scheduled.peek().time() <= now()) {
+                scheduled.poll().task().run();
             }
         }
     }
@@ -160,29 +160,29 @@
     }
 
     /** Turns every loop until none has anything to do at this time. */
-    private void settle() {
+    private void runReadyLoops() {
         boolean busy = true;
         for (int turns = 0; busy; turns++) {
-            if (turns > TURNS_MOST) {
+            if (turns > MAX_TURNS_PER_INSTANT) {
                 throw new IllegalStateException("loops spin at " + now());
             }
             busy = false;
             for (Loop loop : List.copyOf(loops)) {
                 int place = loops.indexOf(loop);
                 boolean live = place >= 0 && !frozen.contains(loop);
-                if (live && (ports.get(place).anyReady() || loop.hasWork())) {
+                if (live && (transports.get(place).anyReady() || loop.hasWork())) {
                     busy = true;
-                    loop.turn(0);
+                    loop.runTurn(0);
                 }
             }
         }
     }
 
-    private void later(long time, Runnable task) {
-        underWay.add(new Due(time, number++, task));
+    private void schedule(long time, Runnable task) {
+        scheduled.add(new ScheduledTask(time, nextSequence++, task));
     }
 
-    private long delay() {
+    private long drawDelayNs() {
         return faults.maxDelayNs() <= faults.minDelayNs() ? faults.minDelayNs()
                 : random.nextLong(faults.minDelayNs(), faults.maxDelayNs() + 1);
     }
@@ -191,42 +191,42 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), nextPort++);
     }
 
-    private final class MemoryDoor implements Ports.Door {
+    private final class MemoryAcceptor implements Transport.Acceptor {
         private final InetSocketAddress at;
-        private final MemoryPorts owner;
-        private final ArrayDeque<MemoryWire> waiting = new ArrayDeque<>();
-        private Runnable ready = () -> { };
-        private boolean wanted = true;
+        private final MemoryTransport owner;
+        private final ArrayDeque<MemoryStream> backlog = new ArrayDeque<>();
+        private Runnable listener = () -> { };
+        private boolean accepting = true;
 
-        MemoryDoor(InetSocketAddress at, MemoryPorts owner) {
+        MemoryAcceptor(InetSocketAddress at, MemoryTransport owner) {
             this.at = at;
             this.owner = owner;
         }
 
         @Override
-        public void attach(Runnable itsReady) {
-            ready = itsReady;
+        public void setListener(Runnable itsReady) {
+            listener = itsReady;
         }
 
         @Override
-        public Wire accept() throws IOException {
-            if (waiting.isEmpty()) {
+        public ByteStream accept() throws IOException {
+            if (backlog.isEmpty()) {
                 return null;
             }
             if (descriptorsLeft <= 0) {
                 throw new IOException("Too many open files");
             }
             descriptorsLeft--;
-            MemoryWire wire = waiting.poll();
-            owner.wires.add(wire);
-            wire.wake();
+            MemoryStream wire = backlog.poll();
+            owner.streams.add(wire);
+            wire.markChanged();
             return wire;
         }
 
         @Override
-        public void want(boolean accept) {
-            wanted = accept;
-            owner.knocked.add(this);
+        public void setAccepting(boolean accept) {
+            accepting = accept;
+            owner.changedAcceptors.add(this);
         }
 
         @Override
@@ -236,64 +236,64 @@
 
         @Override
         public void close() {
-            doors.remove(at);
-            owner.doors.remove(this);
-            owner.knocked.remove(this);
-            waiting.forEach(w -> w.close(true));
+            acceptors.remove(at);
+            owner.ownAcceptors.remove(this);
+            owner.changedAcceptors.remove(this);
+            backlog.forEach(w -> w.close(true));
         }
     }
 
-    private final class MemoryPorts implements Ports {
-        private final Set<MemoryWire> wires = new LinkedHashSet<>();
-        private final Set<MemoryDoor> doors = new LinkedHashSet<>();
+    private final class MemoryTransport implements Transport {
+        private final Set<MemoryStream> streams = new LinkedHashSet<>();
+        private final Set<MemoryAcceptor> ownAcceptors = new LinkedHashSet<>();
         // Those whose state has changed and that may be ready: looking at all each time would cost too much.
-        private final Set<MemoryWire> awake = new LinkedHashSet<>();
-        private final Set<MemoryDoor> knocked = new LinkedHashSet<>();
+        private final Set<MemoryStream> changedStreams = new LinkedHashSet<>();
+        private final Set<MemoryAcceptor> changedAcceptors = new LinkedHashSet<>();
 
         @Override
-        public Wire connect(InetSocketAddress from, InetSocketAddress to) {
-            MemoryWire near = new MemoryWire(this, from == null ? freeAddress() : from, to);
-            MemoryWire far = new MemoryWire(null, to, near.local);
+        public ByteStream connect(InetSocketAddress from, InetSocketAddress to) {
+            MemoryStream near = new MemoryStream(this, from == null ? freeAddress() : from, to);
+            MemoryStream far = new MemoryStream(null, to, near.local);
             near.peer = far;
             far.peer = near;
             far.connected = true;
-            wires.add(near);
-            if (!silent.contains(to)) {
-                later(now() + delay(), () -> near.arrive(MemoryNet.this.doors.get(to)));
+            streams.add(near);
+            if (!blackholed.contains(to)) {
+                schedule(now() + drawDelayNs(), () -> near.finishHandshake(MemoryNet.this.acceptors.get(to)));
             }
             return near;
         }
 
         @Override
-        public Door listen(InetSocketAddress at, int backlog) throws IOException {
+        public Acceptor listen(InetSocketAddress at, int backlog) throws IOException {
             InetSocketAddress address = at.getPort() == 0 ? freeAddress() : at;
-            if (MemoryNet.this.doors.containsKey(address)) {
+            if (MemoryNet.this.acceptors.containsKey(address)) {
                 throw new IOException("address in use: " + address);
             }
-            MemoryDoor door = new MemoryDoor(address, this);
-            MemoryNet.this.doors.put(address, door);
-            doors.add(door);
+            MemoryAcceptor door = new MemoryAcceptor(address, this);
+            MemoryNet.this.acceptors.put(address, door);
+            ownAcceptors.add(door);
             return door;
         }
 
         boolean anyReady() {
-            awake.removeIf(w -> !w.readable() && !w.writable());
-            knocked.removeIf(d -> !d.wanted || d.waiting.isEmpty());
-            return !awake.isEmpty() || !knocked.isEmpty();
+            changedStreams.removeIf(w -> !w.readable() && !w.writable());
+            changedAcceptors.removeIf(d -> !d.accepting || d.backlog.isEmpty());
+            return !changedStreams.isEmpty() || !changedAcceptors.isEmpty();
         }
 
         @Override
         public void poll(long nanos) {
-            for (MemoryDoor door : List.copyOf(knocked)) {
-                if (door.wanted && !door.waiting.isEmpty()) {
-                    door.ready.run();
+            for (MemoryAcceptor door : List.copyOf(changedAcceptors)) {
+                if (door.accepting && !door.backlog.isEmpty()) {
+                    door.listener.run();
                 }
             }
-            for (MemoryWire wire : List.copyOf(awake)) {
+            for (MemoryStream wire : List.copyOf(changedStreams)) {
                 boolean read = wire.readable();
                 boolean write = wire.writable();
                 if (read || write) {
-                    wire.ready.ready(read, write);
+                    wire.listener.onReady(read, write);
                 }
             }
         }
@@ -303,37 +303,37 @@
 
         @Override
         public void close() {
-            List.copyOf(doors).forEach(MemoryDoor::close);
-            List.copyOf(wires).forEach(w -> w.close(true));
+            List.copyOf(ownAcceptors).forEach(MemoryAcceptor::close);
+            List.copyOf(streams).forEach(w -> w.close(true));
         }
     }
 
-    private final class MemoryWire implements Wire {
+    private final class MemoryStream implements ByteStream {
         private final InetSocketAddress local;
         private final InetSocketAddress remote;
         private final ArrayDeque<ByteBuffer> inbox = new ArrayDeque<>();
-        private MemoryPorts owner;
-        private MemoryWire peer;
-        private Ready ready = (read, write) -> { };
+        private MemoryTransport owner;
+        private MemoryStream peer;
+        private ReadinessListener listener = (read, write) -> { };
         private boolean wantRead;
         private boolean wantWrite = true;
         private boolean connected;
         private boolean refused;
-        private boolean ended;
-        private boolean broken;
+        private boolean inputEnded;
+        private boolean wasReset;
         private boolean closed;
-        private boolean cut;
-        private int taken;
-        private long lastArrival;
+        private boolean cutOff;
+        private int unreadBytes;
+        private long lastArrivalAt;
 
-        MemoryWire(MemoryPorts owner, InetSocketAddress local, InetSocketAddress remote) {
+        MemoryStream(MemoryTransport owner, InetSocketAddress local, InetSocketAddress remote) {
             this.owner = owner;
             this.local = local;
             this.remote = remote;
         }
 
-        void arrive(MemoryDoor door) {
-            wake();
+        void finishHandshake(MemoryAcceptor door) {
+            markChanged();
             if (door == null) {
                 refused = true;
                 return;
@@ -341,35 +341,35 @@
             connected = true;
             peer.owner = door.owner;
             peer.wantWrite = false;
-            door.waiting.add(peer);
-            door.owner.knocked.add(door);
+            door.backlog.add(peer);
+            door.owner.changedAcceptors.add(door);
         }
 
         /** Its state has changed: its owner has to look at it. */
-        private void wake() {
+        private void markChanged() {
             if (owner != null && !closed) {
-                owner.awake.add(this);
+                owner.changedStreams.add(this);
             }
         }
 
         boolean readable() {
-            return !closed && connected && wantRead && (!inbox.isEmpty() || ended || broken);
+            return !closed && connected && wantRead && (!inbox.isEmpty() || inputEnded || wasReset);
         }
 
         boolean writable() {
-            return !closed && wantWrite && (refused || connected && (broken || taken < WINDOW));
+            return !closed && wantWrite && (refused || connected && (wasReset || unreadBytes < WINDOW_BYTES));
         }
 
         @Override
-        public void attach(Ready itsReady) {
-            ready = itsReady;
+        public void setListener(ReadinessListener itsReady) {
+            listener = itsReady;
         }
 
         @Override
-        public void want(boolean read, boolean write) {
+        public void setInterest(boolean read, boolean write) {
             wantRead = read;
             wantWrite = write;
-            wake();
+            markChanged();
         }
 
         @Override
@@ -383,10 +383,10 @@
         @Override
         public int read(ByteBuffer into) throws IOException {
             if (inbox.isEmpty()) {
-                if (broken) {
+                if (wasReset) {
                     throw new IOException("Connection reset");
                 }
-                return ended ? -1 : 0;
+                return inputEnded ? -1 : 0;
             }
             int before = into.position();
             while (!inbox.isEmpty() && into.hasRemaining()) {
@@ -399,61 +399,61 @@
                 }
             }
             int count = into.position() - before;
-            peer.taken -= count;
-            peer.wake();
+            peer.unreadBytes -= count;
+            peer.markChanged();
             return count;
         }
 
         @Override
         public int write(ByteBuffer from) throws IOException {
-            if (broken || closed) {
+            if (wasReset || closed) {
                 throw new IOException("Broken pipe");
             }
             int written = 0;
-            while (from.hasRemaining() && taken < WINDOW) {
-                int most = Math.min(Math.min(from.remaining(), WINDOW - taken), faults.maxSegmentBytes());
+            while (from.hasRemaining() && unreadBytes < WINDOW_BYTES) {
+                int most = Math.min(Math.min(from.remaining(), WINDOW_BYTES - unreadBytes), faults.maxSegmentBytes());
                 int count = most == 1 ? 1 : random.nextInt(1, most + 1);
                 byte[] piece = new byte[count];
                 from.get(piece);
                 send(piece);
-                taken += count;
+                unreadBytes += count;
                 written += count;
             }
             return written;
         }
 
         private void send(byte[] piece) {
-            if (cut) {
+            if (cutOff) {
                 return; // the connection is breaking: nothing more arrives
             }
             if (faults.corruptProbability() > 0 && random.nextDouble() < faults.corruptProbability()) {
                 piece[random.nextInt(piece.length)] ^= (byte) (1 << random.nextInt(8));
             }
-            cut = faults.resetProbability() > 0 && random.nextDouble() < faults.resetProbability();
-            int count = cut ? random.nextInt(piece.length + 1) : piece.length;
-            lastArrival = Math.max(lastArrival, now() + delay());
-            later(lastArrival, () -> {
+            cutOff = faults.resetProbability() > 0 && random.nextDouble() < faults.resetProbability();
+            int count = cutOff ? random.nextInt(piece.length + 1) : piece.length;
+            lastArrivalAt = Math.max(lastArrivalAt, now() + drawDelayNs());
+            schedule(lastArrivalAt, () -> {
                 if (count > 0 && !peer.closed) {
                     peer.inbox.add(ByteBuffer.wrap(piece, 0, count));
-                    peer.wake();
+                    peer.markChanged();
                 }
             });
-            if (cut) {
-                later(lastArrival, () -> {
-                    peer.broken = true;
-                    broken = true;
-                    peer.wake();
-                    wake();
+            if (cutOff) {
+                schedule(lastArrivalAt, () -> {
+                    peer.wasReset = true;
+                    wasReset = true;
+                    peer.markChanged();
+                    markChanged();
                 });
             }
         }
 
         @Override
         public void endOutput() {
-            lastArrival = Math.max(lastArrival, now() + delay());
-            later(lastArrival, () -> {
-                peer.ended = true;
-                peer.wake();
+            lastArrivalAt = Math.max(lastArrivalAt, now() + drawDelayNs());
+            schedule(lastArrivalAt, () -> {
+                peer.inputEnded = true;
+                peer.markChanged();
             });
         }
 
@@ -464,15 +464,15 @@
             }
             closed = true;
             if (owner != null) {
-                owner.wires.remove(this);
-                owner.awake.remove(this);
+                owner.streams.remove(this);
+                owner.changedStreams.remove(this);
             }
             boolean unread = !inbox.isEmpty();
-            lastArrival = Math.max(lastArrival, now() + delay());
-            later(lastArrival, () -> {
-                peer.ended = true;
-                peer.broken |= reset || unread;
-                peer.wake();
+            lastArrivalAt = Math.max(lastArrivalAt, now() + drawDelayNs());
+            schedule(lastArrivalAt, () -> {
+                peer.inputEnded = true;
+                peer.wasReset |= reset || unread;
+                peer.markChanged();
                 if (reset) {
                     peer.inbox.clear();
                 }
--- a/src/main/java/rowanmoor/net/SelectorPorts.java
+++ b/src/main/java/rowanmoor/net/SelectorTransport.java
@@ -11,18 +11,18 @@
 import java.nio.channels.SocketChannel;
 
 /** Sockets on one selector. */
-final class SelectorPorts implements Ports {
+final class SelectorTransport implements Transport {
 
-    private static final long MILLI = 1_000_000L;
+    private static final long NS_PER_MS = 1_000_000L;
 
     private final Selector selector;
 
-    SelectorPorts() throws IOException {
+    SelectorTransport() throws IOException {
         selector = Selector.open();
     }
 
     @Override
-    public Wire connect(InetSocketAddress from, InetSocketAddress to) throws IOException {
+    public ByteStream connect(InetSocketAddress from, InetSocketAddress to) throws IOException {
         SocketChannel channel = SocketChannel.open();
         try {
             channel.configureBlocking(false);
@@ -31,7 +31,7 @@
                 channel.bind(from);
             }
             boolean made = channel.connect(to);
-            return new SocketWire(channel, channel.register(selector, made ? SelectionKey.OP_WRITE
+            return new SocketStream(channel, channel.register(selector, made ? SelectionKey.OP_WRITE
                     : SelectionKey.OP_CONNECT), to);
         } catch (IOException | RuntimeException e) {
             channel.close();
@@ -40,13 +40,13 @@
     }
 
     @Override
-    public Door listen(InetSocketAddress at, int backlog) throws IOException {
+    public Acceptor listen(InetSocketAddress at, int backlog) throws IOException {
         ServerSocketChannel channel = ServerSocketChannel.open();
         try {
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
             channel.bind(at, backlog);
-            return new SocketDoor(channel, channel.register(selector, SelectionKey.OP_ACCEPT));
+            return new SocketAcceptor(channel, channel.register(selector, SelectionKey.OP_ACCEPT));
         } catch (IOException | RuntimeException e) {
             channel.close();
             throw e;
@@ -59,26 +59,26 @@
             selector.selectNow();
         } else {
             // The selector counts milliseconds: rounded up, so that a timer is never polled for in a spin.
-            selector.select((nanos + MILLI - 1) / MILLI);
+            selector.select((nanos + NS_PER_MS - 1) / NS_PER_MS);
         }
         var keys = selector.selectedKeys().iterator();
         while (keys.hasNext()) {
             SelectionKey key = keys.next();
             keys.remove();
-            report(key);
+            dispatch(key);
         }
     }
 
-    private static void report(SelectionKey key) {
+    private static void dispatch(SelectionKey key) {
         try {
             if (!key.isValid()) {
                 return;
             }
-            if (key.attachment() instanceof SocketDoor door) {
-                door.ready.run();
-            } else if (key.attachment() instanceof SocketWire wire) {
+            if (key.attachment() instanceof SocketAcceptor door) {
+                door.listener.run();
+            } else if (key.attachment() instanceof SocketStream wire) {
                 int ops = key.readyOps();
-                wire.ready.ready((ops & SelectionKey.OP_READ) != 0,
+                wire.listener.onReady((ops & SelectionKey.OP_READ) != 0,
                         (ops & (SelectionKey.OP_WRITE | SelectionKey.OP_CONNECT)) != 0);
             }
         } catch (CancelledKeyException e) {
@@ -103,24 +103,24 @@
         }
     }
 
-    private static final class SocketDoor implements Door {
+    private static final class SocketAcceptor implements Acceptor {
         private final ServerSocketChannel channel;
         private final SelectionKey key;
-        private Runnable ready = () -> { };
+        private Runnable listener = () -> { };
 
-        SocketDoor(ServerSocketChannel channel, SelectionKey key) {
+        SocketAcceptor(ServerSocketChannel channel, SelectionKey key) {
             this.channel = channel;
             this.key = key;
             key.attach(this);
         }
 
         @Override
-        public void attach(Runnable itsReady) {
-            ready = itsReady;
+        public void setListener(Runnable itsReady) {
+            listener = itsReady;
         }
 
         @Override
-        public Wire accept() throws IOException {
+        public ByteStream accept() throws IOException {
             SocketChannel accepted = channel.accept();
             if (accepted == null) {
                 return null;
@@ -128,7 +128,7 @@
             try {
                 accepted.configureBlocking(false);
                 accepted.setOption(StandardSocketOptions.TCP_NODELAY, true);
-                return new SocketWire(accepted, accepted.register(key.selector(), SelectionKey.OP_READ),
+                return new SocketStream(accepted, accepted.register(key.selector(), SelectionKey.OP_READ),
                         (InetSocketAddress) accepted.getRemoteAddress());
             } catch (IOException | RuntimeException e) {
                 accepted.close();
@@ -137,7 +137,7 @@
         }
 
         @Override
-        public void want(boolean accept) {
+        public void setAccepting(boolean accept) {
             if (key.isValid()) {
                 key.interestOps(accept ? SelectionKey.OP_ACCEPT : 0);
             }
@@ -158,31 +158,31 @@
         }
     }
 
-    private static final class SocketWire implements Wire {
+    private static final class SocketStream implements ByteStream {
         private final SocketChannel channel;
         private final SelectionKey key;
         private final InetSocketAddress remote;
-        private Ready ready = (read, write) -> { };
-        private int wanted;
+        private ReadinessListener listener = (read, write) -> { };
+        private int interestOps;
 
-        SocketWire(SocketChannel channel, SelectionKey key, InetSocketAddress remote) {
+        SocketStream(SocketChannel channel, SelectionKey key, InetSocketAddress remote) {
             this.channel = channel;
             this.key = key;
             this.remote = remote;
-            this.wanted = key.interestOps();
+            this.interestOps = key.interestOps();
             key.attach(this);
         }
 
         @Override
-        public void attach(Ready itsReady) {
-            ready = itsReady;
+        public void setListener(ReadinessListener itsReady) {
+            listener = itsReady;
         }
 
         @Override
-        public void want(boolean read, boolean write) {
+        public void setInterest(boolean read, boolean write) {
             int ops = (read ? SelectionKey.OP_READ : 0) | (write ? SelectionKey.OP_WRITE : 0);
-            if (ops != wanted && key.isValid()) {
-                wanted = ops;
+            if (ops != interestOps && key.isValid()) {
+                interestOps = ops;
                 key.interestOps(ops);
             }
         }
--- a/src/main/java/rowanmoor/net/TickScheduler.java
+++ b/src/main/java/rowanmoor/net/TickScheduler.java
@@ -7,12 +7,12 @@
 public final class TickScheduler {
 
     private final Loop loop;
-    private final long distance;
+    private final long minIntervalNs;
     private final LongConsumer tick;
     private final LongSupplier nextAt;
     private Timer timer;
     private long dueAt = Long.MAX_VALUE;
-    private long lastAt;
+    private long lastTickAt;
 
     /**
      * @param distance least time between two ticks, ns
@@ -20,36 +20,36 @@
      */
     public TickScheduler(Loop loop, long distance, LongConsumer tick, LongSupplier nextAt) {
         this.loop = loop;
-        this.distance = distance;
+        this.minIntervalNs = distance;
         this.tick = tick;
         this.nextAt = nextAt;
-        this.lastAt = loop.now() - distance;
+        this.lastTickAt = loop.now() - distance;
     }
 
     /** What comes at once is ticked for at once. */
     public void requestTick() {
-        by(Math.max(loop.now(), lastAt + distance));
+        scheduleBy(Math.max(loop.now(), lastTickAt + minIntervalNs));
     }
 
-    private void by(long time) {
+    private void scheduleBy(long time) {
         if (time < dueAt) {
             if (timer != null) {
                 timer.cancel();
             }
             dueAt = time;
-            timer = loop.at(time, this::now);
+            timer = loop.at(time, this::runTick);
         }
     }
 
-    private void now() {
+    private void runTick() {
         dueAt = Long.MAX_VALUE;
-        lastAt = loop.now();
+        lastTickAt = loop.now();
         try {
-            tick.accept(lastAt);
+            tick.accept(lastTickAt);
         } finally { // whatever a tick throws, the next one is due: messages wait for it
             long next = nextAt.getAsLong();
             if (next != Long.MAX_VALUE) {
-                by(Math.max(next, lastAt + distance));
+                scheduleBy(Math.max(next, lastTickAt + minIntervalNs));
             }
         }
     }
--- a/src/main/java/rowanmoor/net/Timer.java
+++ b/src/main/java/rowanmoor/net/Timer.java
@@ -4,12 +4,12 @@
 public final class Timer implements Comparable<Timer> {
 
     final long time;
-    private final long number;
+    private final long sequence;
     private Runnable task;
 
     Timer(long time, long number, Runnable task) {
         this.time = time;
-        this.number = number;
+        this.sequence = number;
         this.task = task;
     }
 
@@ -18,7 +18,7 @@
         task = null;
     }
 
-    boolean live() {
+    boolean isLive() {
         return task != null;
     }
 
@@ -33,6 +33,6 @@
     @Override
     public int compareTo(Timer other) {
         int byTime = Long.compare(time, other.time);
-        return byTime != 0 ? byTime : Long.compare(number, other.number);
+        return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
     }
 }
--- a/src/main/java/rowanmoor/net/Ports.java
+++ b/src/main/java/rowanmoor/net/Transport.java
@@ -4,16 +4,16 @@
 import java.net.InetSocketAddress;
 
 /** Where a loop's streams come from and how it waits: selectors, or pipes in memory on a manual clock. */
-interface Ports extends AutoCloseable {
+interface Transport extends AutoCloseable {
 
     /** A listening address. */
-    interface Door {
-        void attach(Runnable ready);
+    interface Acceptor {
+        void setListener(Runnable ready);
 
         /** The next stream that waits, or null; throws when the process has no descriptor left. */
-        Wire accept() throws IOException;
+        ByteStream accept() throws IOException;
 
-        void want(boolean accept);
+        void setAccepting(boolean accept);
 
         InetSocketAddress address();
 
@@ -21,9 +21,9 @@
     }
 
     /** Starts to connect; {@code from} is the local address to use, or null. */
-    Wire connect(InetSocketAddress from, InetSocketAddress to) throws IOException;
+    ByteStream connect(InetSocketAddress from, InetSocketAddress to) throws IOException;
 
-    Door listen(InetSocketAddress at, int backlog) throws IOException;
+    Acceptor listen(InetSocketAddress at, int backlog) throws IOException;
 
     /** Waits at most so long for readiness, and reports it. 0 does not wait. */
     void poll(long nanos) throws IOException;
--- a/src/test/java/rowanmoor/http/ConnectionsTest.java
+++ b/src/test/java/rowanmoor/http/ConnectionsTest.java
@@ -25,9 +25,9 @@
     private final Loop loop = net.newLoop(e -> {
         throw new AssertionError(e);
     });
-    private final List<String> asked = new ArrayList<>();
-    private final List<ServerConnection.Exchange> open = new ArrayList<>();
-    private int abandoned;
+    private final List<String> requestedTargets = new ArrayList<>();
+    private final List<ServerConnection.Exchange> exchanges = new ArrayList<>();
+    private int abortedCount;
 
     private InetSocketAddress serve(boolean atOnce) throws IOException {
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
@@ -35,8 +35,8 @@
                 new ServerConnection.Service() {
                     @Override
                     public void onRequest(Message.Request request, ServerConnection.Exchange exchange) {
-                        asked.add(request.target());
-                        open.add(exchange);
+                        requestedTargets.add(request.target());
+                        exchanges.add(exchange);
                         if (atOnce) {
                             exchange.respond(Message.Response.of(200, request.target()));
                         }
@@ -44,12 +44,12 @@
 
                     @Override
                     public void onAborted(ServerConnection.Exchange exchange) {
-                        abandoned++;
+                        abortedCount++;
                     }
                 })).address();
     }
 
-    private Connection raw(InetSocketAddress to, StringBuilder heard) {
+    private Connection connectRaw(InetSocketAddress to, StringBuilder heard) {
         return loop.connect(null, to, Connection.Options.defaults(), new ConnectionHandler() {
             @Override
             public void onData(Connection its, ByteBuffer bytes) {
@@ -67,37 +67,37 @@
     }
 
     @Test
-    void clientsPipeliningAreAnsweredOneByOneAndInOrder() throws IOException {
+    void pipelinedRequestsAreServedOneByOneInOrder() throws IOException {
         StringBuilder heard = new StringBuilder();
-        raw(serve(false), heard).send(get("/1", "/2", "/3"));
+        connectRaw(serve(false), heard).send(get("/1", "/2", "/3"));
         net.runFor(10 * MS);
-        assertEquals(List.of("/1"), asked);
+        assertEquals(List.of("/1"), requestedTargets);
         for (int i = 0; i < 3; i++) {
-            assertTrue(open.get(i).respond(Message.Response.of(200, "answer " + i)));
+            assertTrue(exchanges.get(i).respond(Message.Response.of(200, "answer " + i)));
             net.runFor(10 * MS);
         }
-        assertEquals(List.of("/1", "/2", "/3"), asked);
+        assertEquals(List.of("/1", "/2", "/3"), requestedTargets);
         assertTrue(heard.indexOf("answer 0") < heard.indexOf("answer 1"));
         assertTrue(heard.indexOf("answer 1") < heard.indexOf("answer 2"));
-        asked.clear();
-        raw(serve(true), heard).send(get("/4", "/5", "/6"));
+        requestedTargets.clear();
+        connectRaw(serve(true), heard).send(get("/4", "/5", "/6"));
         net.runFor(10 * MS);
-        assertEquals(List.of("/4", "/5", "/6"), asked);
+        assertEquals(List.of("/4", "/5", "/6"), requestedTargets);
     }
 
     @Test
-    void aClientThatIsGoneIsToldOfOnceAndCannotBeAnswered() throws IOException {
-        Connection connection = raw(serve(false), new StringBuilder());
+    void disconnectIsReportedOnceAndExchangeRejectsResponse() throws IOException {
+        Connection connection = connectRaw(serve(false), new StringBuilder());
         connection.send(get("/1"));
         net.runFor(10 * MS);
         connection.close(CloseReason.LOCAL, "gone");
         net.runFor(10 * MS);
-        assertEquals(1, abandoned);
-        assertFalse(open.get(0).respond(Message.Response.of(200, "")));
+        assertEquals(1, abortedCount);
+        assertFalse(exchanges.get(0).respond(Message.Response.of(200, "")));
     }
 
     @Test
-    void anAnswerBeyondTheOneAskedForDoesNotAnswerTheNextRequest() throws IOException {
+    void surplusResponseIsNotMatchedToNextRequest() throws IOException {
         InetSocketAddress to = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 Connection.Options.defaults(), c -> new ConnectionHandler() {
                     @Override
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void onlyAConnectionNeverMadeIsProofThatNothingRan() throws IOException {
+    void neverRanIsReportedOnlyWithoutConnection() throws IOException {
         List<Boolean> proofs = new ArrayList<>();
         ClientConnection.ResponseHandler answer = new ClientConnection.ResponseHandler() {
             @Override
@@ -147,7 +147,7 @@
         ClientConnection.open(loop, null, serve(false), Connection.Options.defaults(), MessageLimits.defaults(), c -> { })
                 .send(Message.Request.get("/", "Host", "h"), answer);
         net.runFor(10 * MS);
-        open.get(0).abort();
+        exchanges.get(0).abort();
         net.runFor(10 * MS);
         assertEquals(List.of(true, false), proofs);
     }
--- a/src/test/java/rowanmoor/http/ParserTest.java
+++ b/src/test/java/rowanmoor/http/ParserTest.java
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void readsALengthAndChunksWithTrailers() throws HttpError {
+    void parsesContentLengthAndChunkedWithTrailers() throws HttpError {
         assertArrayEquals("hello".getBytes(), request("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello")
                 .body());
         Message.Request chunked = request("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -66,7 +66,7 @@
         "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 101\r\n\r\n",
         "GET /aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa HTTP/1.1\r\n"
     })
-    void whatSmugglesOrIsTooLongIsRefusedHoweverItIsSplit(String text) {
+    void smugglingAndOversizeAreRejectedHoweverSplit(String text) {
         assertThrows(HttpError.class, () -> request(text));
         MessageParser parser = MessageParser.forRequests(SMALL);
         assertThrows(HttpError.class, () -> {
@@ -78,14 +78,14 @@
     }
 
     @Test
-    void tooManyFieldsCost431() {
+    void tooManyFieldsReturn431() {
         HttpError error = assertThrows(HttpError.class, () ->
                 request("GET /a HTTP/1.1\r\nHost: h\r\n" + "a: b\r\n".repeat(8) + "\r\n"));
         assertEquals(431, error.status());
     }
 
     @Test
-    void anAnswerToHeadHasNoContentAndOneWithoutLengthLastsToTheEnd() throws HttpError {
+    void headResponseHasNoContentAndUnframedResponseEndsAtClose() throws HttpError {
         MessageParser parser = MessageParser.forResponses(SMALL);
         parser.expectResponseTo("HEAD");
         Message.Response head = (Message.Response) parser.next(bytes(
@@ -99,7 +99,7 @@
     }
 
     @Property(seed = "19", tries = 100)
-    void bothFramingsComeBackAsTheyWent(@ForAll @Size(max = 100) byte[] body, @ForAll boolean chunked)
+    void bothFramingsRoundTrip(@ForAll @Size(max = 100) byte[] body, @ForAll boolean chunked)
             throws HttpError {
         Message.Request sent = new Message.Request("PUT", "/a", 1, HttpFields.of("Host", "h", "X", "y z"), body);
         ByteBuffer wire = chunked ? Message.encodeChunked(sent, 7) : sent.encode();
@@ -111,7 +111,7 @@
 
     /** No exception but the parser's own, and splitting the input anywhere changes nothing. */
     @Property(seed = "17")
-    void anyBytesAreReadAlikeHoweverTheyAreSplit(@ForAll @Size(max = 120) byte[] noise, @ForAll long seed) {
+    void resultDoesNotDependOnHowInputIsSplit(@ForAll @Size(max = 120) byte[] noise, @ForAll long seed) {
         String[] parts = {"GET /a HTTP/1.1\r\n", "Host: h\r\n", "Content-Length: 3\r\n", "\r\n", "abc",
             "Transfer-Encoding: chunked\r\n", "2\r\n", "0\r\n", "\r\n\r\n", "HTTP/1.1 200 OK\r\n",
             new String(noise, StandardCharsets.ISO_8859_1)};
@@ -122,13 +122,13 @@
         }
         byte[] all = text.toString().getBytes(StandardCharsets.ISO_8859_1);
         for (boolean requests : new boolean[] {true, false}) {
-            String whole = story(requests, all, all.length, random);
-            assertEquals(whole, story(requests, all, 1, random));
-            assertEquals(whole, story(requests, all, 9, random));
+            String whole = parseInPieces(requests, all, all.length, random);
+            assertEquals(whole, parseInPieces(requests, all, 1, random));
+            assertEquals(whole, parseInPieces(requests, all, 9, random));
         }
     }
 
-    private static String story(boolean requests, byte[] all, int most, Random random) {
+    private static String parseInPieces(boolean requests, byte[] all, int most, Random random) {
         MessageParser parser = requests ? MessageParser.forRequests(SMALL) : MessageParser.forResponses(SMALL);
         List<String> story = new ArrayList<>();
         try {
--- a/src/test/java/rowanmoor/net/EndingTest.java
+++ b/src/test/java/rowanmoor/net/EndingTest.java
@@ -23,7 +23,7 @@
 class EndingTest {
 
     private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    private static final int PIECE = 64 << 10;
+    private static final int FRAME_BYTES = 64 << 10;
 
     private final List<Throwable> faults = new ArrayList<>();
     private final CompletableFuture<Connection> accepted = new CompletableFuture<>();
@@ -45,7 +45,7 @@
         assertEquals(List.of(), faults);
     }
 
-    private <T> T on(Function<Loop, T> what) throws Exception {
+    private <T> T onLoop(Function<Loop, T> what) throws Exception {
         CompletableFuture<T> answer = new CompletableFuture<>();
         loop.post(() -> answer.complete(what.apply(loop)));
         return answer.get(20, TimeUnit.SECONDS);
@@ -63,7 +63,7 @@
                 closed.complete(why + ": " + detail);
             }
         };
-        InetSocketAddress at = on(l -> {
+        InetSocketAddress at = onLoop(l -> {
             try {
                 return l.listen(ANY, Connection.Options.defaults().bound(new WriteLimit(1 << 20, 4096,
                         WriteLimit.OverflowPolicy.REFUSE)), c -> {
@@ -75,7 +75,7 @@
             }
         });
         Socket peer = new Socket();
-        peer.setReceiveBufferSize(PIECE); // it does not grow then
+        peer.setReceiveBufferSize(FRAME_BYTES); // it does not grow then
         peer.connect(at);
         return peer;
     }
@@ -85,13 +85,13 @@
      * in the queue is not enough: beside other load a write may take nothing only because the other side of the loopback
      * has not had its turn, and then takes that piece after all.
      */
-    private Connection stuffed() throws Exception {
+    private Connection connectionWithFullQueue() throws Exception {
         Connection connection = accepted.get(20, TimeUnit.SECONDS);
-        while (on(l -> {
+        while (onLoop(l -> {
             long before = connection.writtenBytes();
             connection.flush();
             boolean tookNothing = connection.writtenBytes() == before;
-            return connection.send(ByteBuffer.allocate(PIECE)) || !tookNothing;
+            return connection.send(ByteBuffer.allocate(FRAME_BYTES)) || !tookNothing;
         })) {
             Thread.onSpinWait();
         }
@@ -99,19 +99,19 @@
     }
 
     @Test
-    void aPeerThatEndsAndNeverReadsWhatWaitsIsClosedInTime() throws Exception {
+    void peerThatEndsWithoutReadingIsClosedAfterTimeout() throws Exception {
         try (Socket peer = connect()) {
-            stuffed();
+            connectionWithFullQueue();
             peer.shutdownOutput();
             assertTrue(closed.get(20, TimeUnit.SECONDS).contains("took none"), closed.get());
         }
     }
 
     @Test
-    void anEndBehindAFullBufferThatNobodyReadsIsClosedInTime() throws Exception {
+    void gracefulCloseBehindUnreadBufferTimesOut() throws Exception {
         try (Socket peer = connect()) {
-            Connection connection = stuffed();
-            on(l -> {
+            Connection connection = connectionWithFullQueue();
+            onLoop(l -> {
                 connection.closeGracefully();
                 return null;
             });
@@ -121,14 +121,14 @@
     }
 
     @Test
-    void aPeerThatReadsOnGetsAllThatWaitedBeforeTheEnd() throws Exception {
+    void gracefulCloseDeliversAllQueuedBytes() throws Exception {
         try (Socket peer = connect()) {
-            Connection connection = stuffed();
-            long sent = on(l -> {
+            Connection connection = connectionWithFullQueue();
+            long sent = onLoop(l -> {
                 connection.closeGracefully();
                 return connection.writtenBytes() + connection.queuedBytes();
             });
-            byte[] into = new byte[PIECE];
+            byte[] into = new byte[FRAME_BYTES];
             long read = 0;
             for (int n = peer.getInputStream().read(into); n >= 0; n = peer.getInputStream().read(into)) {
                 read += n;
@@ -140,7 +140,7 @@
     }
 
     @Test
-    void connectionsResetBeforeTheyAreAcceptedDoNotMakeAcceptingRest() throws Exception {
+    void connectionsResetBeforeAcceptDoNotPauseAccepting() throws Exception {
         CompletableFuture<Void> held = new CompletableFuture<>();
         try (Socket first = connect()) {
             accepted.get(20, TimeUnit.SECONDS);
@@ -155,7 +155,7 @@
                 later.shutdownOutput();
                 assertEquals(-1, later.getInputStream().read(), "served and ended");
             }
-            assertEquals(0L, on(Loop::acceptPauseCount));
+            assertEquals(0L, onLoop(Loop::acceptPauseCount));
         }
     }
 }
--- a/src/test/java/rowanmoor/net/LoopTest.java
+++ b/src/test/java/rowanmoor/net/LoopTest.java
@@ -26,11 +26,11 @@
     private final Loop loop = net.newLoop(faults::add);
 
     /** Keeps what it hears. */
-    private static class Ear implements ConnectionHandler {
-        final StringBuilder heard = new StringBuilder();
+    private static class RecordingHandler implements ConnectionHandler {
+        final StringBuilder received = new StringBuilder();
         Connection connection;
         boolean opened;
-        CloseReason why;
+        CloseReason closeReason;
 
         @Override
         public void onOpen(Connection its) {
@@ -40,13 +40,13 @@
 
         @Override
         public void onData(Connection its, ByteBuffer bytes) {
-            heard.append(StandardCharsets.ISO_8859_1.decode(bytes));
+            received.append(StandardCharsets.ISO_8859_1.decode(bytes));
         }
 
         @Override
         public void onClose(Connection its, CloseReason how, String detail) {
-            assertEquals(null, why, "closed twice");
-            why = how;
+            assertEquals(null, closeReason, "closed twice");
+            closeReason = how;
         }
     }
 
@@ -54,66 +54,66 @@
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private Loop.Listener listen(Ear server, Connection.Options options) throws IOException {
+    private Loop.Listener listen(RecordingHandler server, Connection.Options options) throws IOException {
         return loop.listen(ANY, options, c -> server);
     }
 
-    private static final Connection.Options USUAL = Connection.Options.defaults();
+    private static final Connection.Options DEFAULTS = Connection.Options.defaults();
 
     @Test
-    void bytesArriveInOrderHoweverTheyAreSplitAndDelayed() throws IOException {
+    void bytesArriveInOrderDespiteSplitsAndDelays() throws IOException {
         net.setFaults(new MemoryNet.Faults(7, MS, 50 * MS, 0, 0));
-        Ear server = new Ear();
-        Ear client = new Ear();
-        Connection connection = loop.connect(null, listen(server, USUAL).address(), USUAL, client);
+        RecordingHandler server = new RecordingHandler();
+        RecordingHandler client = new RecordingHandler();
+        Connection connection = loop.connect(null, listen(server, DEFAULTS).address(), DEFAULTS, client);
         StringBuilder sent = new StringBuilder();
         for (int i = 0; i < 300; i++) {
             sent.append(i).append(' ');
             connection.send(bytes(i + " "));
         }
-        assertTrue(net.runUntil(100_000 * MS, () -> server.heard.length() == sent.length()));
-        assertEquals(sent.toString(), server.heard.toString());
+        assertTrue(net.runUntil(100_000 * MS, () -> server.received.length() == sent.length()));
+        assertEquals(sent.toString(), server.received.toString());
         assertTrue(client.opened);
     }
 
     @Test
-    void aRefusedConnectionIsClosedOnce() {
-        Ear client = new Ear();
-        loop.connect(null, new InetSocketAddress(InetAddress.getLoopbackAddress(), 9), USUAL, client);
+    void refusedConnectionIsClosedOnce() {
+        RecordingHandler client = new RecordingHandler();
+        loop.connect(null, new InetSocketAddress(InetAddress.getLoopbackAddress(), 9), DEFAULTS, client);
         net.runFor(10 * MS);
-        assertEquals(CloseReason.REFUSED, client.why);
+        assertEquals(CloseReason.REFUSED, client.closeReason);
         assertFalse(client.opened);
     }
 
     @Test
-    void aConnectThatHangsIsGivenUp() throws IOException {
-        Ear client = new Ear();
-        InetSocketAddress to = listen(new Ear(), USUAL).address();
+    void connectTimesOut() throws IOException {
+        RecordingHandler client = new RecordingHandler();
+        InetSocketAddress to = listen(new RecordingHandler(), DEFAULTS).address();
         net.blackhole(to, true);
-        loop.connect(null, to, USUAL.connectWithin(400 * MS), client);
+        loop.connect(null, to, DEFAULTS.connectWithin(400 * MS), client);
         net.runFor(399 * MS);
-        assertEquals(null, client.why);
+        assertEquals(null, client.closeReason);
         net.runFor(2 * MS);
-        assertEquals(CloseReason.CONNECT_TIMEOUT, client.why);
+        assertEquals(CloseReason.CONNECT_TIMEOUT, client.closeReason);
     }
 
     @Test
-    void aSilentConnectionIsClosedAndOneThatSpeaksIsNot() throws IOException {
-        Ear server = new Ear();
-        InetSocketAddress to = listen(server, USUAL.idleAfter(100 * MS)).address();
-        Connection connection = loop.connect(null, to, USUAL, new Ear());
+    void idleConnectionIsClosedAndActiveOneIsNot() throws IOException {
+        RecordingHandler server = new RecordingHandler();
+        InetSocketAddress to = listen(server, DEFAULTS.idleAfter(100 * MS)).address();
+        Connection connection = loop.connect(null, to, DEFAULTS, new RecordingHandler());
         for (int i = 0; i < 5; i++) {
             connection.send(bytes("x"));
             net.runFor(80 * MS);
-            assertEquals(null, server.why);
+            assertEquals(null, server.closeReason);
         }
         net.runFor(200 * MS);
-        assertEquals(CloseReason.IDLE, server.why);
+        assertEquals(CloseReason.IDLE, server.closeReason);
     }
 
     @Test
-    void aHalfClosedPeerIsStillAnswered() throws IOException {
-        Ear server = new Ear() {
+    void halfClosedPeerIsStillServed() throws IOException {
+        RecordingHandler server = new RecordingHandler() {
             @Override
             public boolean onInputEnd(Connection its) {
                 its.send(bytes("late answer"));
@@ -121,36 +121,36 @@
                 return true;
             }
         };
-        Ear client = new Ear();
-        Connection connection = loop.connect(null, listen(server, USUAL).address(), USUAL, client);
+        RecordingHandler client = new RecordingHandler();
+        Connection connection = loop.connect(null, listen(server, DEFAULTS).address(), DEFAULTS, client);
         connection.send(bytes("question"));
         net.runFor(10 * MS);
         connection.closeGracefully();
         net.runFor(10 * MS);
-        assertEquals("question", server.heard.toString());
-        assertEquals(CloseReason.ENDED, server.why);
+        assertEquals("question", server.received.toString());
+        assertEquals(CloseReason.ENDED, server.closeReason);
     }
 
     @Test
-    void aResetIsHeardAsOne() throws IOException {
-        Ear server = new Ear();
-        Connection connection = loop.connect(null, listen(server, USUAL).address(), USUAL, new Ear());
+    void resetIsReportedAsReset() throws IOException {
+        RecordingHandler server = new RecordingHandler();
+        Connection connection = loop.connect(null, listen(server, DEFAULTS).address(), DEFAULTS, new RecordingHandler());
         net.runFor(10 * MS);
         connection.reset("test");
         net.runFor(10 * MS);
-        assertEquals(CloseReason.RESET, server.why);
+        assertEquals(CloseReason.RESET, server.closeReason);
     }
 
     /** A reader that has paused: the window fills, then the queue. */
-    private Connection stuck(WriteLimit bound, Ear client) throws IOException {
-        Ear server = new Ear() {
+    private Connection connectionWithFullWindow(WriteLimit bound, RecordingHandler client) throws IOException {
+        RecordingHandler server = new RecordingHandler() {
             @Override
             public void onOpen(Connection its) {
                 super.onOpen(its);
                 its.pause();
             }
         };
-        Connection connection = loop.connect(null, listen(server, USUAL).address(), USUAL.bound(bound), client);
+        Connection connection = loop.connect(null, listen(server, DEFAULTS).address(), DEFAULTS.bound(bound), client);
         net.runFor(5 * MS);
         connection.send(ByteBuffer.allocate(1 << 16));
         net.runFor(5 * MS);
@@ -159,8 +159,8 @@
     }
 
     @Test
-    void aFullQueueRefuses() throws IOException {
-        Connection connection = stuck(new WriteLimit(1 << 16, 2, WriteLimit.OverflowPolicy.REFUSE), new Ear());
+    void fullQueueRefusesFrames() throws IOException {
+        Connection connection = connectionWithFullWindow(new WriteLimit(1 << 16, 2, WriteLimit.OverflowPolicy.REFUSE), new RecordingHandler());
         assertTrue(connection.send(bytes("a")));
         assertTrue(connection.send(bytes("b")));
         assertFalse(connection.send(bytes("c")));
@@ -168,24 +168,24 @@
     }
 
     @Test
-    void aFullQueueCloses() throws IOException {
-        Ear client = new Ear();
-        Connection connection = stuck(new WriteLimit(1 << 16, 1, WriteLimit.OverflowPolicy.CLOSE), client);
+    void fullQueueClosesConnection() throws IOException {
+        RecordingHandler client = new RecordingHandler();
+        Connection connection = connectionWithFullWindow(new WriteLimit(1 << 16, 1, WriteLimit.OverflowPolicy.CLOSE), client);
         assertTrue(connection.send(bytes("0123456789")));
         assertFalse(connection.send(bytes("x")));
-        assertEquals(CloseReason.OVERFLOW, client.why);
+        assertEquals(CloseReason.OVERFLOW, client.closeReason);
     }
 
     @Test
-    void withoutDescriptorsAcceptingRestsAndDoesNotSpin() throws IOException {
-        List<Ear> served = new ArrayList<>();
-        InetSocketAddress to = loop.listen(ANY, USUAL, c -> {
-            served.add(new Ear());
+    void acceptingPausesWhenDescriptorsRunOut() throws IOException {
+        List<RecordingHandler> served = new ArrayList<>();
+        InetSocketAddress to = loop.listen(ANY, DEFAULTS, c -> {
+            served.add(new RecordingHandler());
             return served.get(served.size() - 1);
         }).address();
         net.limitDescriptors(1);
         for (int i = 0; i < 3; i++) {
-            loop.connect(null, to, USUAL, new Ear());
+            loop.connect(null, to, DEFAULTS, new RecordingHandler());
         }
         net.runFor(1000 * MS);
         assertEquals(1, served.size());
@@ -196,27 +196,27 @@
     }
 
     @Test
-    void aHandlerThatThrowsCostsItsOwnConnectionOnly() throws IOException {
-        Ear bad = new Ear() {
+    void throwingHandlerClosesOnlyItsConnection() throws IOException {
+        RecordingHandler bad = new RecordingHandler() {
             @Override
             public void onData(Connection its, ByteBuffer bytes) {
                 throw new IllegalStateException("on purpose");
             }
         };
-        Ear good = new Ear();
-        Connection one = loop.connect(null, listen(bad, USUAL).address(), USUAL, new Ear());
-        Connection other = loop.connect(null, listen(good, USUAL).address(), USUAL, new Ear());
+        RecordingHandler good = new RecordingHandler();
+        Connection one = loop.connect(null, listen(bad, DEFAULTS).address(), DEFAULTS, new RecordingHandler());
+        Connection other = loop.connect(null, listen(good, DEFAULTS).address(), DEFAULTS, new RecordingHandler());
         one.send(bytes("x"));
         net.runFor(10 * MS);
         other.send(bytes("y"));
         net.runFor(10 * MS);
-        assertEquals(CloseReason.FAULT, bad.why);
-        assertEquals("y", good.heard.toString());
+        assertEquals(CloseReason.FAULT, bad.closeReason);
+        assertEquals("y", good.received.toString());
         assertEquals(1, faults.size());
     }
 
     @Test
-    void timersOfOneTimeRunInTheirOrderAndCancelledOnesNever() {
+    void simultaneousTimersRunInOrderAndCancelledOnesDoNot() {
         StringBuilder order = new StringBuilder();
         loop.after(10, () -> order.append("b"));
         loop.after(5, () -> order.append("a"));
@@ -227,18 +227,18 @@
     }
 
     @Test
-    void theSameSeedGivesTheSameRunCutsAndAll() throws IOException {
-        String first = cutRun(3);
-        assertEquals(first, cutRun(3));
-        assertFalse(first.equals(cutRun(4)));
+    void sameSeedReproducesRunWithFaults() throws IOException {
+        String first = runWithFaults(3);
+        assertEquals(first, runWithFaults(3));
+        assertFalse(first.equals(runWithFaults(4)));
     }
 
-    private static String cutRun(long seed) throws IOException {
+    private static String runWithFaults(long seed) throws IOException {
         MemoryNet its = new MemoryNet(0, seed);
         its.setFaults(new MemoryNet.Faults(100, MS, 20 * MS, 0.01, 0.02));
         Loop one = its.newLoop(e -> { });
         StringBuilder story = new StringBuilder();
-        InetSocketAddress to = one.listen(ANY, USUAL, c -> new Ear() {
+        InetSocketAddress to = one.listen(ANY, DEFAULTS, c -> new RecordingHandler() {
             @Override
             public void onData(Connection connection, ByteBuffer bytes) {
                 story.append(bytes.remaining()).append('@').append(its.now()).append(' ');
@@ -250,19 +250,19 @@
             }
         }).address();
         for (int i = 0; i < 10; i++) {
-            one.connect(null, to, USUAL, new Ear()).send(ByteBuffer.allocate(2000));
+            one.connect(null, to, DEFAULTS, new RecordingHandler()).send(ByteBuffer.allocate(2000));
         }
         its.runFor(1000 * MS);
         return story.toString();
     }
 
     @Test
-    void socketsCarryAMegabyteBothWaysAndStopFromAnotherThread() throws Exception {
+    void socketsEchoOneMebibyteAndStopFromAnotherThread() throws Exception {
         List<Throwable> thrown = new ArrayList<>();
         Loop sockets = Loop.onSockets(thrown::add);
         CountDownLatch back = new CountDownLatch(1);
         int size = 1 << 20;
-        InetSocketAddress to = sockets.listen(ANY, USUAL, c -> new ConnectionHandler() {
+        InetSocketAddress to = sockets.listen(ANY, DEFAULTS, c -> new ConnectionHandler() {
             @Override
             public void onData(Connection its, ByteBuffer bytes) {
                 its.send(ByteBuffer.allocate(bytes.remaining()).put(bytes).flip());
@@ -271,7 +271,7 @@
         int[] count = {0};
         Thread thread = new Thread(sockets);
         thread.start();
-        sockets.post(() -> sockets.connect(null, to, USUAL, new ConnectionHandler() {
+        sockets.post(() -> sockets.connect(null, to, DEFAULTS, new ConnectionHandler() {
             @Override
             public void onOpen(Connection its) {
                 its.send(ByteBuffer.allocate(size));
