--- a/src/main/java/rowanmoor/http/ClientConnection.java
+++ b/src/main/java/rowanmoor/http/ClientConnection.java
@@ -9,54 +9,60 @@
 import rowanmoor.net.Loop;
 
 /**
- * Asks over one connection with whole messages, one request at a time, answers held within
- * {@link MessageLimits#maxBodyBytes}. When it can be asked again is as {@link ClientStream} has it.
+ * HTTP client for whole messages on one connection, one request at a time, with response bodies of at most
+ * {@link MessageLimits#maxBodyBytes}. The connection is reused under the conditions of {@link ClientStream}.
  */
 public final class ClientConnection {
 
-    /** Hears what becomes of a request: exactly one of its methods is called, once. */
+    /** Receives the outcome of a request: exactly one of its methods is called, once. */
     public interface ResponseHandler {
 
         void onResponse(Message.Response response);
 
-        /** No answer will come. {@code neverRan}: not a byte of the request was written. */
-        void onFailure(boolean neverRan, CloseReason why, String detail);
+        /**
+         * The request failed without a response.
+         *
+         * @param neverRan whether not a byte of the request was written
+         */
+        void onFailure(boolean neverRan, CloseReason reason, String detail);
     }
 
     private final ClientStream stream;
 
     private ClientConnection(Loop loop, InetSocketAddress from, InetSocketAddress to,
-            Connection.Options options, MessageLimits limits, Consumer<ClientConnection> onGone) {
-        this.stream = ClientStream.openWithBodyLimit(loop, from, to, options, limits, gone -> onGone.accept(this));
+            Connection.Options options, MessageLimits limits, Consumer<ClientConnection> onClosed) {
+        this.stream = ClientStream.openWithBodyLimit(loop, from, to, options, limits,
+                closed -> onClosed.accept(this));
     }
 
-    /** Opens a connection; {@code onGone} hears once that the connection is over. */
+    /** Opens a connection; {@code onClosed} is called once when it is closed. */
     public static ClientConnection open(Loop loop, InetSocketAddress from, InetSocketAddress to,
-            Connection.Options options, MessageLimits limits, Consumer<ClientConnection> onGone) {
-        return new ClientConnection(loop, from, to, options, limits, onGone);
+            Connection.Options options, MessageLimits limits, Consumer<ClientConnection> onClosed) {
+        return new ClientConnection(loop, from, to, options, limits, onClosed);
     }
 
     /** Sends a request; the connection must be {@link #isAvailable}. */
-    public void send(Message.Request request, ResponseHandler answer) {
-        stream.sendHead(new MessagePart.RequestHead(request.method(), request.target(), request.minorVersion(), request.fields(),
-                request.body().length), new ResponseAssembler(answer));
+    public void send(Message.Request request, ResponseHandler responseHandler) {
+        stream.sendHead(new MessagePart.RequestHead(request.method(), request.target(),
+                request.minorVersion(), request.fields(), request.body().length),
+                new ResponseAssembler(responseHandler));
         stream.write(ByteBuffer.wrap(request.body()));
         stream.endRequest(new HttpFields());
     }
 
-    /** Puts an answer together and hands it over. */
+    /** Assembles a whole response and passes it on. */
     private static final class ResponseAssembler implements ClientStream.ResponseHandler {
         private final ResponseHandler responseHandler;
         private final ByteArrayOutputStream content = new ByteArrayOutputStream(0);
         private MessagePart.ResponseHead head;
 
-        ResponseAssembler(ResponseHandler answer) {
-            this.responseHandler = answer;
+        ResponseAssembler(ResponseHandler responseHandler) {
+            this.responseHandler = responseHandler;
         }
 
         @Override
-        public void onResponseHead(MessagePart.ResponseHead begun) {
-            head = begun;
+        public void onResponseHead(MessagePart.ResponseHead newHead) {
+            head = newHead;
         }
 
         @Override
@@ -68,27 +74,27 @@
 
         @Override
         public void onResponseEnd(HttpFields trailers) {
-            responseHandler.onResponse(new Message.Response(head.status(), head.reason(), head.minorVersion(), head.fields(),
-                    content.toByteArray()));
+            responseHandler.onResponse(new Message.Response(head.status(), head.reason(), head.minorVersion(),
+                    head.fields(), content.toByteArray()));
         }
 
         @Override
-        public void onFailure(boolean neverRan, CloseReason why, String detail) {
-            responseHandler.onFailure(neverRan, why, detail);
+        public void onFailure(boolean neverRan, CloseReason reason, String detail) {
+            responseHandler.onFailure(neverRan, reason, detail);
         }
     }
 
-    /** Whether a request can be sent: none is in work, and the last answer left the connection usable. */
+    /** Whether a request can be sent: none is in progress, and the connection can be reused. */
     public boolean isAvailable() {
         return stream.isAvailable();
     }
 
-    /** When it last became free, by the loop's clock. */
+    /** When the connection last became available, by the loop's clock. */
     public long idleSince() {
         return stream.idleSince();
     }
 
-    /** Gives the request in work up: nothing more is heard of it, and the connection closes. */
+    /** Cancels the request in progress: its handler is not called again, and the connection closes. */
     public void cancel() {
         stream.cancel();
     }
--- a/src/main/java/rowanmoor/http/ClientStream.java
+++ b/src/main/java/rowanmoor/http/ClientStream.java
@@ -9,35 +9,39 @@
 import rowanmoor.net.Loop;
 
 /**
- * Asks over one connection, part by part, one request at a time. The connection can be asked again only if
- * request and answer were whole, the answer left it open and nothing came after it.
+ * Streaming HTTP client on one connection, one request at a time. The connection is reused only if request
+ * and response were complete, the response keeps it alive and no bytes followed the response.
  */
 public final class ClientStream implements ConnectionHandler {
 
-    /** Hears what becomes of a request. */
+    /** Receives the response to a request, part by part. */
     public interface ResponseHandler {
 
-        /** An interim answer (1xx). */
+        /** The head of an interim response (1xx). */
         default void onInterimHead(MessagePart.ResponseHead head) { }
 
         void onResponseHead(MessagePart.ResponseHead head);
 
-        /** Some of the answer's content; the bytes are the reader's own. */
+        /** Some of the response's content; the buffer is the parser's, copy what must outlive the call. */
         void onResponseContent(ByteBuffer bytes);
 
-        /** The answer is whole. */
+        /** The response is complete. */
         void onResponseEnd(HttpFields trailers);
 
-        /** No whole answer will come. {@code neverRan}: not a byte of the request was written. */
-        void onFailure(boolean neverRan, CloseReason why, String detail);
+        /**
+         * The request failed without a complete response.
+         *
+         * @param neverRan whether not a byte of the request was written
+         */
+        void onFailure(boolean neverRan, CloseReason reason, String detail);
 
-        /** All that was written of the request has gone out. */
+        /** All request bytes written so far have been sent. */
         default void onRequestDrained() { }
     }
 
     private final Loop loop;
     private final MessagePartParser parser;
-    private final Consumer<ClientStream> onGone;
+    private final Consumer<ClientStream> onClosed;
     private Connection connection;
     private MessageWriter writer;
     private ResponseHandler responseHandler;
@@ -48,39 +52,44 @@
     private long idleSince;
     private boolean inInterimResponse;
 
-    private ClientStream(Loop loop, MessagePartParser parser, Consumer<ClientStream> onGone) {
+    private ClientStream(Loop loop, MessagePartParser parser, Consumer<ClientStream> onClosed) {
         this.loop = loop;
         this.parser = parser;
-        this.onGone = onGone;
+        this.onClosed = onClosed;
     }
 
-    /** Opens a connection; {@code onGone} hears once that it is over. */
+    /** Opens a connection; {@code onClosed} is called once when it is closed. */
     public static ClientStream open(Loop loop, InetSocketAddress from, InetSocketAddress to,
-            Connection.Options options, MessageLimits limits, Consumer<ClientStream> onGone) {
-        return open(loop, from, to, options, MessagePartParser.forResponses(limits).withoutBodyLimit(), onGone);
+            Connection.Options options, MessageLimits limits, Consumer<ClientStream> onClosed) {
+        return open(loop, from, to, options, MessagePartParser.forResponses(limits).withoutBodyLimit(),
+                onClosed);
     }
 
-    /** The same, with answers within {@link MessageLimits#maxBodyBytes} only. */
+    /** The same, with response bodies of at most {@link MessageLimits#maxBodyBytes}. */
     static ClientStream openWithBodyLimit(Loop loop, InetSocketAddress from, InetSocketAddress to,
-            Connection.Options options, MessageLimits limits, Consumer<ClientStream> onGone) {
-        return open(loop, from, to, options, MessagePartParser.forResponses(limits), onGone);
+            Connection.Options options, MessageLimits limits, Consumer<ClientStream> onClosed) {
+        return open(loop, from, to, options, MessagePartParser.forResponses(limits), onClosed);
     }
 
     private static ClientStream open(Loop loop, InetSocketAddress from, InetSocketAddress to,
-            Connection.Options options, MessagePartParser parser, Consumer<ClientStream> onGone) {
-        ClientStream client = new ClientStream(loop, parser, onGone);
+            Connection.Options options, MessagePartParser parser, Consumer<ClientStream> onClosed) {
+        ClientStream client = new ClientStream(loop, parser, onClosed);
         client.connection = loop.connect(from, to, options, client);
         client.writer = new MessageWriter(client.connection);
         client.idleSince = loop.now();
         return client;
     }
 
-    /** Sends a head; the connection must be {@link #isAvailable}. Its fields say nothing of framing. */
-    public void sendHead(MessagePart.RequestHead head, ResponseHandler answer) {
+    /**
+     * Sends a request head. Framing fields are set from the content length; those of the head are dropped.
+     *
+     * @throws IllegalStateException if the connection is not {@link #isAvailable}
+     */
+    public void sendHead(MessagePart.RequestHead head, ResponseHandler newHandler) {
         if (!isAvailable()) {
-            throw new IllegalStateException("the connection is in use or over");
+            throw new IllegalStateException("the connection is in use or cannot be reused");
         }
-        responseHandler = answer;
+        responseHandler = newHandler;
         requestComplete = false;
         parser.expectResponseTo(head.method());
         writtenBefore = connection.writtenBytes();
@@ -89,25 +98,26 @@
         fields.remove("Transfer-Encoding");
         if (head.contentLength() == MessagePart.CHUNKED) {
             fields.set("Transfer-Encoding", "chunked");
-        } else if (head.contentLength() > 0 || !head.method().equals("GET") && !head.method().equals("HEAD")) {
+        } else if (head.contentLength() > 0
+                || !head.method().equals("GET") && !head.method().equals("HEAD")) {
             fields.set("Content-Length", Long.toString(head.contentLength()));
         }
         writer.writeHead(head.method() + " " + head.target() + " HTTP/1.1", fields, head.contentLength());
     }
 
-    /** Some of the request's content, copied; false if the writer should pause until drained. */
+    /** Writes and copies some of the request's content; false if the caller should pause until drained. */
     public boolean write(ByteBuffer bytes) {
         if (connection.isClosed() || responseHandler == null) {
             return true;
         }
         if (!writer.writeContent(bytes)) {
-            connection.close(CloseReason.OVERFLOW, "content beyond its bound");
+            connection.close(CloseReason.OVERFLOW, "request content exceeds the write limit");
             return true;
         }
         return !writer.isAboveHighWater();
     }
 
-    /** The request is whole. */
+    /** Completes the request. */
     public void endRequest(HttpFields trailers) {
         if (!connection.isClosed() && !requestComplete) {
             requestComplete = true;
@@ -115,7 +125,7 @@
         }
     }
 
-    /** Reads no more of the answer, or goes on. */
+    /** Pauses or resumes reading of the response. */
     public void setPaused(boolean on) {
         if (connection.isOpen()) {
             if (on) {
@@ -126,12 +136,15 @@
         }
     }
 
-    /** Whether a request can be sent. */
+    /** Whether a request can be sent, as far as has been read from the connection. */
     public boolean isAvailable() {
         return responseHandler == null && requestComplete && !unusable && !connection.isClosed();
     }
 
-    /** Whether a request can be sent, going by all that has arrived, read or not: the peer may have ended. */
+    /**
+     * Whether a request can be sent, also considering what has arrived and not been read: the peer may have
+     * closed its side. If not, the connection must be closed.
+     */
     public boolean probeAvailable() {
         return isAvailable() && connection.probeReusable();
     }
@@ -140,30 +153,30 @@
         return connection.isClosed();
     }
 
-    /** Whether any byte of the request in work was written: if not, it never ran. */
+    /** Whether no byte of the request in progress has been written, so that it never ran. */
     public boolean nothingWritten() {
         return connection.writtenBytes() == writtenBefore;
     }
 
-    /** When it last became free, by the loop's clock. */
+    /** When the connection last became available, by the loop's clock. */
     public long idleSince() {
         return idleSince;
     }
 
-    /** Gives the request in work up: nothing more is heard of it, and the connection closes. */
+    /** Cancels the request in progress: its handler is not called again, and the connection closes. */
     public void cancel() {
         responseHandler = null;
         unusable = true;
-        connection.close(CloseReason.LOCAL, "given up");
+        connection.close(CloseReason.LOCAL, "request cancelled");
     }
 
-    /** Answers what is in work from now on to another. */
-    public void setResponseHandler(ResponseHandler other) {
-        responseHandler = other;
+    /** Replaces the handler of the request in progress. */
+    public void setResponseHandler(ResponseHandler newHandler) {
+        responseHandler = newHandler;
     }
 
     @Override
-    public void onData(Connection its, ByteBuffer bytes) {
+    public void onData(Connection ignored, ByteBuffer bytes) {
         try {
             while (connection.isOpen()) {
                 MessagePart part = parser.next(bytes);
@@ -179,11 +192,11 @@
 
     private void handlePart(MessagePart part, ByteBuffer bytes) {
         if (responseHandler == null) {
-            connection.close(CloseReason.PROTOCOL, "an answer that nothing asked for");
+            connection.close(CloseReason.PROTOCOL, "response without a request");
         } else if (part instanceof MessagePart.ResponseHead head) {
             keepAlive = head.isKeepAlive();
             if (head.status() == 101) {
-                connection.close(CloseReason.PROTOCOL, "a change of protocol that nothing asked for");
+                connection.close(CloseReason.PROTOCOL, "status 101 without a requested protocol upgrade");
             } else if (head.status() < 200) {
                 inInterimResponse = true;
                 responseHandler.onInterimHead(head);
@@ -191,31 +204,31 @@
                 inInterimResponse = false;
                 responseHandler.onResponseHead(head);
             }
-        } else if (part instanceof MessagePart.Content piece) {
-            responseHandler.onResponseContent(piece.bytes());
+        } else if (part instanceof MessagePart.Content content) {
+            responseHandler.onResponseContent(content.bytes());
         } else if (inInterimResponse) {
-            inInterimResponse = false; // the end of an interim answer
+            inInterimResponse = false; // the end of an interim response
         } else {
             finishResponse(((MessagePart.End) part).trailers(), bytes);
         }
     }
 
     private void finishResponse(HttpFields trailers, ByteBuffer bytes) {
-        ResponseHandler answer = responseHandler;
+        ResponseHandler finishedHandler = responseHandler;
         responseHandler = null;
         idleSince = loop.now();
-        // Bytes after an answer belong to no request; an answer before the request was whole leaves its rest.
+        // Bytes after a response belong to no request; an early response leaves the request incomplete.
         unusable = !keepAlive || bytes.hasRemaining() || !requestComplete;
         if (unusable) {
-            connection.close(CloseReason.LOCAL, "not kept alive");
+            connection.close(CloseReason.LOCAL, "connection not kept alive");
         } else {
-            connection.resume(); // its last piece may have paused it: the next answer must be read
+            connection.resume(); // the handler may have paused it: the next response must be read
         }
-        answer.onResponseEnd(trailers);
+        finishedHandler.onResponseEnd(trailers);
     }
 
     @Override
-    public boolean onInputEnd(Connection its) {
+    public boolean onInputEnd(Connection ignored) {
         try {
             MessagePart last = parser.end();
             if (last instanceof MessagePart.End end && responseHandler != null) {
@@ -229,20 +242,20 @@
     }
 
     @Override
-    public void onDrained(Connection its) {
+    public void onDrained(Connection ignored) {
         if (responseHandler != null) {
             responseHandler.onRequestDrained();
         }
     }
 
     @Override
-    public void onClose(Connection its, CloseReason why, String detail) {
+    public void onClose(Connection ignored, CloseReason reason, String detail) {
         unusable = true;
-        ResponseHandler answer = responseHandler;
+        ResponseHandler finishedHandler = responseHandler;
         responseHandler = null;
-        if (answer != null) {
-            answer.onFailure(why.neverConnected() || nothingWritten(), why, detail);
+        if (finishedHandler != null) {
+            finishedHandler.onFailure(reason.neverConnected() || nothingWritten(), reason, detail);
         }
-        onGone.accept(this);
+        onClosed.accept(this);
     }
 }
--- a/src/main/java/rowanmoor/http/HttpFields.java
+++ b/src/main/java/rowanmoor/http/HttpFields.java
@@ -5,13 +5,13 @@
 import java.util.Locale;
 import java.util.function.BiConsumer;
 
-/** Header fields in their order; names compare without case (RFC 9110, 5.1). */
+/** Header or trailer fields in order; names are compared case-insensitively (RFC 9110, 5.1). */
 public final class HttpFields {
 
     private final List<String> names = new ArrayList<>();
     private final List<String> values = new ArrayList<>();
 
-    /** Fields of alternating names and values. */
+    /** Fields from alternating names and values. */
     public static HttpFields of(String... namesAndValues) {
         HttpFields fields = new HttpFields();
         for (int i = 0; i < namesAndValues.length; i += 2) {
@@ -20,13 +20,14 @@
         return fields;
     }
 
+    /** Appends a field and returns this. */
     public HttpFields add(String name, String value) {
         names.add(name);
         values.add(value);
         return this;
     }
 
-    /** The first value of a name, or null. */
+    /** The first value of a field, or null. */
     public String get(String name) {
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equalsIgnoreCase(name)) {
@@ -36,16 +37,18 @@
         return null;
     }
 
-    public String get(String name, String otherwise) {
+    /** The first value of a field, or a default. */
+    public String get(String name, String defaultValue) {
         String value = get(name);
-        return value == null ? otherwise : value;
+        return value == null ? defaultValue : value;
     }
 
+    /** The number of field lines with a name. */
     public int count(String name) {
         return (int) names.stream().filter(n -> n.equalsIgnoreCase(name)).count();
     }
 
-    /** Whether a comma-separated field holds a token, without case. */
+    /** Whether a comma-separated field contains a token, which is given in lower case; ignores case. */
     public boolean hasToken(String name, String token) {
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equalsIgnoreCase(name)) {
@@ -59,6 +62,7 @@
         return false;
     }
 
+    /** Removes all field lines with a name. */
     public void remove(String name) {
         for (int i = names.size() - 1; i >= 0; i--) {
             if (names.get(i).equalsIgnoreCase(name)) {
@@ -68,14 +72,16 @@
         }
     }
 
+    /** Replaces all field lines with a name by one, at the end, and returns this. */
     public HttpFields set(String name, String value) {
         remove(name);
         return add(name, value);
     }
 
-    public void forEach(BiConsumer<String, String> each) {
+    /** Calls an action with each name and value, in order. */
+    public void forEach(BiConsumer<String, String> action) {
         for (int i = 0; i < names.size(); i++) {
-            each.accept(names.get(i), values.get(i));
+            action.accept(names.get(i), values.get(i));
         }
     }
 
--- a/src/main/java/rowanmoor/http/Message.java
+++ b/src/main/java/rowanmoor/http/Message.java
@@ -4,7 +4,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** A whole HTTP/1.1 message; {@code minorVersion} is the version after the point, 0 or 1. */
+/** A complete HTTP/1.0 or HTTP/1.1 message; {@code minorVersion} is 0 or 1. */
 public sealed interface Message {
 
     int minorVersion();
@@ -19,19 +19,22 @@
                 : fields().hasToken("connection", "keep-alive");
     }
 
-    record Request(String method, String target, int minorVersion, HttpFields fields, byte[] body) implements Message {
+    /** A request with its whole content. */
+    record Request(String method, String target, int minorVersion, HttpFields fields, byte[] body)
+            implements Message {
 
+        /** A GET request without content; {@code fields} are alternating names and values. */
         public static Request get(String target, String... fields) {
             return new Request("GET", target, 1, HttpFields.of(fields), new byte[0]);
         }
 
-        /** The target up to its query. */
+        /** The target without its query. */
         public String path() {
             int query = target.indexOf('?');
             return query < 0 ? target : target.substring(0, query);
         }
 
-        /** The first value of a query key, undecoded, or null. */
+        /** The first value of a query parameter, not percent-decoded, or null. */
         public String queryParameter(String key) {
             int at = target.indexOf('?');
             if (at < 0) {
@@ -47,40 +50,45 @@
             return null;
         }
 
-        /** The bytes on the wire, framed by a length. */
+        /** The bytes on the wire, framed by Content-Length. */
         public ByteBuffer encode() {
             boolean framed = body.length > 0 || !method.equals("GET") && !method.equals("HEAD");
             return Message.encode(method + " " + target + " HTTP/1." + minorVersion, fields, body, framed);
         }
     }
 
-    record Response(int status, String reason, int minorVersion, HttpFields fields, byte[] body) implements Message {
+    /** A response with its whole content. */
+    record Response(int status, String reason, int minorVersion, HttpFields fields, byte[] body)
+            implements Message {
 
+        /** A response with a text as its content; {@code fields} are alternating names and values. */
         public static Response of(int status, String text, String... fields) {
             return new Response(status, ReasonPhrases.of(status), 1, HttpFields.of(fields),
                     text.getBytes(StandardCharsets.UTF_8));
         }
 
-        /** The bytes on the wire, framed by a length; {@code head} leaves the content out, as for HEAD. */
+        /** The bytes on the wire, framed by Content-Length; {@code head} omits the content, as for HEAD. */
         public ByteBuffer encode(boolean head) {
-            boolean bare = status < 200 || status == 204 || status == 304;
-            byte[] sent = bare || head ? new byte[0] : body;
+            boolean withoutContent = status < 200 || status == 204 || status == 304;
+            byte[] sent = withoutContent || head ? new byte[0] : body;
             HttpFields framed = fields;
-            if (head && !bare) {
+            if (head && !withoutContent) {
                 framed = fields.copy().set("Content-Length", Integer.toString(body.length));
                 framed.remove("Transfer-Encoding");
-                return Message.encode("HTTP/1." + minorVersion + " " + status + " " + reason, framed, sent, false);
+                return Message.encode("HTTP/1." + minorVersion + " " + status + " " + reason, framed, sent,
+                        false);
             }
-            return Message.encode("HTTP/1." + minorVersion + " " + status + " " + reason, framed, sent, !bare);
+            return Message.encode("HTTP/1." + minorVersion + " " + status + " " + reason, framed, sent,
+                    !withoutContent);
         }
     }
 
     /**
-     * The bytes of a message framed by chunks (RFC 9112, 7.1), for a peer that speaks HTTP/1.1.
+     * The bytes of a message in chunked transfer coding (RFC 9112, 7.1), for a peer that supports HTTP/1.1.
      *
-     * @param most the most bytes of one chunk, 1 or more
+     * @param maxChunkBytes the most bytes of one chunk, 1 or more
      */
-    static ByteBuffer encodeChunked(Message message, int most) {
+    static ByteBuffer encodeChunked(Message message, int maxChunkBytes) {
         String start = message instanceof Request r ? r.method() + " " + r.target() + " HTTP/1.1"
                 : "HTTP/1.1 " + ((Response) message).status() + " " + ((Response) message).reason();
         HttpFields fields = message.fields().copy().set("Transfer-Encoding", "chunked");
@@ -89,8 +97,8 @@
         byte[] body = message.body();
         ByteArrayOutputStream out = new ByteArrayOutputStream(head.remaining() + body.length + 64);
         out.write(head.array(), 0, head.remaining());
-        for (int at = 0; at < body.length; at += most) {
-            int count = Math.min(most, body.length - at);
+        for (int at = 0; at < body.length; at += maxChunkBytes) {
+            int count = Math.min(maxChunkBytes, body.length - at);
             out.writeBytes((Integer.toHexString(count) + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
             out.write(body, at, count);
             out.write('\r');
--- a/src/main/java/rowanmoor/http/MessageLimits.java
+++ b/src/main/java/rowanmoor/http/MessageLimits.java
@@ -1,12 +1,12 @@
 package rowanmoor.http;
 
 /**
- * Bounds of one message, all in bytes but {@code fields}.
+ * Size limits of one message.
  *
- * @param startLine request or status line
- * @param head all field lines together; trailers have the same bound again
- * @param fields how many field lines
- * @param body the content after decoding
+ * @param maxStartLineBytes request or status line
+ * @param maxHeadBytes all field lines together; the trailers have the same limit separately
+ * @param maxFieldCount number of field lines
+ * @param maxBodyBytes the content after decoding
  */
 public record MessageLimits(int maxStartLineBytes, int maxHeadBytes, int maxFieldCount, int maxBodyBytes) {
 
@@ -15,7 +15,8 @@
         return new MessageLimits(4096, 16384, 64, 1 << 20);
     }
 
-    public MessageLimits body(int other) {
-        return new MessageLimits(maxStartLineBytes, maxHeadBytes, maxFieldCount, other);
+    /** A copy with another limit of the content, in bytes. */
+    public MessageLimits body(int bytes) {
+        return new MessageLimits(maxStartLineBytes, maxHeadBytes, maxFieldCount, bytes);
     }
 }
--- a/src/main/java/rowanmoor/http/MessageParser.java
+++ b/src/main/java/rowanmoor/http/MessageParser.java
@@ -4,9 +4,9 @@
 import java.nio.ByteBuffer;
 
 /**
- * Reads one whole message after another from bytes that come in any pieces, content held within
- * {@link MessageLimits#maxBodyBytes}; {@link MessagePartParser} says what is refused. A parser that has thrown is of no further
- * use.
+ * Parses successive whole messages from input split at any point, with content of at most
+ * {@link MessageLimits#maxBodyBytes}; {@link MessagePartParser} describes what is rejected. A parser that has
+ * thrown must not be used again.
  */
 public final class MessageParser {
 
@@ -26,42 +26,42 @@
         return new MessageParser(MessagePartParser.forResponses(limits));
     }
 
-    /** Which method the next response answers: one to HEAD has no content (RFC 9112, 6.3). */
-    public void expectResponseTo(String itsMethod) {
-        parts.expectResponseTo(itsMethod);
+    /** Sets the request method of the next response: a response to HEAD has no content (RFC 9112, 6.3). */
+    public void expectResponseTo(String requestMethod) {
+        parts.expectResponseTo(requestMethod);
     }
 
-    /** Whether a message has begun and is not whole. */
+    /** Whether a message has begun and is incomplete. */
     public boolean inMessage() {
         return parts.inMessage();
     }
 
-    /** Reads up to the end of one message and leaves the rest; null if the bytes end before it does. */
+    /** Parses up to the end of one message and leaves the rest; null if the message is incomplete. */
     public Message next(ByteBuffer bytes) throws HttpError {
         for (MessagePart part = parts.next(bytes); part != null; part = parts.next(bytes)) {
-            Message whole = handlePart(part);
-            if (whole != null) {
-                return whole;
+            Message message = handlePart(part);
+            if (message != null) {
+                return message;
             }
         }
         return null;
     }
 
-    /** The peer has ended its bytes: the message that this completes, or null if none had begun. */
+    /** Signals the end of input; returns the message that it completes, or null if none had begun. */
     public Message end() throws HttpError {
         MessagePart part = parts.end();
         return part == null ? null : handlePart(part);
     }
 
     private Message handlePart(MessagePart part) {
-        if (part instanceof MessagePart.Head begun) {
-            head = begun;
+        if (part instanceof MessagePart.Head newHead) {
+            head = newHead;
             body = new ByteArrayOutputStream(0);
             return null;
         }
-        if (part instanceof MessagePart.Content piece) {
-            byte[] bytes = new byte[piece.bytes().remaining()];
-            piece.bytes().get(bytes);
+        if (part instanceof MessagePart.Content contentPart) {
+            byte[] bytes = new byte[contentPart.bytes().remaining()];
+            contentPart.bytes().get(bytes);
             body.write(bytes, 0, bytes.length);
             return null;
         }
--- a/src/main/java/rowanmoor/http/MessagePartParser.java
+++ b/src/main/java/rowanmoor/http/MessagePartParser.java
@@ -5,11 +5,10 @@
 import java.util.Arrays;
 
 /**
- * Reads one message after another, part by part, from bytes that come in any pieces. Strict where leniency
- * has let
- * requests be smuggled: lines end in CR LF and nothing else; no bare CR, no folded line, no space before
- * a colon; one length at most, and never a length beside a chunked coding (RFC 9112, 5 to 7). Everything
- * is bounded by {@link MessageLimits}. A parser that has thrown is of no further use.
+ * Parses successive messages part by part from input split at any point. Strict where leniency allows
+ * request smuggling: lines end in CR LF only; no bare CR, no folded lines, no space before a colon; at most
+ * one Content-Length, and none together with a chunked coding (RFC 9112, 5 to 7). All sizes are bounded by
+ * {@link MessageLimits}. A parser that has thrown must not be used again.
  */
 public final class MessagePartParser {
 
@@ -58,23 +57,23 @@
         return new MessagePartParser(false, limits);
     }
 
-    /** Content of any length: for one who passes it on piece by piece. */
+    /** Removes the limit of the content's length, for a caller that streams it; returns this. */
     public MessagePartParser withoutBodyLimit() {
         maxBodyBytes = Long.MAX_VALUE;
         return this;
     }
 
-    /** Which method the next response answers: one to HEAD has no content (RFC 9112, 6.3). */
-    public void expectResponseTo(String itsMethod) {
-        requestMethod = itsMethod;
+    /** Sets the request method of the next response: a response to HEAD has no content (RFC 9112, 6.3). */
+    public void expectResponseTo(String newRequestMethod) {
+        requestMethod = newRequestMethod;
     }
 
-    /** Whether a message has begun and is not whole. */
+    /** Whether a message has begun and is incomplete. */
     public boolean inMessage() {
         return step != Step.START || lineLength > 0 || sawCr;
     }
 
-    /** The next part, or null if the bytes end before it does. A piece is as much content as there is. */
+    /** The next part, or null if it is incomplete. A content part holds as much content as is available. */
     public MessagePart next(ByteBuffer bytes) throws HttpError {
         if (step == Step.BROKEN) {
             throw new HttpError(400, "the connection's bytes are no longer framed");
@@ -101,7 +100,7 @@
         return part;
     }
 
-    /** The peer has ended its bytes: the end that this makes, or null if no message had begun. */
+    /** Signals the end of input; returns the end part that it completes, or null if no message had begun. */
     public MessagePart end() throws HttpError {
         if (step == Step.UNTIL_END) {
             finishMessage();
@@ -155,7 +154,7 @@
             throw new HttpError(400, "an LF without its CR");
         } else {
             if (lineLength == line.length) {
-                line = Arrays.copyOf(line, 2 * lineLength); // bounded by the check below
+                line = Arrays.copyOf(line, 2 * lineLength); // limited by checkLineLength
             }
             line[lineLength++] = (byte) c;
             checkLineLength();
@@ -164,8 +163,8 @@
 
     private void checkLineLength() throws HttpError {
         if (step == Step.START && lineLength > limits.maxStartLineBytes()) {
-            throw new HttpError(requests ? 414 : 400, "a first line of more than " + limits.maxStartLineBytes()
-                    + " bytes");
+            throw new HttpError(requests ? 414 : 400, "a first line of more than "
+                    + limits.maxStartLineBytes() + " bytes");
         }
         if (step == Step.CHUNK_END || step == Step.CHUNK_SIZE && lineLength > MAX_CHUNK_LINE_BYTES) {
             throw new HttpError(400, "a chunk is not framed");
@@ -200,7 +199,7 @@
 
     private void parseStartLine(String text) throws HttpError {
         if (text.isEmpty()) {
-            // A server should ignore an empty line before a request (RFC 9112, 2.2); not any number of them.
+            // A server should ignore an empty line before a request (RFC 9112, 2.2), but not any number.
             if (!requests || ++blankLines > MAX_BLANK_LINES) {
                 throw new HttpError(400, "empty lines before a message");
             }
@@ -232,10 +231,10 @@
     }
 
     private void parseStatusLine(String text) throws HttpError {
-        boolean shaped = text.length() >= 12 && text.charAt(8) == ' '
+        boolean wellFormed = text.length() >= 12 && text.charAt(8) == ' '
                 && (text.length() == 12 || text.charAt(12) == ' ')
                 && text.substring(9, 12).chars().allMatch(c -> c >= '0' && c <= '9');
-        if (!shaped) {
+        if (!wellFormed) {
             throw new HttpError(400, "a status line is not VERSION CODE REASON");
         }
         parseVersion(text.substring(0, 8));
@@ -275,7 +274,7 @@
         into.add(text.substring(0, colon), value);
     }
 
-    /** Without spaces and tabs around; what else {@code String.trim} takes may not be dropped unseen. */
+    /** Strips spaces and tabs only: {@code String.trim} would drop controls, which must be rejected. */
     private static String trim(String text) {
         int from = 0;
         int to = text.length();
@@ -298,13 +297,13 @@
             throw new HttpError(400, "two lengths, or a length beside a transfer coding");
         }
         bodyBytes = 0;
-        boolean bare = !requests && (status < 200 || status == 204 || status == 304
+        boolean withoutContent = !requests && (status < 200 || status == 204 || status == 304
                 || requestMethod.equals("HEAD"));
         if (codings > 0) {
-            checkTransferCoding(bare);
+            checkTransferCoding(withoutContent);
         } else if (lengths == 1) {
             remainingBytes = parseContentLength(fields.get("content-length"));
-            if (remainingBytes > maxBodyBytes && !bare) {
+            if (remainingBytes > maxBodyBytes && !withoutContent) {
                 throw new HttpError(413, "content of " + remainingBytes + " bytes");
             }
             step = Step.FIXED;
@@ -312,34 +311,34 @@
             remainingBytes = 0;
             step = requests ? Step.FIXED : Step.UNTIL_END;
         }
-        long length = bare ? 0 : step == Step.CHUNK_SIZE ? MessagePart.CHUNKED : step == Step.UNTIL_END
-                ? MessagePart.UNTIL_CLOSE : remainingBytes;
+        long length = withoutContent ? 0 : step == Step.CHUNK_SIZE ? MessagePart.CHUNKED
+                : step == Step.UNTIL_END ? MessagePart.UNTIL_CLOSE : remainingBytes;
         pendingPart = requests ? new MessagePart.RequestHead(method, target, minor, fields, length)
                 : new MessagePart.ResponseHead(status, reason, minor, fields, length);
         fields = new HttpFields();
         fieldCount = 0;
-        if (bare || step == Step.FIXED && remainingBytes == 0) {
+        if (withoutContent || step == Step.FIXED && remainingBytes == 0) {
             finishMessage();
         }
     }
 
-    private void checkTransferCoding(boolean bare) throws HttpError {
+    private void checkTransferCoding(boolean withoutContent) throws HttpError {
         if (fields.count("transfer-encoding") > 1
                 || !fields.get("transfer-encoding").equalsIgnoreCase("chunked")) {
             throw new HttpError(501, "a transfer coding other than chunked");
         }
-        // An answer to HEAD and a 304 may name the coding that content would have had (RFC 9112, 6.1).
-        boolean names = bare && status >= 200 && status != 204;
-        if (minor == 0 || bare && !names) {
+        // A response to HEAD and a 304 may name the coding that the content would have had (RFC 9112, 6.1).
+        boolean mayNameCoding = withoutContent && status >= 200 && status != 204;
+        if (minor == 0 || withoutContent && !mayNameCoding) {
             throw new HttpError(400, "a transfer coding where none may be");
         }
         step = Step.CHUNK_SIZE;
     }
 
     private static long parseContentLength(String digits) throws HttpError {
-        boolean whole = !digits.isEmpty() && digits.length() <= MAX_LENGTH_DIGITS
+        boolean valid = !digits.isEmpty() && digits.length() <= MAX_LENGTH_DIGITS
                 && digits.chars().allMatch(c -> c >= '0' && c <= '9');
-        if (!whole) {
+        if (!valid) {
             throw new HttpError(400, "a content length is not a number");
         }
         return Long.parseLong(digits);
--- a/src/main/java/rowanmoor/http/MessageWriter.java
+++ b/src/main/java/rowanmoor/http/MessageWriter.java
@@ -5,12 +5,12 @@
 import rowanmoor.net.Connection;
 
 /**
- * Writes one message part by part: a head, its content framed as the head says, an end. It says when enough
- * waits to be written; what is written after that is still taken, up to the connection's bound.
+ * Writes one message part by part: a head, its content in the framing of the head, an end. It reports when
+ * the write queue is above its high-water mark; content is still accepted up to the connection's write limit.
  */
 final class MessageWriter {
 
-    /** Bytes, or frames, that wait to be written: from here on a writer should pause. */
+    /** Queued bytes or frames from which the caller should pause. */
     static final long HIGH_WATER_BYTES = 1 << 16;
     static final int HIGH_WATER_FRAMES = 512;
     private static final byte[] LAST_CHUNK = "0\r\n".getBytes(StandardCharsets.ISO_8859_1);
@@ -27,7 +27,8 @@
     /**
      * Writes a head.
      *
-     * @param length the content's length, {@link MessagePart#CHUNKED}, or {@link MessagePart#UNTIL_CLOSE} for as it comes
+     * @param length the content's length in bytes, {@link MessagePart#CHUNKED} or
+     *     {@link MessagePart#UNTIL_CLOSE}
      */
     boolean writeHead(String start, HttpFields fields, long length) {
         chunked = length == MessagePart.CHUNKED;
@@ -44,20 +45,22 @@
         return ByteBuffer.wrap(head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** Writes some content, which is copied. False if the connection did not take it. */
+    /** Writes and copies some content. False if the connection did not accept it. */
     boolean writeContent(ByteBuffer bytes) {
         int count = bytes.remaining();
         if (count == 0) {
             return true;
         }
         if (count > remainingBytes) {
-            throw new IllegalStateException("more content than its head said");
+            throw new IllegalStateException("more content than the length in the head: " + count
+                    + " bytes where " + remainingBytes + " are left");
         }
         remainingBytes -= count;
         ByteBuffer copy;
         if (chunked) {
             byte[] size = Integer.toHexString(count).getBytes(StandardCharsets.ISO_8859_1);
-            copy = ByteBuffer.allocate(count + CHUNK_OVERHEAD_BYTES).put(size).put((byte) '\r').put((byte) '\n');
+            copy = ByteBuffer.allocate(count + CHUNK_OVERHEAD_BYTES).put(size);
+            copy.put((byte) '\r').put((byte) '\n');
             copy.put(bytes).put((byte) '\r').put((byte) '\n');
         } else {
             copy = ByteBuffer.allocate(count).put(bytes);
@@ -65,7 +68,7 @@
         return connection.send(copy.flip());
     }
 
-    /** Ends the message; trailers go only after chunks (RFC 9112, 7.1.2). */
+    /** Ends the message; trailers are sent only with chunked coding (RFC 9112, 7.1.2). */
     boolean writeEnd(HttpFields trailers) {
         if (!chunked) {
             return true;
@@ -76,7 +79,7 @@
                 .put((byte) '\r').put((byte) '\n').flip() : fields);
     }
 
-    /** Whether all the content that the head promised was written. */
+    /** Whether all the content of the length in the head was written. */
     boolean isContentComplete() {
         return remainingBytes == 0 || remainingBytes > Long.MAX_VALUE / 2;
     }
--- a/src/main/java/rowanmoor/http/ReasonPhrases.java
+++ b/src/main/java/rowanmoor/http/ReasonPhrases.java
@@ -1,6 +1,6 @@
 package rowanmoor.http;
 
-/** Reason phrases of the status codes that this program sends (RFC 9110, 15). */
+/** Reason phrases of the status codes that this program sends (RFC 9110, 15); empty for others. */
 final class ReasonPhrases {
 
     private ReasonPhrases() { }
--- a/src/main/java/rowanmoor/http/ServerConnection.java
+++ b/src/main/java/rowanmoor/http/ServerConnection.java
@@ -5,62 +5,63 @@
 import rowanmoor.net.Connection;
 
 /**
- * Serves one connection with whole messages, content held within {@link MessageLimits#maxBodyBytes}. What is refused, how
- * requests sent ahead wait and when a client has given up is as {@link ServerStream} has it.
+ * HTTP server for whole messages on one connection, with request bodies of at most
+ * {@link MessageLimits#maxBodyBytes}. What is rejected, how pipelined requests are buffered and when a client
+ * has given up is as in {@link ServerStream}.
  */
 public class ServerConnection extends ServerStream {
 
-    /** Answers requests. */
+    /** Handles requests. */
     public interface Service {
 
-        /** A request came; answer it through the exchange, now or later. */
+        /** A request has arrived; respond through the exchange, now or later. */
         void onRequest(Message.Request request, Exchange exchange);
 
-        /** The client of an unanswered exchange is gone. */
+        /** The client disconnected before the response. */
         default void onAborted(Exchange exchange) { }
     }
 
-    /** One request's way back. */
+    /** One request, and the means to respond to it. */
     public static final class Exchange {
-        private final ServerStream.Exchange parts;
-        /** Free for the service's own use. */
+        private final ServerStream.Exchange streamExchange;
+        /** For the service's own use. */
         public Object attachment;
 
-        private Exchange(ServerStream.Exchange parts) {
-            this.parts = parts;
+        private Exchange(ServerStream.Exchange streamExchange) {
+            this.streamExchange = streamExchange;
         }
 
         public Connection connection() {
-            return parts.connection();
+            return streamExchange.connection();
         }
 
-        /** Answers; only the first call counts. False if the client is gone or was answered. */
+        /** Responds; only the first call has an effect. False if the client is gone or has had a response. */
         public boolean respond(Message.Response response) {
-            MessagePart.ResponseHead head = new MessagePart.ResponseHead(response.status(), response.reason(), 1,
-                    response.fields(), response.body().length);
-            if (!parts.beginResponse(head)) {
+            MessagePart.ResponseHead head = new MessagePart.ResponseHead(response.status(), response.reason(),
+                    1, response.fields(), response.body().length);
+            if (!streamExchange.beginResponse(head)) {
                 return false;
             }
-            parts.write(ByteBuffer.wrap(response.body()));
-            parts.endResponse(new HttpFields());
+            streamExchange.write(ByteBuffer.wrap(response.body()));
+            streamExchange.endResponse(new HttpFields());
             return true;
         }
 
-        /** Breaks the connection: for stand-ins that fail on purpose. */
+        /** Resets the connection, for stand-ins that simulate failures. */
         public void abort() {
-            parts.abort();
+            streamExchange.abort();
         }
     }
 
-    /** Puts a request together and hands it over. */
+    /** Assembles a whole request and passes it on. */
     private record RequestAssembler(Service service) implements ServerStream.Service {
 
         @Override
-        public void onRequest(ServerStream.Exchange parts) {
-            Exchange exchange = new Exchange(parts);
-            parts.attachment = exchange;
+        public void onRequest(ServerStream.Exchange streamExchange) {
+            Exchange exchange = new Exchange(streamExchange);
+            streamExchange.attachment = exchange;
             ByteArrayOutputStream content = new ByteArrayOutputStream(0);
-            parts.setBodyConsumer(new BodyConsumer() {
+            streamExchange.setBodyConsumer(new BodyConsumer() {
                 @Override
                 public void onRequestContent(ByteBuffer bytes) {
                     byte[] piece = new byte[bytes.remaining()];
@@ -70,7 +71,7 @@
 
                 @Override
                 public void onRequestEnd(HttpFields trailers) {
-                    MessagePart.RequestHead head = parts.head();
+                    MessagePart.RequestHead head = streamExchange.head();
                     service.onRequest(new Message.Request(head.method(), head.target(), head.minorVersion(),
                             head.fields(), content.toByteArray()), exchange);
                 }
@@ -78,9 +79,9 @@
         }
 
         @Override
-        public void onAborted(ServerStream.Exchange parts) {
-            if (parts.isRequestComplete()) {
-                service.onAborted((Exchange) parts.attachment);
+        public void onAborted(ServerStream.Exchange streamExchange) {
+            if (streamExchange.isRequestComplete()) {
+                service.onAborted((Exchange) streamExchange.attachment);
             }
         }
     }
--- a/src/main/java/rowanmoor/http/ServerStream.java
+++ b/src/main/java/rowanmoor/http/ServerStream.java
@@ -9,26 +9,27 @@
 import rowanmoor.net.Timer;
 
 /**
- * Serves one connection part by part: a request is handed over with its head, its content as it comes, and
- * answered in parts too. One request at a time and in order; what a client sends ahead waits, at most
- * {@value #AHEAD_MOST} bytes and one read of it. Content is read no faster than it is taken. A client that
- * ends its bytes while its request is in work has given up.
+ * Streaming HTTP server on one connection: requests are delivered and responses written part by part.
+ * Requests are served one at a time and in order; pipelined input is buffered, at most
+ * {@value #MAX_PIPELINED_BYTES} bytes and one further read. Content is read only as fast as it is consumed. A
+ * client that closes its side while its request is in progress has given up.
  *
- * <p>A connection without a request in work is never just closed, since a request may be on its way: it ends
- * with a 408 that names {@link #NEVER_RAN_FIELD}, and what comes after that is read and dropped (RFC 9110, 15.5.9).
+ * <p>A connection without a request in progress is never simply closed, since a request may be in transit:
+ * the server sends a 408 with {@link #NEVER_RAN_FIELD}, then reads and discards what still arrives
+ * (RFC 9110, 15.5.9).
  */
 public class ServerStream implements ConnectionHandler {
 
-    /** Set on a refusal: proof that nothing was done for the request. */
+    /** Header field of a rejection: guarantees that the request was not processed. */
     public static final String NEVER_RAN_FIELD = "x-never-ran";
     static final int MAX_PIPELINED_BYTES = 1 << 16;
     /**
-     * A client that opens a connection for a request sends it along with the handshake's last packet: one
-     * that has sent nothing for so long was opened in advance. It is not waited for when the server stops,
-     * ns.
+     * How long a stopping server waits for the first request of a connection. A client that opens a
+     * connection for a request sends it along with the handshake's last packet; a connection without a
+     * request after this time was opened in advance.
      */
     private static final long FIRST_REQUEST_TIMEOUT_NS = 50_000_000L;
-    /** An answered request's content up to this is read to its end, so that the connection can be kept. */
+    /** Most content that is read and discarded after an early response to keep the connection alive. */
     private static final long MAX_DISCARDED_BYTES = 1 << 16;
     private static final BodyConsumer DISCARD = new BodyConsumer() {
         @Override
@@ -38,42 +39,41 @@
         public void onRequestEnd(HttpFields trailers) { }
     };
 
-    /** Serves requests. */
+    /** Handles requests. */
     public interface Service {
 
-        /** A request's head came. What its content goes to must be set now. */
+        /** A request's head has arrived. The consumer of its content must be set during this call. */
         void onRequest(Exchange exchange);
 
-        /** The client is gone before its answer was whole. */
+        /** The client disconnected before the response was complete. */
         void onAborted(Exchange exchange);
     }
 
     /**
-     * How long a client is waited for, in nanoseconds; 0 for no bound.
+     * How long to wait for a client, in nanoseconds; 0 for no limit.
      *
-     * @param head from a head's first byte to its last; also for the rest of content that nobody takes any
-     *     more
-     * @param idle between two requests
+     * @param headNs from a head's first byte to its last; also for the rest of content that is discarded
+     * @param idleNs between two requests
      */
     public record Timeouts(long headNs, long idleNs) {
 
-        /** No bound at all. */
+        /** No time-outs. */
         static final Timeouts NONE = new Timeouts(0, 0);
     }
 
-    /** What is waited for from the client. */
+    /** What the client has to send next. */
     private enum ClientDuty { NOTHING, REQUEST, HEAD, REST_OF_CONTENT }
 
-    /** Takes a request's content. */
+    /** Receives a request's content. */
     public interface BodyConsumer {
 
-        /** The bytes are the reader's own: what is kept must be copied. */
+        /** Some content; the buffer is the parser's, copy what must outlive the call. */
         void onRequestContent(ByteBuffer bytes);
 
         void onRequestEnd(HttpFields trailers);
     }
 
-    /** One request and its answer's way back. */
+    /** One request, and the means to respond to it. */
     public final class Exchange {
         private final MessagePart.RequestHead head;
         private final MessageWriter writer = new MessageWriter(connection);
@@ -85,7 +85,7 @@
         private boolean untilClose;
         private boolean withoutContent;
         private boolean closeAfterResponse;
-        /** Free for the service's own use. */
+        /** For the service's own use. */
         public Object attachment;
 
         private Exchange(MessagePart.RequestHead head) {
@@ -100,26 +100,27 @@
             return connection;
         }
 
-        /** Where the request's content goes; without it, nowhere. */
-        public void setBodyConsumer(BodyConsumer itsBody) {
-            bodyConsumer = itsBody;
+        /** Sets the consumer of the request's content; without one, the content is discarded. */
+        public void setBodyConsumer(BodyConsumer newConsumer) {
+            bodyConsumer = newConsumer;
         }
 
-        /** Whether the request's content is whole. */
+        /** Whether the request has arrived completely. */
         public boolean isRequestComplete() {
             return requestComplete;
         }
 
-        /** Whether the answer's head has gone out. */
+        /** Whether the response's head has been written. */
         public boolean hasResponseBegun() {
             return responseBegun;
         }
 
+        /** Whether the response is complete or the exchange was aborted. */
         public boolean isFinished() {
             return finished;
         }
 
-        /** Reads no more of the content, or goes on. */
+        /** Pauses or resumes reading of the content. */
         public void setPaused(boolean on) {
             if (current == this && !finished) {
                 if (on) {
@@ -130,23 +131,24 @@
             }
         }
 
-        /** Called when all that was written has gone out. */
-        public void onDrained(Runnable then) {
-            onDrained = then;
+        /** Sets what to call when all response bytes written so far have been sent. */
+        public void onDrained(Runnable callback) {
+            onDrained = callback;
         }
 
-        /** An interim answer (1xx); a client of HTTP/1.0 must not see one (RFC 9110, 15.2). */
+        /** Sends an interim response (1xx), but never to an HTTP/1.0 client (RFC 9110, 15.2). */
         public void interim(MessagePart.ResponseHead interim) {
             if (!finished && !responseBegun && head.minorVersion() == 1) {
-                connection.send(MessageWriter.encode(statusLine(interim.status(), interim.reason()), interim.fields()));
+                connection.send(MessageWriter.encode(statusLine(interim.status(), interim.reason()),
+                        interim.fields()));
             }
         }
 
-        /** A whole answer of the server's own; false if an answer has begun. */
+        /** Sends a whole response with a text; false if a response has begun. */
         public boolean respond(int status, String text, String... fields) {
             byte[] bytes = text.getBytes(java.nio.charset.StandardCharsets.UTF_8);
-            if (!beginResponse(new MessagePart.ResponseHead(status, ReasonPhrases.of(status), 1, HttpFields.of(fields),
-                    bytes.length))) {
+            if (!beginResponse(new MessagePart.ResponseHead(status, ReasonPhrases.of(status), 1,
+                    HttpFields.of(fields), bytes.length))) {
                 return false;
             }
             write(ByteBuffer.wrap(bytes));
@@ -154,16 +156,21 @@
             return true;
         }
 
-        /** Begins an answer: its fields say nothing of framing but for HEAD and 304. False if too late. */
-        public boolean beginResponse(MessagePart.ResponseHead answer) {
+        /**
+         * Begins a response. Framing fields are set here, from the content length; those of the head are kept
+         * only where there is no content (HEAD, 204 and 304), and only Content-Length.
+         *
+         * @return false if a response has begun or the exchange is finished
+         */
+        public boolean beginResponse(MessagePart.ResponseHead responseHead) {
             if (finished || responseBegun) {
                 return false;
             }
             responseBegun = true;
-            int status = answer.status();
+            int status = responseHead.status();
             withoutContent = head.method().equals("HEAD") || status == 204 || status == 304;
-            HttpFields fields = answer.fields().copy();
-            long length = withoutContent ? 0 : answer.contentLength();
+            HttpFields fields = responseHead.fields().copy();
+            long length = withoutContent ? 0 : responseHead.contentLength();
             if (length < 0) {
                 untilClose = head.minorVersion() == 0;
                 length = untilClose ? MessagePart.UNTIL_CLOSE : MessagePart.CHUNKED;
@@ -178,22 +185,24 @@
             if (length == MessagePart.CHUNKED) {
                 fields.set("Transfer-Encoding", "chunked");
             }
-            closeAfterResponse = untilClose || head.minorVersion() == 0 || answer.fields().hasToken("connection",
-                    "close") || !head.isKeepAlive() || stopping
+            closeAfterResponse = untilClose || head.minorVersion() == 0
+                    || responseHead.fields().hasToken("connection", "close")
+                    || !head.isKeepAlive() || stopping
                     || !requestComplete && !canDiscardRest();
             if (closeAfterResponse) {
                 fields.set("Connection", "close");
             }
-            writer.writeHead(statusLine(status, answer.reason()), fields, length);
+            writer.writeHead(statusLine(status, responseHead.reason()), fields, length);
             return true;
         }
 
         private boolean canDiscardRest() {
-            // A client that waits for 100 may leave its content out: what came next would be read as content.
-            return head.contentLength() >= 0 && head.contentLength() <= MAX_DISCARDED_BYTES && head.fields().get("expect") == null;
+            // A client that awaits 100 may omit its content: what came next would be read as content.
+            return head.contentLength() >= 0 && head.contentLength() <= MAX_DISCARDED_BYTES
+                    && head.fields().get("expect") == null;
         }
 
-        /** Some of the answer's content, copied; false if the writer should pause until drained. */
+        /** Writes and copies some response content; false if the caller should pause until drained. */
         public boolean write(ByteBuffer bytes) {
             if (finished || withoutContent) {
                 return true;
@@ -205,13 +214,13 @@
             return !writer.isAboveHighWater();
         }
 
-        /** Ends the answer. */
+        /** Completes the response. */
         public void endResponse(HttpFields trailers) {
             if (finished) {
                 return;
             }
             if (!withoutContent && !writer.isContentComplete()) {
-                abort(); // a length was promised: the client must see that it is not kept
+                abort(); // shorter than its Content-Length: the client must notice
                 return;
             }
             finished = true;
@@ -225,18 +234,18 @@
                 current = null;
                 nextRequest();
             } else {
-                connection.resume(); // the rest of the content is read and dropped
+                connection.resume(); // the rest of the content is read and discarded
                 updateTimer();
             }
         }
 
-        /** Breaks the connection off: the client sees that its answer is not whole. */
+        /** Resets the connection, so that the client notices that its response is incomplete. */
         public void abort() {
             finished = true;
             if (current == this) {
                 current = null;
             }
-            connection.reset("an answer broke off");
+            connection.reset("response aborted");
         }
     }
 
@@ -255,14 +264,15 @@
     private boolean stopping;
     private long stoppingIdleTimeoutNs;
 
-    public ServerStream(Loop loop, MessageLimits limits, Timeouts patience, Service service) {
+    /** Serves content of any length. */
+    public ServerStream(Loop loop, MessageLimits limits, Timeouts timeouts, Service service) {
         this.loop = loop;
         this.parser = MessagePartParser.forRequests(limits).withoutBodyLimit();
-        this.timeouts = patience;
+        this.timeouts = timeouts;
         this.service = service;
     }
 
-    /** Content within the limits, and no bound on how long a head takes: for stand-ins and whole messages. */
+    /** Content within the limits, and no time-outs: for stand-ins and whole messages. */
     ServerStream(MessageLimits limits, Service service) {
         this.loop = null;
         this.parser = MessagePartParser.forRequests(limits);
@@ -270,23 +280,24 @@
         this.service = service;
     }
 
-    /** Options for connections that are served in parts: what waits is bounded well above a pause. */
+    /** Options for streaming connections: the write limit is well above the high-water mark for pausing. */
     public static Connection.Options options() {
-        return Connection.Options.defaults().bound(new WriteLimit(1 << 22, 1 << 16, WriteLimit.OverflowPolicy.REFUSE));
+        return Connection.Options.defaults().bound(
+                new WriteLimit(1 << 22, 1 << 16, WriteLimit.OverflowPolicy.REFUSE));
     }
 
     /**
-     * Goes on serving and says with each answer that the connection closes. Without a request for {@code
-     * idleWithin} nanoseconds it ends.
+     * Keeps serving, but closes the connection after the next response that begins, or after
+     * {@code idleTimeoutNs} without a request.
      */
-    public void stop(long idleWithin) {
+    public void stop(long idleTimeoutNs) {
         stopping = true;
-        stoppingIdleTimeoutNs = idleWithin;
+        stoppingIdleTimeoutNs = idleTimeoutNs;
         cancelTimer();
         updateTimer();
     }
 
-    /** Ends, unless a request is in work. */
+    /** Closes the connection unless a request is in progress. */
     public void closeIfIdle() {
         if (connection != null && connection.isOpen() && current == null) {
             rejectWithTimeout("the server stops");
@@ -298,14 +309,14 @@
     }
 
     @Override
-    public void onOpen(Connection itsConnection) {
-        connection = itsConnection;
+    public void onOpen(Connection openedConnection) {
+        connection = openedConnection;
         updateTimer();
     }
 
     @Override
-    public void onData(Connection itsConnection, ByteBuffer bytes) {
-        if (pipelined == null && !isRequestComplete()) {
+    public void onData(Connection ignored, ByteBuffer bytes) {
+        if (pipelined == null && !isCurrentRequestComplete()) {
             parse(bytes);
         }
         if (bytes.hasRemaining() && connection.isOpen()) {
@@ -314,8 +325,8 @@
         updateTimer();
     }
 
-    /** Whether the next bytes belong to a later request. */
-    private boolean isRequestComplete() {
+    /** Whether the current request has arrived completely, so that further bytes belong to a later one. */
+    private boolean isCurrentRequestComplete() {
         return current != null && current.requestComplete;
     }
 
@@ -331,10 +342,10 @@
         }
     }
 
-    /** The request in work is over: on with what waits. */
+    /** Continues with pipelined input after the current exchange has finished. */
     private void nextRequest() {
         if (parsing) {
-            return; // the loop in pump goes on by itself
+            return; // the loop in parse continues by itself
         }
         if (pipelined != null) {
             ByteBuffer waiting = pipelined;
@@ -353,7 +364,7 @@
     private void parse(ByteBuffer bytes) {
         parsing = true;
         try {
-            while (connection.isOpen() && !isRequestComplete()) {
+            while (connection.isOpen() && !isCurrentRequestComplete()) {
                 MessagePart part = parser.next(bytes);
                 if (part == null) {
                     break;
@@ -376,30 +387,30 @@
             }
             return;
         }
-        Exchange its = current;
-        if (its == null) {
-            return; // answered and closing
+        Exchange exchange = current;
+        if (exchange == null) {
+            return; // the response is complete and the connection is closing
         }
-        if (part instanceof MessagePart.Content piece) {
-            if (!its.finished) {
-                its.bodyConsumer.onRequestContent(piece.bytes());
+        if (part instanceof MessagePart.Content content) {
+            if (!exchange.finished) {
+                exchange.bodyConsumer.onRequestContent(content.bytes());
             }
             return;
         }
-        its.requestComplete = true;
-        if (its.head.contentLength() == 0) {
-            service.onRequest(its);
+        exchange.requestComplete = true;
+        if (exchange.head.contentLength() == 0) {
+            service.onRequest(exchange);
         }
-        if (its.finished) {
-            current = null; // its answer was whole before
+        if (exchange.finished) {
+            current = null; // the response was completed earlier
         } else {
-            its.bodyConsumer.onRequestEnd(((MessagePart.End) part).trailers());
+            exchange.bodyConsumer.onRequestEnd(((MessagePart.End) part).trailers());
         }
     }
 
     private void rejectMalformed(HttpError e) {
-        Exchange its = current;
-        if (its != null && !its.finished && its.responseBegun) {
+        Exchange exchange = current;
+        if (exchange != null && !exchange.finished && exchange.responseBegun) {
             abortExchange();
             connection.reset(e.getMessage());
             return;
@@ -411,16 +422,16 @@
     }
 
     /**
-     * Ends the connection under a request that has not come whole: whatever of it is on its way
-     * never ran.
+     * Rejects a request that has not arrived completely, guaranteeing that it was not processed, and closes
+     * the connection.
      */
-    private void rejectWithTimeout(String why) {
-        connection.send(Message.Response.of(408, why + "\n", "Connection", "close", NEVER_RAN_FIELD, "1")
+    private void rejectWithTimeout(String message) {
+        connection.send(Message.Response.of(408, message + "\n", "Connection", "close", NEVER_RAN_FIELD, "1")
                 .encode(false));
         connection.closeGracefully();
     }
 
-    // ---- how long the client is waited for -------------------------------------------------------------
+    // ---- Time-outs of the client -----------------------------------------------------------------------
 
     private ClientDuty currentDuty() {
         if (connection == null || !connection.isOpen()) {
@@ -432,22 +443,22 @@
         return parser.inMessage() || pipelined != null ? ClientDuty.HEAD : ClientDuty.REQUEST;
     }
 
-    /** Sets the timer for what the client owes by now, unless it is set already. */
+    /** Sets the timer for what the client has to send next, unless it is set already. */
     private void updateTimer() {
-        ClientDuty now = currentDuty();
-        if (now == armedFor && requestCount == requestCountWhenArmed) {
+        ClientDuty duty = currentDuty();
+        if (duty == armedFor && requestCount == requestCountWhenArmed) {
             return;
         }
         cancelTimer();
-        armedFor = now;
+        armedFor = duty;
         requestCountWhenArmed = requestCount;
-        long within = switch (now) {
+        long timeoutNs = switch (duty) {
             case NOTHING -> 0;
             case HEAD, REST_OF_CONTENT -> timeouts.headNs();
             case REQUEST -> requestTimeoutNs();
         };
-        if (within > 0) {
-            timer = loop.after(within, this::onTimeout);
+        if (timeoutNs > 0) {
+            timer = loop.after(timeoutNs, this::onTimeout);
         }
     }
 
@@ -455,7 +466,8 @@
         if (!stopping) {
             return timeouts.idleNs();
         }
-        return requestCount == 0 ? Math.min(FIRST_REQUEST_TIMEOUT_NS, stoppingIdleTimeoutNs) : stoppingIdleTimeoutNs;
+        return requestCount == 0 ? Math.min(FIRST_REQUEST_TIMEOUT_NS, stoppingIdleTimeoutNs)
+                : stoppingIdleTimeoutNs;
     }
 
     private void cancelTimer() {
@@ -476,30 +488,30 @@
     }
 
     @Override
-    public void onDrained(Connection its) {
+    public void onDrained(Connection ignored) {
         if (current != null) {
             current.onDrained.run();
         }
     }
 
     @Override
-    public boolean onInputEnd(Connection itsConnection) {
+    public boolean onInputEnd(Connection ignored) {
         abortExchange();
         return false;
     }
 
     @Override
-    public void onClose(Connection itsConnection, CloseReason why, String detail) {
+    public void onClose(Connection ignored, CloseReason reason, String detail) {
         cancelTimer();
         abortExchange();
     }
 
     private void abortExchange() {
-        Exchange unanswered = current;
+        Exchange unfinished = current;
         current = null;
-        if (unanswered != null && !unanswered.finished) {
-            unanswered.finished = true;
-            service.onAborted(unanswered);
+        if (unfinished != null && !unfinished.finished) {
+            unfinished.finished = true;
+            service.onAborted(unfinished);
         }
     }
 }
--- a/src/main/java/rowanmoor/http/Syntax.java
+++ b/src/main/java/rowanmoor/http/Syntax.java
@@ -1,6 +1,6 @@
 package rowanmoor.http;
 
-/** Which characters may stand where (RFC 9110, 5.5 and 5.6.2). */
+/** Character classes of the HTTP grammar (RFC 9110, 5.5 and 5.6.2). */
 final class Syntax {
 
     private static final String TOKEN_PUNCTUATION = "!#$%&'*+-.^_`|~";
@@ -21,7 +21,7 @@
         return !text.isEmpty();
     }
 
-    /** Whether all are visible ASCII characters. */
+    /** Whether all characters are visible ASCII. */
     static boolean isTarget(String text) {
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) <= ' ' || text.charAt(i) >= 127) {
@@ -40,15 +40,19 @@
         return true;
     }
 
-    /** Visible, space, tab, or beyond ASCII; never a control. */
+    /** Visible characters, space, tab and characters beyond ASCII; no other controls. */
     static boolean isValueChar(int c) {
         return c == '\t' || c >= ' ' && c != 127;
     }
 
-    /** Refuses to write a field that would be read as something else: a caller's fault, not the peer's. */
+    /**
+     * Prevents header injection by a caller.
+     *
+     * @throws IllegalArgumentException if the field would not be parsed as the one that was written
+     */
     static void checkField(String name, String value) {
         if (!isToken(name) || !value.chars().allMatch(c -> isValueChar(c) && c < 256)) {
-            throw new IllegalArgumentException("not a header field: " + name + ": " + value);
+            throw new IllegalArgumentException("invalid header field: " + name + ": " + value);
         }
     }
 }
--- a/src/main/java/rowanmoor/net/ByteStream.java
+++ b/src/main/java/rowanmoor/net/ByteStream.java
@@ -4,35 +4,35 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 
-/** One byte stream that never blocks: a socket, or a pipe in memory. */
+/** A non-blocking byte stream: a socket, or an in-memory stream. */
 interface ByteStream {
 
-    /** What to call, from the loop's thread, when the stream is ready for what was wanted. */
-    void setListener(ReadinessListener ready);
+    /** Sets what to call on the loop's thread when the stream is ready for an operation of interest. */
+    void setListener(ReadinessListener listener);
 
-    /** Which kinds of readiness are reported from now on. */
+    /** Sets which kinds of readiness are reported. */
     void setInterest(boolean read, boolean write);
 
-    /** Whether the connection is made; throws if it was refused. */
+    /** Whether the connection is established; throws if it was refused. */
     boolean finishConnect() throws IOException;
 
-    /** Bytes read, 0 when none are there, -1 after the peer's last. */
+    /** The number of bytes read: 0 if none are available, -1 at the end of the stream. */
     int read(ByteBuffer into) throws IOException;
 
-    /** Bytes taken; may be fewer than are there, or none. */
+    /** The number of bytes written; may be fewer than remain in the buffer, or none. */
     int write(ByteBuffer from) throws IOException;
 
-    /** Sends the end of this side's bytes; the other direction stays open. */
+    /** Shuts down the output; the input stays open. */
     void endOutput() throws IOException;
 
-    /** Closes both directions; with a reset, what the peer has not read is dropped. */
+    /** Closes both directions; with a reset, the peer loses what it has not read. */
     void close(boolean reset);
 
     InetSocketAddress local();
 
     InetSocketAddress remote();
 
-    /** Readiness. A stream that is connecting reports {@code write} when that is over. */
+    /** Called on readiness. A connecting stream reports {@code write} when the attempt has finished. */
     @FunctionalInterface
     interface ReadinessListener {
         void onReady(boolean read, boolean write);
--- a/src/main/java/rowanmoor/net/Clock.java
+++ b/src/main/java/rowanmoor/net/Clock.java
@@ -1,15 +1,16 @@
 package rowanmoor.net;
 
-/** A clock that only moves forward. Its zero has no meaning; two clocks cannot be compared. */
+/** A monotonic clock. Its origin is arbitrary; times of different clocks cannot be compared. */
 @FunctionalInterface
 public interface Clock {
 
-    /** Nanoseconds since an arbitrary moment; never less than an earlier answer. */
+    /** Nanoseconds since an arbitrary origin; never less than an earlier result. */
     long now();
 
     /**
-     * The machine's monotonic clock, moved on by a million seconds so that it is above 0 also for what began
-     * before it. On one machine all processes' answers can be compared where the platform's can.
+     * The machine's monotonic clock, offset by a million seconds so that also the times of events before its
+     * origin are above 0. Times of different processes on one machine can be compared wherever the platform's
+     * clock allows it.
      */
     static Clock system() {
         return () -> System.nanoTime() + 1_000_000_000_000_000L;
--- a/src/main/java/rowanmoor/net/CloseReason.java
+++ b/src/main/java/rowanmoor/net/CloseReason.java
@@ -1,29 +1,29 @@
 package rowanmoor.net;
 
-/** Why a connection ended. */
+/** Why a connection was closed. */
 public enum CloseReason {
     /** This side closed it. */
     LOCAL,
-    /** The peer ended its bytes and nothing was left to send. */
+    /** The peer closed its side and nothing was left to send. */
     ENDED,
-    /** The peer reset it, or it broke. */
+    /** The peer reset the connection, or an I/O error occurred. */
     RESET,
-    /** The connection was not made: refused or unreachable. */
+    /** The connection attempt failed: refused or unreachable. */
     REFUSED,
-    /** The connection was not made in time. */
+    /** The connection was not established within its time-out. */
     CONNECT_TIMEOUT,
-    /** Nothing was read for longer than allowed. */
+    /** Nothing was read within the idle time-out. */
     IDLE,
-    /** More waited to be written than allowed. */
+    /** The write queue exceeded its limit. */
     OVERFLOW,
-    /** The peer broke the protocol. */
+    /** The peer violated the protocol. */
     PROTOCOL,
-    /** The handler threw. */
+    /** The handler threw an exception. */
     FAULT,
     /** The loop was stopped. */
     STOPPED;
 
-    /** Whether the peer can have read nothing that was sent: the connection was never made. */
+    /** Whether the connection was never established, so that the peer cannot have read anything sent. */
     public boolean neverConnected() {
         return this == REFUSED || this == CONNECT_TIMEOUT;
     }
--- a/src/main/java/rowanmoor/net/Connection.java
+++ b/src/main/java/rowanmoor/net/Connection.java
@@ -6,14 +6,14 @@
 import java.util.ArrayDeque;
 
 /**
- * One connection of a {@link Loop}: reads as its handler lets it, writes from a bounded queue, and is
- * closed exactly once. States: connecting, open, ending (its last bytes are being written), closed.
+ * One connection of a {@link Loop}: reads unless its handler has paused it, writes from a bounded queue, and
+ * is closed exactly once. States: connecting, open, ending (the last bytes are being written), closed.
  */
 public final class Connection {
 
     private enum State { CONNECTING, OPEN, ENDING, CLOSED }
 
-    /** Reads of one readiness before other connections have their turn. */
+    /** Reads per readiness event, so that one busy connection does not starve the others. */
     private static final int MAX_READS_PER_TURN = 4;
 
     private final Loop loop;
@@ -34,39 +34,42 @@
     private Timer idleTimer;
     private Timer connectTimer;
 
-    Connection(Loop loop, ByteStream wire, ConnectionHandler handler, Options options, boolean made) {
+    Connection(Loop loop, ByteStream wire, ConnectionHandler handler, Options options, boolean established) {
         this.loop = loop;
         this.stream = wire;
         this.handler = handler;
         this.writeLimit = options.writeLimit();
         this.idleTimeoutNs = options.idleTimeoutNs();
-        this.state = made ? State.OPEN : State.CONNECTING;
+        this.state = established ? State.OPEN : State.CONNECTING;
         this.lastReadAt = loop.now();
         wire.setListener(this::onReady);
-        if (!made) {
+        if (!established) {
             connectTimer = loop.after(options.connectTimeoutNs(), () ->
                     close(CloseReason.CONNECT_TIMEOUT, "no answer from " + wire.remote()));
         }
     }
 
-    /** Options of one connection; times in nanoseconds, 0 for never. */
+    /** Options of one connection; time-outs in nanoseconds, 0 for none. */
     public record Options(WriteLimit writeLimit, long connectTimeoutNs, long idleTimeoutNs) {
 
         private static final long SECOND_NS = 1_000_000_000L;
 
-        /** A mebibyte and a thousand frames may wait, refused beyond; 1 s to connect; never idle. */
+        /** At most 1 MiB and 1024 frames queued, further ones refused; 1 s to connect; no idle time-out. */
         public static Options defaults() {
             return new Options(new WriteLimit(1 << 20, 1024, WriteLimit.OverflowPolicy.REFUSE), SECOND_NS, 0);
         }
 
+        /** A copy with another idle time-out, ns. */
         public Options idleAfter(long nanos) {
             return new Options(writeLimit, connectTimeoutNs, nanos);
         }
 
+        /** A copy with another connect time-out, ns. */
         public Options connectWithin(long nanos) {
             return new Options(writeLimit, nanos, idleTimeoutNs);
         }
 
+        /** A copy with another write limit. */
         public Options bound(WriteLimit other) {
             return new Options(other, connectTimeoutNs, idleTimeoutNs);
         }
@@ -80,14 +83,15 @@
         });
     }
 
-    /** Queues a frame; it is written at the end of the loop's turn. False if it was not taken. */
+    /** Queues a frame, to be written at the end of the loop's turn. False if it was not accepted. */
     public boolean send(ByteBuffer frame) {
         if (state == State.CLOSED || state == State.ENDING) {
             return false;
         }
         if (!fits(frame)) {
             if (writeLimit.overflowPolicy() == WriteLimit.OverflowPolicy.CLOSE) {
-                close(CloseReason.OVERFLOW, queue.size() + " frames of " + queuedBytes + " bytes wait");
+                close(CloseReason.OVERFLOW, "write queue is full: " + queue.size() + " frames, "
+                        + queuedBytes + " bytes");
             }
             return false;
         }
@@ -99,7 +103,8 @@
     }
 
     private boolean fits(ByteBuffer frame) {
-        return queue.size() < writeLimit.maxFrames() && queuedBytes + frame.remaining() <= writeLimit.maxBytes();
+        return queue.size() < writeLimit.maxFrames()
+                && queuedBytes + frame.remaining() <= writeLimit.maxBytes();
     }
 
     private void scheduleFlush() {
@@ -110,8 +115,9 @@
     }
 
     /**
-     * Reads what has come by now, out of its turn: before a connection is closed for what its peer has not
-     * said, since that may wait unread. Not from within a handler of this connection.
+     * Reads what has arrived, without waiting for readiness to be reported. Call it before closing a
+     * connection because its peer is silent: data may have arrived and not been read yet. Must not be called
+     * from within a handler of this connection.
      */
     public void readPending() {
         if (state == State.OPEN) {
@@ -120,8 +126,8 @@
     }
 
     /**
-     * Whether it is open and nothing waits to be read, neither bytes nor the peer's end. A byte that does
-     * may be lost by asking: this is for connections that are closed if so.
+     * Whether the connection is open and nothing is waiting to be read, neither bytes nor the peer's end of
+     * stream. The probe may consume a byte that is waiting, so the caller must close the connection on false.
      */
     public boolean probeReusable() {
         try {
@@ -131,12 +137,13 @@
         }
     }
 
-    /** Reads nothing until {@link #resume}: what the peer sends waits with it. */
+    /** Stops reading until {@link #resume}, so that flow control holds the peer back. */
     public void pause() {
         paused = true;
         updateInterest();
     }
 
+    /** Reads again after {@link #pause}; the idle time-out starts anew. */
     public void resume() {
         paused = false;
         lastReadAt = loop.now();
@@ -144,31 +151,31 @@
     }
 
     /**
-     * Writes what waits, then ends this side's bytes and, once the peer ends too, the connection. What the
-     * peer sends meanwhile is read and dropped: unread bytes would make the close a reset, and the last
-     * ones written could be lost by it. A peer that neither reads nor ends is waited for a second at a
-     * time, and no longer.
+     * Writes the queue, shuts down the output and closes the connection once the peer closes its side too.
+     * What the peer sends meanwhile is read and discarded: closing with unread bytes would send a reset, by
+     * which the peer could lose the last bytes written. The connection is closed when for a second the peer
+     * has neither taken bytes nor closed its side.
      */
     public void closeGracefully() {
         if (state == State.OPEN) {
             startClosing();
             scheduleFlush();
         } else if (state == State.CONNECTING) {
-            close(CloseReason.LOCAL, "ended before it was made");
+            close(CloseReason.LOCAL, "closed before it was established");
         }
     }
 
-    /** Closes at once; what waits is dropped. */
-    public void close(CloseReason why, String detail) {
-        close(why, detail, false);
+    /** Closes at once; queued frames are dropped. */
+    public void close(CloseReason reason, String detail) {
+        close(reason, detail, false);
     }
 
-    /** Closes at once and resets: the peer sees the connection break. */
+    /** Closes at once with a reset, which the peer sees as an aborted connection. */
     public void reset(String detail) {
         close(CloseReason.LOCAL, detail, true);
     }
 
-    private void close(CloseReason why, String detail, boolean reset) {
+    private void close(CloseReason reason, String detail, boolean reset) {
         if (state == State.CLOSED) {
             return;
         }
@@ -180,7 +187,7 @@
         stream.close(reset);
         loop.forget(this);
         try {
-            handler.onClose(this, why, detail);
+            handler.onClose(this, reason, detail);
         } catch (RuntimeException e) {
             loop.reportFault(e);
         }
@@ -208,12 +215,12 @@
         return queue.size();
     }
 
-    /** The most bytes that ever waited at once. */
+    /** The most bytes ever queued at once. */
     public long peakQueuedBytes() {
         return peakQueuedBytes;
     }
 
-    /** Bytes that the stream has taken so far; none of those that wait. */
+    /** Bytes that the stream has accepted so far; queued bytes are not counted. */
     public long writtenBytes() {
         return writtenBytes;
     }
@@ -226,7 +233,7 @@
         return stream.local();
     }
 
-    /** Time of the last bytes read, by the loop's clock. */
+    /** Time of the last read, by the loop's clock. */
     public long lastReadAt() {
         return lastReadAt;
     }
@@ -289,8 +296,8 @@
 
     private void handleInputEnd() {
         inputEnded = true;
-        boolean goesOn = state == State.OPEN && handler.onInputEnd(this);
-        if (!goesOn && state != State.CLOSED) {
+        boolean staysOpen = state == State.OPEN && handler.onInputEnd(this);
+        if (!staysOpen && state != State.CLOSED) {
             if (queue.isEmpty()) {
                 close(CloseReason.ENDED, "the peer ended");
             } else {
@@ -300,13 +307,13 @@
         updateInterest();
     }
 
-    /** Writes what the stream takes. */
+    /** Writes as much of the queue as the stream accepts. */
     void flush() {
         flushScheduled = false;
         if (state == State.CLOSED || state == State.CONNECTING) {
             return;
         }
-        boolean had = !queue.isEmpty();
+        boolean hadFrames = !queue.isEmpty();
         try {
             while (!queue.isEmpty()) {
                 ByteBuffer head = queue.peek();
@@ -327,14 +334,14 @@
             return;
         }
         updateInterest();
-        if (had && queue.isEmpty() && state == State.OPEN) {
+        if (hadFrames && queue.isEmpty() && state == State.OPEN) {
             runGuarded(() -> handler.onDrained(this));
         }
     }
 
     private void shutDownOutput() throws IOException {
         if (inputEnded) {
-            close(CloseReason.ENDED, "both sides ended");
+            close(CloseReason.ENDED, "both sides closed");
         } else if (!outputEnded) {
             outputEnded = true;
             stream.endOutput();
@@ -349,7 +356,7 @@
         startLingerTimer();
     }
 
-    /** A peer that never reads what waits, or never ends its side, must not hold the connection for good. */
+    /** Bounds the wait for a peer that does not read the last bytes or does not close its side. */
     private void startLingerTimer() {
         cancel(idleTimer);
         long before = writtenBytes;
@@ -357,7 +364,7 @@
             if (writtenBytes > before) {
                 startLingerTimer();
             } else {
-                close(CloseReason.LOCAL, outputEnded ? "the peer did not end its side"
+                close(CloseReason.LOCAL, outputEnded ? "the peer did not close its side"
                         : "the peer took none of the last " + queuedBytes + " bytes");
             }
         });
@@ -373,14 +380,14 @@
         if (idleTimeoutNs > 0 && state == State.OPEN) {
             long left = lastReadAt + idleTimeoutNs - loop.now();
             if (left <= 0 && !paused) {
-                close(CloseReason.IDLE, "nothing heard for " + idleTimeoutNs / 1_000_000 + " ms");
+                close(CloseReason.IDLE, "nothing received for " + idleTimeoutNs / 1_000_000 + " ms");
             } else {
                 idleTimer = loop.after(left <= 0 ? idleTimeoutNs : left, this::startIdleTimer);
             }
         }
     }
 
-    /** A handler that throws costs its own connection and no other. */
+    /** Runs a handler call; if it throws, only this connection is closed. */
     private void runGuarded(Runnable step) {
         try {
             step.run();
--- a/src/main/java/rowanmoor/net/ConnectionHandler.java
+++ b/src/main/java/rowanmoor/net/ConnectionHandler.java
@@ -2,23 +2,23 @@
 
 import java.nio.ByteBuffer;
 
-/** Hears what happens on one connection, on its loop's thread. */
+/** Callbacks for the events of one connection, called on its loop's thread. */
 public interface ConnectionHandler {
 
-    /** The connection is made. Not called for one that never is. */
+    /** The connection is established. Not called if it never is. */
     default void onOpen(Connection connection) { }
 
-    /** Bytes came. The buffer is the loop's: what is not copied now is lost. */
+    /** Bytes were read. The buffer belongs to the loop and is reused: copy what must outlive the call. */
     void onData(Connection connection, ByteBuffer bytes);
 
-    /** The peer sends no more. True keeps this side open for writing; false closes once all is written. */
+    /** The peer closed its side. True keeps this side open for writing; false closes it after the queue. */
     default boolean onInputEnd(Connection connection) {
         return false;
     }
 
-    /** All that waited to be written is written. */
+    /** The write queue has become empty. */
     default void onDrained(Connection connection) { }
 
-    /** The connection is over; called once, for one never made as well. Nothing is heard after it. */
-    default void onClose(Connection connection, CloseReason why, String detail) { }
+    /** The connection is closed. Called once, also if it was never established; no callback follows. */
+    default void onClose(Connection connection, CloseReason reason, String detail) { }
 }
--- a/src/main/java/rowanmoor/net/Loop.java
+++ b/src/main/java/rowanmoor/net/Loop.java
@@ -12,9 +12,9 @@
 import java.util.function.Function;
 
 /**
- * One thread's duty cycle: wait for readiness or the next timer, read, run timers and posted tasks, then
- * write. On sockets and the machine's clock, or on {@link MemoryNet}'s pipes and its manual clock: the
- * code is the same.
+ * A single-threaded event loop: waits for readiness or the next timer, reads, runs timers and posted tasks,
+ * then writes. The same code runs on sockets with the machine's clock and on {@link MemoryNet}'s in-memory
+ * streams with its manual clock.
  */
 public final class Loop implements AutoCloseable, Runnable {
 
@@ -38,54 +38,60 @@
     private long faultCount;
     private volatile boolean stopped;
 
-    Loop(Clock clock, Transport ports, Consumer<Throwable> onFault) {
+    Loop(Clock clock, Transport transport, Consumer<Throwable> onFault) {
         this.clock = clock;
-        this.transport = ports;
+        this.transport = transport;
         this.onFault = onFault;
     }
 
-    /** A loop on sockets and the machine's clock. What a handler or task throws goes to {@code onFault}. */
+    /**
+     * A loop on sockets and the machine's clock.
+     *
+     * @param onFault receives what a handler or task throws, on the loop's thread
+     */
     public static Loop onSockets(Consumer<Throwable> onFault) throws IOException {
         return new Loop(Clock.system(), new SelectorTransport(), onFault);
     }
 
-    /** A listening address; close it to refuse new connections. */
+    /** A listening socket; closing it refuses new connections. */
     public final class Listener {
         private final Transport.Acceptor acceptor;
         private final Function<Connection, ConnectionHandler> handlerFactory;
         private final Connection.Options options;
 
-        private Listener(Transport.Acceptor door, Function<Connection, ConnectionHandler> accept, Connection.Options options) {
-            this.acceptor = door;
-            this.handlerFactory = accept;
+        private Listener(Transport.Acceptor acceptor, Function<Connection, ConnectionHandler> handlerFactory,
+                Connection.Options options) {
+            this.acceptor = acceptor;
+            this.handlerFactory = handlerFactory;
             this.options = options;
-            door.setListener(this::acceptBatch);
+            acceptor.setListener(this::acceptBatch);
         }
 
         public InetSocketAddress address() {
             return acceptor.address();
         }
 
-        /** Takes what has been connected by now, which a closed address would reset, and refuses the rest. */
+        /** Accepts the backlog, which closing the socket would reset, and refuses later connections. */
         public void close() {
             for (int taken = 0; taken < LISTEN_BACKLOG && acceptBatch(); taken += MAX_ACCEPTS_PER_TURN) {
-                // the next ones that wait
+                // accept the next batch
             }
             acceptor.close();
         }
 
         /**
-         * Accepts a turn's connections; true if more may wait. Without a descriptor left, a ready door would
-         * spin: it rests, and connections wait in its backlog.
+         * Accepts one turn's connections; true if more may be waiting. When the process has run out of file
+         * descriptors, accepting pauses and connections wait in the backlog: the socket stays ready, and the
+         * loop would spin.
          */
         private boolean acceptBatch() {
             for (int i = 0; i < MAX_ACCEPTS_PER_TURN; i++) {
                 try {
-                    ByteStream wire = acceptor.accept();
-                    if (wire == null) {
+                    ByteStream stream = acceptor.accept();
+                    if (stream == null) {
                         return false;
                     }
-                    take(wire);
+                    start(stream);
                 } catch (IOException e) {
                     acceptPauseCount++;
                     acceptor.setAccepting(false);
@@ -96,12 +102,12 @@
             return true;
         }
 
-        private void take(ByteStream wire) {
-            var made = new DeferredHandler(handlerFactory);
-            Connection connection = new Connection(Loop.this, wire, made, options, true);
-            made.handler = made.handlerFactory.apply(connection);
-            if (made.handler == null) {
-                connection.close(CloseReason.LOCAL, "not accepted");
+        private void start(ByteStream stream) {
+            var deferred = new DeferredHandler(handlerFactory);
+            Connection connection = new Connection(Loop.this, stream, deferred, options, true);
+            deferred.handler = deferred.handlerFactory.apply(connection);
+            if (deferred.handler == null) {
+                connection.close(CloseReason.LOCAL, "turned away");
                 return;
             }
             connections.add(connection);
@@ -109,13 +115,13 @@
         }
     }
 
-    /** Lets a handler be made from the connection that it is for. */
+    /** Delegates to a handler that is created from its connection, after the connection. */
     private static final class DeferredHandler implements ConnectionHandler {
         private final Function<Connection, ConnectionHandler> handlerFactory;
         private ConnectionHandler handler;
 
-        DeferredHandler(Function<Connection, ConnectionHandler> accept) {
-            this.handlerFactory = accept;
+        DeferredHandler(Function<Connection, ConnectionHandler> handlerFactory) {
+            this.handlerFactory = handlerFactory;
         }
 
         @Override
@@ -139,60 +145,71 @@
         }
 
         @Override
-        public void onClose(Connection connection, CloseReason why, String detail) {
+        public void onClose(Connection connection, CloseReason reason, String detail) {
             if (handler != null) {
-                handler.onClose(connection, why, detail);
+                handler.onClose(connection, reason, detail);
             }
         }
     }
 
+    /** The time by this loop's clock, ns. */
     public long now() {
         return clock.now();
     }
 
-    /** Calls at a time of this loop's clock, on its thread; at once, in the next turn, if that is past. */
+    /** Runs a task on the loop's thread at a time of its clock; in the next turn if the time has passed. */
     public Timer at(long time, Runnable task) {
         Timer timer = new Timer(time, nextTimerSequence++, task);
         timers.add(timer);
         return timer;
     }
 
+    /** Runs a task on the loop's thread after a delay. */
     public Timer after(long nanos, Runnable task) {
         return at(now() + nanos, task);
     }
 
-    /** Runs a task on the loop's thread; from any thread. */
+    /** Runs a task on the loop's thread. May be called from any thread. */
     public void post(Runnable task) {
         posted.add(task);
         transport.wakeup();
     }
 
-    /** Connects; the handler hears {@code opened}, or {@code closed} if it is never made. */
+    /**
+     * Opens a connection. The handler's {@code onOpen} is called once it is established; if it never is, only
+     * {@code onClose}.
+     *
+     * @param from the local address to use, or null for any
+     */
     public Connection connect(InetSocketAddress from, InetSocketAddress to, Connection.Options options,
             ConnectionHandler handler) {
-        ByteStream wire;
+        ByteStream stream;
         try {
-            wire = transport.connect(from, to);
+            stream = transport.connect(from, to);
         } catch (IOException | RuntimeException e) {
-            wire = new FailedStream(to);
-            Connection failed = new Connection(this, wire, handler, options, false);
+            stream = new FailedStream(to);
+            Connection failed = new Connection(this, stream, handler, options, false);
             connections.add(failed);
-            String why = e.getMessage() == null ? e.toString() : e.getMessage();
-            after(0, () -> failed.close(CloseReason.REFUSED, why));
+            String detail = e.getMessage() == null ? e.toString() : e.getMessage();
+            after(0, () -> failed.close(CloseReason.REFUSED, detail));
             return failed;
         }
-        Connection connection = new Connection(this, wire, handler, options, false);
+        Connection connection = new Connection(this, stream, handler, options, false);
         connections.add(connection);
         return connection;
     }
 
-    /** Listens; the function makes each connection's handler, or answers null to turn it away. */
+    /**
+     * Listens on an address.
+     *
+     * @param handlerFactory makes each connection's handler, or returns null to close the connection
+     */
     public Listener listen(InetSocketAddress at, Connection.Options options,
-            Function<Connection, ConnectionHandler> accept) throws IOException {
-        return new Listener(transport.listen(at, LISTEN_BACKLOG), accept, options);
+            Function<Connection, ConnectionHandler> handlerFactory) throws IOException {
+        return new Listener(transport.listen(at, LISTEN_BACKLOG), handlerFactory, options);
     }
 
-    /** Turns until {@link #stop}. */
+    /** Runs turns until {@link #stop}, then closes all connections. */
     @Override
     public void run() {
         while (!stopped) {
@@ -202,7 +219,7 @@
         transport.close();
     }
 
-    /** Ends {@link #run} after its turn; from any thread. */
+    /** Ends {@link #run} after the current turn. May be called from any thread. */
     public void stop() {
         stopped = true;
         transport.wakeup();
@@ -213,16 +230,16 @@
         stop();
     }
 
-    /** One duty cycle; waits at most so many nanoseconds. */
-    void runTurn(long longest) {
+    /** Runs one turn, which waits at most {@code maxWaitNs} for readiness. */
+    void runTurn(long maxWaitNs) {
         try {
             boolean busy = !posted.isEmpty() || !pendingFlushes.isEmpty();
-            transport.poll(busy ? 0 : Math.min(longest, nsUntilNextTimer()));
+            transport.poll(busy ? 0 : Math.min(maxWaitNs, nsUntilNextTimer()));
         } catch (IOException e) {
             reportFault(e);
         }
         runTimers();
-        // What these bring anew waits for the next turn: neither may keep others from theirs.
+        // Only what is queued by now: work that it adds waits for the next turn, so that nothing is starved.
         for (int left = posted.size(); left > 0; left--) {
             runGuarded(posted.poll());
         }
@@ -238,7 +255,7 @@
         }
     }
 
-    /** Nanoseconds to the next timer, 0 if one is due, or a very long time. */
+    /** Nanoseconds to the next timer, 0 if one is due, {@link Long#MAX_VALUE} if there is none. */
     long nsUntilNextTimer() {
         while (!timers.isEmpty() && !timers.peek().isLive()) {
             timers.poll();
@@ -254,7 +271,7 @@
         return connections.size();
     }
 
-    /** Whether a turn has something to do at once, readiness aside. */
+    /** Whether a turn has work to do at once, regardless of the readiness of streams. */
     boolean hasWork() {
         return !posted.isEmpty() || !pendingFlushes.isEmpty() || nsUntilNextTimer() == 0;
     }
@@ -272,12 +289,12 @@
         onFault.accept(cause);
     }
 
-    /** How often accepting rested for want of descriptors. */
+    /** How often accepting was paused because the process had run out of file descriptors. */
     public long acceptPauseCount() {
         return acceptPauseCount;
     }
 
-    /** How many handlers and tasks threw. */
+    /** How many calls of handlers and tasks have thrown an exception. */
     public long faultCount() {
         return faultCount;
     }
@@ -286,7 +303,7 @@
         return readBuffer.clear();
     }
 
-    /** Room for a byte that is not kept: {@link #readBuffer} may be in use further up. */
+    /** A one-byte buffer for probing: {@link #readBuffer} may be in use by a caller. */
     ByteBuffer probeBuffer() {
         return probeBuffer.clear();
     }
@@ -303,10 +320,10 @@
         connections.remove(connection);
     }
 
-    /** Stands for a stream that could not even be begun. */
+    /** Placeholder for a stream whose connect call failed at once. */
     private record FailedStream(InetSocketAddress remote) implements ByteStream {
         @Override
-        public void setListener(ReadinessListener ready) { }
+        public void setListener(ReadinessListener listener) { }
 
         @Override
         public void setInterest(boolean read, boolean write) { }
--- a/src/main/java/rowanmoor/net/ManualClock.java
+++ b/src/main/java/rowanmoor/net/ManualClock.java
@@ -1,6 +1,6 @@
 package rowanmoor.net;
 
-/** A clock that stands still until it is moved. */
+/** A clock that advances only when it is told to. */
 public final class ManualClock implements Clock {
 
     private long nowNs;
@@ -14,7 +14,11 @@
         return nowNs;
     }
 
-    /** Moves to a time; an earlier one than now is refused. */
+    /**
+     * Advances to a time.
+     *
+     * @throws IllegalArgumentException if the time is earlier than now
+     */
     public void moveTo(long time) {
         if (time < nowNs) {
             throw new IllegalArgumentException("the clock cannot go back from " + nowNs + " to " + time);
--- a/src/main/java/rowanmoor/net/MemoryNet.java
+++ b/src/main/java/rowanmoor/net/MemoryNet.java
@@ -18,30 +18,33 @@
 import java.util.function.Consumer;
 
 /**
- * A network in memory on a manual clock, for runs that repeat exactly. Bytes of one connection stay in
- * order; they may be split, delayed, corrupted and cut off, and connections overtake each other, all
- * drawn from the seed.
+ * An in-memory network on a manual clock, for reproducible runs. Bytes of one connection stay in order; they
+ * may be split, delayed, corrupted and cut off, and connections overtake each other, all drawn from the
+ * seed.
  */
 public final class MemoryNet {
 
     /**
-     * What befalls bytes under way.
+     * The faults and delays of bytes in transit.
      *
      * @param maxSegmentBytes the most bytes that arrive at once, 1 or more
-     * @param minDelayNs least time under way, ns
-     * @param maxDelayNs most time under way, ns
-     * @param corruptProbability chance that a piece has one bit flipped, 0 to 1
-     * @param resetProbability chance that a piece is the connection's last: it arrives in part, then a reset
+     * @param minDelayNs the least transit time, ns
+     * @param maxDelayNs the greatest transit time, ns
+     * @param corruptProbability probability that one bit of a segment is flipped, 0 to 1
+     * @param resetProbability probability that a segment is the connection's last: it arrives in
+     *     part, followed by a reset
      */
-    public record Faults(int maxSegmentBytes, long minDelayNs, long maxDelayNs, double corruptProbability, double resetProbability) {
+    public record Faults(int maxSegmentBytes, long minDelayNs, long maxDelayNs, double corruptProbability,
+            double resetProbability) {
 
-        /** Whole pieces, a tenth of a millisecond under way, no harm. */
+        /** Segments of up to 64 KiB, a tenth of a millisecond in transit, no faults. */
         public static Faults none() {
             return new Faults(1 << 16, 100_000, 100_000, 0, 0);
         }
     }
 
-    private record ScheduledTask(long time, long sequence, Runnable task) implements Comparable<ScheduledTask> {
+    private record ScheduledTask(long time, long sequence, Runnable task)
+            implements Comparable<ScheduledTask> {
         @Override
         public int compareTo(ScheduledTask other) {
             int byTime = Long.compare(time, other.time);
@@ -65,29 +68,30 @@
     private int nextPort = 40_000;
     private int descriptorsLeft = Integer.MAX_VALUE;
 
+    /** A network whose clock starts at {@code start}, ns. */
     public MemoryNet(long start, long seed) {
         clock = new ManualClock(start);
         random = new SplittableRandom(seed);
     }
 
-    /** A loop on this network; it is turned by {@link #runUntil}. */
+    /** A new loop on this network, which is run by {@link #runUntil}. */
     public Loop newLoop(Consumer<Throwable> onFault) {
-        MemoryTransport itsPorts = new MemoryTransport();
-        Loop loop = new Loop(clock, itsPorts, onFault);
-        transports.add(itsPorts);
+        MemoryTransport transport = new MemoryTransport();
+        Loop loop = new Loop(clock, transport, onFault);
+        transports.add(transport);
         loops.add(loop);
         return loop;
     }
 
-    /** A loop's process is killed: its streams are reset, its timers never come due. */
+    /** Simulates that a loop's process is killed: its streams are reset and its timers never run. */
     public void killLoop(Loop loop) {
-        int place = loops.indexOf(loop);
-        transports.remove(place).close();
-        loops.remove(place);
+        int index = loops.indexOf(loop);
+        transports.remove(index).close();
+        loops.remove(index);
         frozen.remove(loop);
     }
 
-    /** A loop's process stands still, or goes on. */
+    /** Simulates that a loop's process is suspended, or resumes. */
     public void setFrozen(Loop loop, boolean on) {
         if (on) {
             frozen.add(loop);
@@ -96,12 +100,12 @@
         }
     }
 
-    /** Timers of a loop that are still to come due. */
+    /** The number of a loop's timers that have neither run nor been cancelled. */
     public int liveTimerCount(Loop loop) {
         return loop.liveTimerCount();
     }
 
-    /** Connections of a loop that are not closed, those being made among them. */
+    /** The number of a loop's connections that are not closed, including those being established. */
     public int openConnectionCount(Loop loop) {
         return loop.openConnectionCount();
     }
@@ -114,11 +118,12 @@
         return clock;
     }
 
-    public void setFaults(Faults others) {
-        faults = others;
+    /** Sets the faults of all bytes sent from now on. */
+    public void setFaults(Faults newFaults) {
+        faults = newFaults;
     }
 
-    /** Connections to this address are neither made nor refused from now on. */
+    /** Sets whether connection attempts to this address hang, neither established nor refused. */
     public void blackhole(InetSocketAddress address, boolean on) {
         if (on) {
             blackholed.add(address);
@@ -127,12 +132,12 @@
         }
     }
 
-    /** How many more connections can be accepted before descriptors run out. */
+    /** Sets how many more connections can be accepted before file descriptors run out. */
     public void limitDescriptors(int left) {
         descriptorsLeft = left;
     }
 
-    /** Plays until a time; true if the condition held before. */
+    /** Runs until a time or until the condition holds; true if it held. */
     public boolean runUntil(long time, BooleanSupplier done) {
         while (true) {
             runReadyLoops();
@@ -155,22 +160,24 @@
         }
     }
 
+    /** Runs for so many nanoseconds. */
     public void runFor(long nanos) {
         runUntil(now() + nanos, () -> false);
     }
 
-    /** Turns every loop until none has anything to do at this time. */
+    /** Runs turns of every loop until none has work at the current time. */
     private void runReadyLoops() {
         boolean busy = true;
         for (int turns = 0; busy; turns++) {
             if (turns > MAX_TURNS_PER_INSTANT) {
-                throw new IllegalStateException("loops spin at " + now());
+                throw new IllegalStateException("loops still have work after " + MAX_TURNS_PER_INSTANT
+                        + " rounds at " + now() + " ns");
             }
             busy = false;
             for (Loop loop : List.copyOf(loops)) {
-                int place = loops.indexOf(loop);
-                boolean live = place >= 0 && !frozen.contains(loop);
-                if (live && (transports.get(place).anyReady() || loop.hasWork())) {
+                int index = loops.indexOf(loop);
+                boolean live = index >= 0 && !frozen.contains(loop);
+                if (live && (transports.get(index).anyReady() || loop.hasWork())) {
                     busy = true;
                     loop.runTurn(0);
                 }
@@ -204,8 +211,8 @@
         }
 
         @Override
-        public void setListener(Runnable itsReady) {
-            listener = itsReady;
+        public void setListener(Runnable newListener) {
+            listener = newListener;
         }
 
         @Override
@@ -217,10 +224,10 @@
                 throw new IOException("Too many open files");
             }
             descriptorsLeft--;
-            MemoryStream wire = backlog.poll();
-            owner.streams.add(wire);
-            wire.markChanged();
-            return wire;
+            MemoryStream stream = backlog.poll();
+            owner.streams.add(stream);
+            stream.markChanged();
+            return stream;
         }
 
         @Override
@@ -239,14 +246,14 @@
             acceptors.remove(at);
             owner.ownAcceptors.remove(this);
             owner.changedAcceptors.remove(this);
-            backlog.forEach(w -> w.close(true));
+            backlog.forEach(s -> s.close(true));
         }
     }
 
     private final class MemoryTransport implements Transport {
         private final Set<MemoryStream> streams = new LinkedHashSet<>();
         private final Set<MemoryAcceptor> ownAcceptors = new LinkedHashSet<>();
-        // Those whose state has changed and that may be ready: looking at all each time would cost too much.
+        // Those that may have become ready since the last poll; examining all of them would be too slow.
         private final Set<MemoryStream> changedStreams = new LinkedHashSet<>();
         private final Set<MemoryAcceptor> changedAcceptors = new LinkedHashSet<>();
 
@@ -270,30 +277,30 @@
             if (MemoryNet.this.acceptors.containsKey(address)) {
                 throw new IOException("address in use: " + address);
             }
-            MemoryAcceptor door = new MemoryAcceptor(address, this);
-            MemoryNet.this.acceptors.put(address, door);
-            ownAcceptors.add(door);
-            return door;
+            MemoryAcceptor acceptor = new MemoryAcceptor(address, this);
+            MemoryNet.this.acceptors.put(address, acceptor);
+            ownAcceptors.add(acceptor);
+            return acceptor;
         }
 
         boolean anyReady() {
-            changedStreams.removeIf(w -> !w.readable() && !w.writable());
-            changedAcceptors.removeIf(d -> !d.accepting || d.backlog.isEmpty());
+            changedStreams.removeIf(s -> !s.readable() && !s.writable());
+            changedAcceptors.removeIf(a -> !a.accepting || a.backlog.isEmpty());
             return !changedStreams.isEmpty() || !changedAcceptors.isEmpty();
         }
 
         @Override
         public void poll(long nanos) {
-            for (MemoryAcceptor door : List.copyOf(changedAcceptors)) {
-                if (door.accepting && !door.backlog.isEmpty()) {
-                    door.listener.run();
+            for (MemoryAcceptor acceptor : List.copyOf(changedAcceptors)) {
+                if (acceptor.accepting && !acceptor.backlog.isEmpty()) {
+                    acceptor.listener.run();
                 }
             }
-            for (MemoryStream wire : List.copyOf(changedStreams)) {
-                boolean read = wire.readable();
-                boolean write = wire.writable();
+            for (MemoryStream stream : List.copyOf(changedStreams)) {
+                boolean read = stream.readable();
+                boolean write = stream.writable();
                 if (read || write) {
-                    wire.listener.onReady(read, write);
+                    stream.listener.onReady(read, write);
                 }
             }
         }
@@ -304,7 +311,7 @@
         @Override
         public void close() {
             List.copyOf(ownAcceptors).forEach(MemoryAcceptor::close);
-            List.copyOf(streams).forEach(w -> w.close(true));
+            List.copyOf(streams).forEach(s -> s.close(true));
         }
     }
 
@@ -332,20 +339,20 @@
             this.remote = remote;
         }
 
-        void finishHandshake(MemoryAcceptor door) {
+        void finishHandshake(MemoryAcceptor acceptor) {
             markChanged();
-            if (door == null) {
+            if (acceptor == null) {
                 refused = true;
                 return;
             }
             connected = true;
-            peer.owner = door.owner;
+            peer.owner = acceptor.owner;
             peer.wantWrite = false;
-            door.backlog.add(peer);
-            door.owner.changedAcceptors.add(door);
+            acceptor.backlog.add(peer);
+            acceptor.owner.changedAcceptors.add(acceptor);
         }
 
-        /** Its state has changed: its owner has to look at it. */
+        /** Has the owner check this stream for readiness at its next poll. */
         private void markChanged() {
             if (owner != null && !closed) {
                 owner.changedStreams.add(this);
@@ -361,8 +368,8 @@
         }
 
         @Override
-        public void setListener(ReadinessListener itsReady) {
-            listener = itsReady;
+        public void setListener(ReadinessListener newListener) {
+            listener = newListener;
         }
 
         @Override
@@ -411,30 +418,31 @@
             }
             int written = 0;
             while (from.hasRemaining() && unreadBytes < WINDOW_BYTES) {
-                int most = Math.min(Math.min(from.remaining(), WINDOW_BYTES - unreadBytes), faults.maxSegmentBytes());
-                int count = most == 1 ? 1 : random.nextInt(1, most + 1);
-                byte[] piece = new byte[count];
-                from.get(piece);
-                send(piece);
+                int maxBytes = Math.min(Math.min(from.remaining(), WINDOW_BYTES - unreadBytes),
+                        faults.maxSegmentBytes());
+                int count = maxBytes == 1 ? 1 : random.nextInt(1, maxBytes + 1);
+                byte[] segment = new byte[count];
+                from.get(segment);
+                send(segment);
                 unreadBytes += count;
                 written += count;
             }
             return written;
         }
 
-        private void send(byte[] piece) {
+        private void send(byte[] segment) {
             if (cutOff) {
-                return; // the connection is breaking: nothing more arrives
+                return; // a reset is in transit: nothing arrives after it
             }
             if (faults.corruptProbability() > 0 && random.nextDouble() < faults.corruptProbability()) {
-                piece[random.nextInt(piece.length)] ^= (byte) (1 << random.nextInt(8));
+                segment[random.nextInt(segment.length)] ^= (byte) (1 << random.nextInt(8));
             }
             cutOff = faults.resetProbability() > 0 && random.nextDouble() < faults.resetProbability();
-            int count = cutOff ? random.nextInt(piece.length + 1) : piece.length;
+            int count = cutOff ? random.nextInt(segment.length + 1) : segment.length;
             lastArrivalAt = Math.max(lastArrivalAt, now() + drawDelayNs());
             schedule(lastArrivalAt, () -> {
                 if (count > 0 && !peer.closed) {
-                    peer.inbox.add(ByteBuffer.wrap(piece, 0, count));
+                    peer.inbox.add(ByteBuffer.wrap(segment, 0, count));
                     peer.markChanged();
                 }
             });
--- a/src/main/java/rowanmoor/net/SelectorTransport.java
+++ b/src/main/java/rowanmoor/net/SelectorTransport.java
@@ -10,7 +10,7 @@
 import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
 
-/** Sockets on one selector. */
+/** Sockets of one selector. */
 final class SelectorTransport implements Transport {
 
     private static final long NS_PER_MS = 1_000_000L;
@@ -30,8 +30,8 @@
             if (from != null) {
                 channel.bind(from);
             }
-            boolean made = channel.connect(to);
-            return new SocketStream(channel, channel.register(selector, made ? SelectionKey.OP_WRITE
+            boolean connected = channel.connect(to);
+            return new SocketStream(channel, channel.register(selector, connected ? SelectionKey.OP_WRITE
                     : SelectionKey.OP_CONNECT), to);
         } catch (IOException | RuntimeException e) {
             channel.close();
@@ -58,7 +58,7 @@
         if (nanos <= 0) {
             selector.selectNow();
         } else {
-            // The selector counts milliseconds: rounded up, so that a timer is never polled for in a spin.
+            // The selector waits in milliseconds: rounded up, so that the loop does not spin before a timer.
             selector.select((nanos + NS_PER_MS - 1) / NS_PER_MS);
         }
         var keys = selector.selectedKeys().iterator();
@@ -74,15 +74,15 @@
             if (!key.isValid()) {
                 return;
             }
-            if (key.attachment() instanceof SocketAcceptor door) {
-                door.listener.run();
-            } else if (key.attachment() instanceof SocketStream wire) {
+            if (key.attachment() instanceof SocketAcceptor acceptor) {
+                acceptor.listener.run();
+            } else if (key.attachment() instanceof SocketStream stream) {
                 int ops = key.readyOps();
-                wire.listener.onReady((ops & SelectionKey.OP_READ) != 0,
+                stream.listener.onReady((ops & SelectionKey.OP_READ) != 0,
                         (ops & (SelectionKey.OP_WRITE | SelectionKey.OP_CONNECT)) != 0);
             }
         } catch (CancelledKeyException e) {
-            // closed by an earlier call of the same poll
+            // closed by an earlier callback of the same poll
         }
     }
 
@@ -99,7 +99,7 @@
             }
             selector.close();
         } catch (IOException e) {
-            // nothing is left to do with a selector that cannot be closed
+            // a selector that cannot be closed needs no further handling
         }
     }
 
@@ -115,8 +115,8 @@
         }
 
         @Override
-        public void setListener(Runnable itsReady) {
-            listener = itsReady;
+        public void setListener(Runnable newListener) {
+            listener = newListener;
         }
 
         @Override
@@ -153,7 +153,7 @@
             try {
                 channel.close();
             } catch (IOException e) {
-                // the address is given up either way
+                // the socket is released either way
             }
         }
     }
@@ -174,8 +174,8 @@
         }
 
         @Override
-        public void setListener(ReadinessListener itsReady) {
-            listener = itsReady;
+        public void setListener(ReadinessListener newListener) {
+            listener = newListener;
         }
 
         @Override
@@ -214,12 +214,12 @@
                     channel.setOption(StandardSocketOptions.SO_LINGER, 0);
                 }
             } catch (IOException e) {
-                // closed without a reset, then
+                // close without a reset
             }
             try {
                 channel.close();
             } catch (IOException e) {
-                // the descriptor is given up either way
+                // the descriptor is released either way
             }
         }
 
--- a/src/main/java/rowanmoor/net/TickScheduler.java
+++ b/src/main/java/rowanmoor/net/TickScheduler.java
@@ -3,7 +3,7 @@
 import java.util.function.LongConsumer;
 import java.util.function.LongSupplier;
 
-/** Calls a tick soon after something came, and when it is next due, keeping a distance between two. */
+/** Runs ticks on request and when they are due, at least a minimum interval apart. */
 public final class TickScheduler {
 
     private final Loop loop;
@@ -15,18 +15,19 @@
     private long lastTickAt;
 
     /**
-     * @param distance least time between two ticks, ns
-     * @param nextAt when the next is due if nothing comes, or {@link Long#MAX_VALUE}
+     * @param minIntervalNs the least time between two ticks, ns
+     * @param tick is called with the time of the tick, ns
+     * @param nextAt when the next tick is due without a request, ns, or {@link Long#MAX_VALUE}
      */
-    public TickScheduler(Loop loop, long distance, LongConsumer tick, LongSupplier nextAt) {
+    public TickScheduler(Loop loop, long minIntervalNs, LongConsumer tick, LongSupplier nextAt) {
         this.loop = loop;
-        this.minIntervalNs = distance;
+        this.minIntervalNs = minIntervalNs;
         this.tick = tick;
         this.nextAt = nextAt;
-        this.lastTickAt = loop.now() - distance;
+        this.lastTickAt = loop.now() - minIntervalNs;
     }
 
-    /** What comes at once is ticked for at once. */
+    /** Requests a tick as soon as the minimum interval allows. */
     public void requestTick() {
         scheduleBy(Math.max(loop.now(), lastTickAt + minIntervalNs));
     }
@@ -46,7 +47,7 @@
         lastTickAt = loop.now();
         try {
             tick.accept(lastTickAt);
-        } finally { // whatever a tick throws, the next one is due: messages wait for it
+        } finally { // schedules the next tick also if this one throws: messages wait for it
             long next = nextAt.getAsLong();
             if (next != Long.MAX_VALUE) {
                 scheduleBy(Math.max(next, lastTickAt + minIntervalNs));
--- a/src/main/java/rowanmoor/net/Timer.java
+++ b/src/main/java/rowanmoor/net/Timer.java
@@ -1,6 +1,6 @@
 package rowanmoor.net;
 
-/** A call at a time; timers of one time come due in the order in which they were set. */
+/** A task scheduled for a time; timers with the same time run in the order in which they were set. */
 public final class Timer implements Comparable<Timer> {
 
     final long time;
@@ -13,7 +13,7 @@
         this.task = task;
     }
 
-    /** Never calls from now on; harmless if it already has. */
+    /** Prevents the task from running; has no effect if it already has. */
     public void cancel() {
         task = null;
     }
--- a/src/main/java/rowanmoor/net/Transport.java
+++ b/src/main/java/rowanmoor/net/Transport.java
@@ -3,14 +3,15 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 
-/** Where a loop's streams come from and how it waits: selectors, or pipes in memory on a manual clock. */
+/** Opens a loop's streams and waits for their readiness: a selector, or memory with a manual clock. */
 interface Transport extends AutoCloseable {
 
-    /** A listening address. */
+    /** A listening socket. */
     interface Acceptor {
-        void setListener(Runnable ready);
+        /** Sets what to call when a connection is waiting. */
+        void setListener(Runnable listener);
 
-        /** The next stream that waits, or null; throws when the process has no descriptor left. */
+        /** The next waiting stream, or null; throws when the process has run out of file descriptors. */
         ByteStream accept() throws IOException;
 
         void setAccepting(boolean accept);
@@ -20,15 +21,15 @@
         void close();
     }
 
-    /** Starts to connect; {@code from} is the local address to use, or null. */
+    /** Starts to connect; {@code from} is the local address to use, or null for any. */
     ByteStream connect(InetSocketAddress from, InetSocketAddress to) throws IOException;
 
     Acceptor listen(InetSocketAddress at, int backlog) throws IOException;
 
-    /** Waits at most so long for readiness, and reports it. 0 does not wait. */
+    /** Waits for readiness for at most so many nanoseconds, and calls the listeners. 0 does not wait. */
     void poll(long nanos) throws IOException;
 
-    /** Ends a wait; from any thread. */
+    /** Ends a wait in {@link #poll}. May be called from any thread. */
     void wakeup();
 
     @Override
--- a/src/main/java/rowanmoor/net/WriteLimit.java
+++ b/src/main/java/rowanmoor/net/WriteLimit.java
@@ -1,17 +1,17 @@
 package rowanmoor.net;
 
 /**
- * How much may wait to be written on one connection, and what happens to a frame beyond it.
+ * Limit of one connection's write queue, and what happens to a frame that exceeds it.
  *
- * @param bytes the most bytes that wait, 1 or more; a single frame larger than that is never taken
- * @param frames the most frames that wait, 1 or more
- * @param policy what is done with a frame that does not fit
+ * @param bytes the most bytes queued, 1 or more; a single frame larger than that is never accepted
+ * @param frames the most frames queued, 1 or more
+ * @param policy what is done with a frame that exceeds the limit
  */
 public record WriteLimit(long maxBytes, int maxFrames, OverflowPolicy overflowPolicy) {
 
-    /** What becomes of a frame that does not fit. */
+    /** What happens to a frame that exceeds the limit. */
     public enum OverflowPolicy {
-        /** It is not taken: {@link Connection#send} answers false. */
+        /** The frame is rejected: {@link Connection#send} returns false. */
         REFUSE,
         /** The connection is closed with {@link CloseReason#OVERFLOW}. */
         CLOSE
@@ -19,8 +19,8 @@
 
     public WriteLimit {
         if (maxBytes < 1 || maxFrames < 1) {
-            throw new IllegalArgumentException("a bound must be 1 or more: " + maxBytes + " bytes, " + maxFrames
-                    + " frames");
+            throw new IllegalArgumentException("a write limit must be 1 or more: " + maxBytes + " bytes, "
+                    + maxFrames + " frames");
         }
     }
 }
--- a/src/test/java/rowanmoor/http/ConnectionsTest.java
+++ b/src/test/java/rowanmoor/http/ConnectionsTest.java
@@ -18,6 +18,7 @@
 import rowanmoor.net.Loop;
 import rowanmoor.net.MemoryNet;
 
+/** HTTP client and server connections on the in-memory network. */
 class ConnectionsTest {
 
     private static final long MS = 1_000_000;
@@ -29,7 +30,7 @@
     private final List<ServerConnection.Exchange> exchanges = new ArrayList<>();
     private int abortedCount;
 
-    private InetSocketAddress serve(boolean atOnce) throws IOException {
+    private InetSocketAddress serve(boolean immediately) throws IOException {
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         return loop.listen(any, Connection.Options.defaults(), c -> new ServerConnection(MessageLimits.defaults(),
                 new ServerConnection.Service() {
@@ -37,7 +38,7 @@
                     public void onRequest(Message.Request request, ServerConnection.Exchange exchange) {
                         requestedTargets.add(request.target());
                         exchanges.add(exchange);
-                        if (atOnce) {
+                        if (immediately) {
                             exchange.respond(Message.Response.of(200, request.target()));
                         }
                     }
@@ -49,11 +50,11 @@
                 })).address();
     }
 
-    private Connection connectRaw(InetSocketAddress to, StringBuilder heard) {
+    private Connection connectRaw(InetSocketAddress to, StringBuilder received) {
         return loop.connect(null, to, Connection.Options.defaults(), new ConnectionHandler() {
             @Override
-            public void onData(Connection its, ByteBuffer bytes) {
-                heard.append(StandardCharsets.ISO_8859_1.decode(bytes));
+            public void onData(Connection connection, ByteBuffer bytes) {
+                received.append(StandardCharsets.ISO_8859_1.decode(bytes));
             }
         });
     }
@@ -68,19 +69,19 @@
 
     @Test
     void pipelinedRequestsAreServedOneByOneInOrder() throws IOException {
-        StringBuilder heard = new StringBuilder();
-        connectRaw(serve(false), heard).send(get("/1", "/2", "/3"));
+        StringBuilder received = new StringBuilder();
+        connectRaw(serve(false), received).send(get("/1", "/2", "/3"));
         net.runFor(10 * MS);
         assertEquals(List.of("/1"), requestedTargets);
         for (int i = 0; i < 3; i++) {
-            assertTrue(exchanges.get(i).respond(Message.Response.of(200, "answer " + i)));
+            assertTrue(exchanges.get(i).respond(Message.Response.of(200, "response " + i)));
             net.runFor(10 * MS);
         }
         assertEquals(List.of("/1", "/2", "/3"), requestedTargets);
-        assertTrue(heard.indexOf("answer 0") < heard.indexOf("answer 1"));
-        assertTrue(heard.indexOf("answer 1") < heard.indexOf("answer 2"));
+        assertTrue(received.indexOf("response 0") < received.indexOf("response 1"));
+        assertTrue(received.indexOf("response 1") < received.indexOf("response 2"));
         requestedTargets.clear();
-        connectRaw(serve(true), heard).send(get("/4", "/5", "/6"));
+        connectRaw(serve(true), received).send(get("/4", "/5", "/6"));
         net.runFor(10 * MS);
         assertEquals(List.of("/4", "/5", "/6"), requestedTargets);
     }
@@ -101,54 +102,56 @@
         InetSocketAddress to = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 Connection.Options.defaults(), c -> new ConnectionHandler() {
                     @Override
-                    public void onData(Connection its, ByteBuffer bytes) {
+                    public void onData(Connection connection, ByteBuffer bytes) {
                         bytes.position(bytes.limit());
-                        its.send(ByteBuffer.wrap(("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na"
+                        connection.send(ByteBuffer.wrap(("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na"
                                 + "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nb").getBytes()));
                     }
                 }).address();
-        List<String> answers = new ArrayList<>();
+        List<String> outcomes = new ArrayList<>();
         ClientConnection client = ClientConnection.open(loop, null, to, Connection.Options.defaults(),
                 MessageLimits.defaults(), c -> { });
         client.send(Message.Request.get("/", "Host", "h"), new ClientConnection.ResponseHandler() {
             @Override
             public void onResponse(Message.Response response) {
-                answers.add(new String(response.body()));
+                outcomes.add(new String(response.body()));
             }
 
             @Override
-            public void onFailure(boolean neverRan, CloseReason why, String detail) {
-                answers.add(why.toString());
+            public void onFailure(boolean neverRan, CloseReason reason, String detail) {
+                outcomes.add(reason.toString());
             }
         });
         net.runFor(10 * MS);
-        assertEquals(List.of("a"), answers);
+        assertEquals(List.of("a"), outcomes);
         assertFalse(client.isAvailable());
     }
 
     @Test
     void neverRanIsReportedOnlyWithoutConnection() throws IOException {
-        List<Boolean> proofs = new ArrayList<>();
-        ClientConnection.ResponseHandler answer = new ClientConnection.ResponseHandler() {
+        List<Boolean> neverRanReports = new ArrayList<>();
+        ClientConnection.ResponseHandler handler = new ClientConnection.ResponseHandler() {
             @Override
             public void onResponse(Message.Response response) {
-                throw new AssertionError("answered");
+                throw new AssertionError("unexpected response");
             }
 
             @Override
-            public void onFailure(boolean neverRan, CloseReason why, String detail) {
-                proofs.add(neverRan);
+            public void onFailure(boolean neverRan, CloseReason reason, String detail) {
+                neverRanReports.add(neverRan);
             }
         };
-        InetSocketAddress nobody = new InetSocketAddress(InetAddress.getLoopbackAddress(), 9);
-        ClientConnection.open(loop, null, nobody, Connection.Options.defaults(), MessageLimits.defaults(), c -> { })
-                .send(Message.Request.get("/", "Host", "h"), answer);
+        InetSocketAddress unusedAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), 9);
+        ClientConnection.open(loop, null, unusedAddress, Connection.Options.defaults(), MessageLimits.defaults(),
+                c -> { })
+                .send(Message.Request.get("/", "Host", "h"), handler);
         net.runFor(10 * MS);
-        ClientConnection.open(loop, null, serve(false), Connection.Options.defaults(), MessageLimits.defaults(), c -> { })
-                .send(Message.Request.get("/", "Host", "h"), answer);
+        ClientConnection.open(loop, null, serve(false), Connection.Options.defaults(), MessageLimits.defaults(),
+                c -> { })
+                .send(Message.Request.get("/", "Host", "h"), handler);
         net.runFor(10 * MS);
         exchanges.get(0).abort();
         net.runFor(10 * MS);
-        assertEquals(List.of(true, false), proofs);
+        assertEquals(List.of(true, false), neverRanReports);
     }
 }
--- a/src/test/java/rowanmoor/http/ParserTest.java
+++ b/src/test/java/rowanmoor/http/ParserTest.java
@@ -17,6 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Parsing and writing of whole messages: framing, limits, and the rejection of request smuggling. */
 class ParserTest {
 
     private static final MessageLimits SMALL = new MessageLimits(64, 200, 8, 100);
@@ -109,43 +110,44 @@
         assertEquals(0, wire.remaining());
     }
 
-    /** No exception but the parser's own, and splitting the input anywhere changes nothing. */
+    /** Arbitrary input raises no exception but {@link HttpError}, and its result is the same wherever it is split. */
     @Property(seed = "17")
-    void resultDoesNotDependOnHowInputIsSplit(@ForAll @Size(max = 120) byte[] noise, @ForAll long seed) {
-        String[] parts = {"GET /a HTTP/1.1\r\n", "Host: h\r\n", "Content-Length: 3\r\n", "\r\n", "abc",
+    void resultDoesNotDependOnHowInputIsSplit(@ForAll @Size(max = 120) byte[] randomBytes, @ForAll long seed) {
+        String[] fragments = {"GET /a HTTP/1.1\r\n", "Host: h\r\n", "Content-Length: 3\r\n", "\r\n", "abc",
             "Transfer-Encoding: chunked\r\n", "2\r\n", "0\r\n", "\r\n\r\n", "HTTP/1.1 200 OK\r\n",
-            new String(noise, StandardCharsets.ISO_8859_1)};
+            new String(randomBytes, StandardCharsets.ISO_8859_1)};
         Random random = new Random(seed);
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < 12; i++) {
-            text.append(parts[random.nextInt(parts.length)]);
+            text.append(fragments[random.nextInt(fragments.length)]);
         }
-        byte[] all = text.toString().getBytes(StandardCharsets.ISO_8859_1);
+        byte[] input = text.toString().getBytes(StandardCharsets.ISO_8859_1);
         for (boolean requests : new boolean[] {true, false}) {
-            String whole = parseInPieces(requests, all, all.length, random);
-            assertEquals(whole, parseInPieces(requests, all, 1, random));
-            assertEquals(whole, parseInPieces(requests, all, 9, random));
+            String unsplit = parseInPieces(requests, input, input.length, random);
+            assertEquals(unsplit, parseInPieces(requests, input, 1, random));
+            assertEquals(unsplit, parseInPieces(requests, input, 9, random));
         }
     }
 
-    private static String parseInPieces(boolean requests, byte[] all, int most, Random random) {
+    private static String parseInPieces(boolean requests, byte[] input, int maxPieceBytes, Random random) {
         MessageParser parser = requests ? MessageParser.forRequests(SMALL) : MessageParser.forResponses(SMALL);
-        List<String> story = new ArrayList<>();
+        List<String> results = new ArrayList<>();
         try {
-            for (int at = 0; at < all.length;) {
-                int count = Math.min(all.length - at, most == all.length ? most : 1 + random.nextInt(most));
-                ByteBuffer piece = ByteBuffer.wrap(all, at, count);
+            for (int at = 0; at < input.length;) {
+                int count = Math.min(input.length - at, maxPieceBytes == input.length ? maxPieceBytes
+                        : 1 + random.nextInt(maxPieceBytes));
+                ByteBuffer piece = ByteBuffer.wrap(input, at, count);
                 while (piece.hasRemaining()) {
                     Message message = parser.next(piece);
                     if (message != null) {
-                        story.add(message.fields() + new String(message.body(), StandardCharsets.ISO_8859_1));
+                        results.add(message.fields() + new String(message.body(), StandardCharsets.ISO_8859_1));
                     }
                 }
                 at += count;
             }
         } catch (HttpError e) {
-            story.add(e.status() + e.getMessage());
+            results.add(e.status() + e.getMessage());
         }
-        return story.toString();
+        return results.toString();
     }
 }
--- a/src/test/java/rowanmoor/net/EndingTest.java
+++ b/src/test/java/rowanmoor/net/EndingTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Ends of connections on real loopback sockets, each bad order forced by the peer. */
+/** Graceful and abortive closes on loopback sockets, with every unfavourable order of events forced by the peer. */
 @Timeout(60)
 class EndingTest {
 
@@ -45,25 +45,25 @@
         assertEquals(List.of(), faults);
     }
 
-    private <T> T onLoop(Function<Loop, T> what) throws Exception {
-        CompletableFuture<T> answer = new CompletableFuture<>();
-        loop.post(() -> answer.complete(what.apply(loop)));
-        return answer.get(20, TimeUnit.SECONDS);
+    private <T> T onLoop(Function<Loop, T> task) throws Exception {
+        CompletableFuture<T> result = new CompletableFuture<>();
+        loop.post(() -> result.complete(task.apply(loop)));
+        return result.get(20, TimeUnit.SECONDS);
     }
 
     private Socket connect() throws Exception {
         ConnectionHandler handler = new ConnectionHandler() {
             @Override
-            public void onData(Connection its, ByteBuffer bytes) {
+            public void onData(Connection connection, ByteBuffer bytes) {
                 bytes.position(bytes.limit());
             }
 
             @Override
-            public void onClose(Connection its, CloseReason why, String detail) {
-                closed.complete(why + ": " + detail);
+            public void onClose(Connection connection, CloseReason reason, String detail) {
+                closed.complete(reason + ": " + detail);
             }
         };
-        InetSocketAddress at = onLoop(l -> {
+        InetSocketAddress address = onLoop(l -> {
             try {
                 return l.listen(ANY, Connection.Options.defaults().bound(new WriteLimit(1 << 20, 4096,
                         WriteLimit.OverflowPolicy.REFUSE)), c -> {
@@ -75,23 +75,23 @@
             }
         });
         Socket peer = new Socket();
-        peer.setReceiveBufferSize(FRAME_BYTES); // it does not grow then
-        peer.connect(at);
+        peer.setReceiveBufferSize(FRAME_BYTES); // keeps the buffer from growing
+        peer.connect(address);
         return peer;
     }
 
     /**
-     * Sends to a peer that reads nothing until its connection's queue is full behind a write that took nothing. One piece
-     * in the queue is not enough: beside other load a write may take nothing only because the other side of the loopback
-     * has not had its turn, and then takes that piece after all.
+     * Sends to a peer that reads nothing until the connection's queue is full and the last write accepted nothing. One
+     * queued frame is not enough: under other load a write may accept nothing only because the other side of the
+     * loopback has not been scheduled yet, and the frame is sent after all.
      */
     private Connection connectionWithFullQueue() throws Exception {
         Connection connection = accepted.get(20, TimeUnit.SECONDS);
         while (onLoop(l -> {
             long before = connection.writtenBytes();
             connection.flush();
-            boolean tookNothing = connection.writtenBytes() == before;
-            return connection.send(ByteBuffer.allocate(FRAME_BYTES)) || !tookNothing;
+            boolean wroteNothing = connection.writtenBytes() == before;
+            return connection.send(ByteBuffer.allocate(FRAME_BYTES)) || !wroteNothing;
         })) {
             Thread.onSpinWait();
         }
@@ -124,16 +124,16 @@
     void gracefulCloseDeliversAllQueuedBytes() throws Exception {
         try (Socket peer = connect()) {
             Connection connection = connectionWithFullQueue();
-            long sent = onLoop(l -> {
+            long sentBytes = onLoop(l -> {
                 connection.closeGracefully();
                 return connection.writtenBytes() + connection.queuedBytes();
             });
-            byte[] into = new byte[FRAME_BYTES];
-            long read = 0;
-            for (int n = peer.getInputStream().read(into); n >= 0; n = peer.getInputStream().read(into)) {
-                read += n;
+            byte[] buffer = new byte[FRAME_BYTES];
+            long readBytes = 0;
+            for (int n = peer.getInputStream().read(buffer); n >= 0; n = peer.getInputStream().read(buffer)) {
+                readBytes += n;
             }
-            assertEquals(sent, read);
+            assertEquals(sentBytes, readBytes);
             peer.shutdownOutput();
             assertEquals("ENDED: the peer ended", closed.get(20, TimeUnit.SECONDS));
         }
@@ -141,19 +141,19 @@
 
     @Test
     void connectionsResetBeforeAcceptDoNotPauseAccepting() throws Exception {
-        CompletableFuture<Void> held = new CompletableFuture<>();
+        CompletableFuture<Void> loopReleased = new CompletableFuture<>();
         try (Socket first = connect()) {
             accepted.get(20, TimeUnit.SECONDS);
-            loop.post(held::join); // the loop stands still: what connects now waits in the backlog
+            loop.post(loopReleased::join); // blocks the loop: new connections wait in the backlog
             for (int i = 0; i < 20; i++) {
-                Socket killed = new Socket(first.getInetAddress(), first.getPort());
-                killed.setSoLinger(true, 0);
-                killed.close();
+                Socket resetSocket = new Socket(first.getInetAddress(), first.getPort());
+                resetSocket.setSoLinger(true, 0);
+                resetSocket.close();
             }
-            held.complete(null);
-            try (Socket later = new Socket(first.getInetAddress(), first.getPort())) {
-                later.shutdownOutput();
-                assertEquals(-1, later.getInputStream().read(), "served and ended");
+            loopReleased.complete(null);
+            try (Socket nextSocket = new Socket(first.getInetAddress(), first.getPort())) {
+                nextSocket.shutdownOutput();
+                assertEquals(-1, nextSocket.getInputStream().read(), "served and closed");
             }
             assertEquals(0L, onLoop(Loop::acceptPauseCount));
         }
--- a/src/test/java/rowanmoor/net/LoopTest.java
+++ b/src/test/java/rowanmoor/net/LoopTest.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The loop on pipes in memory, and once on sockets. */
+/** The event loop on the in-memory network, and once on sockets. */
 class LoopTest {
 
     private static final long MS = 1_000_000;
@@ -25,7 +25,7 @@
     private final MemoryNet net = new MemoryNet(0, 5);
     private final Loop loop = net.newLoop(faults::add);
 
-    /** Keeps what it hears. */
+    /** Records the events of a connection. */
     private static class RecordingHandler implements ConnectionHandler {
         final StringBuilder received = new StringBuilder();
         Connection connection;
@@ -33,20 +33,20 @@
         CloseReason closeReason;
 
         @Override
-        public void onOpen(Connection its) {
-            connection = its;
+        public void onOpen(Connection openedConnection) {
+            connection = openedConnection;
             opened = true;
         }
 
         @Override
-        public void onData(Connection its, ByteBuffer bytes) {
+        public void onData(Connection openedConnection, ByteBuffer bytes) {
             received.append(StandardCharsets.ISO_8859_1.decode(bytes));
         }
 
         @Override
-        public void onClose(Connection its, CloseReason how, String detail) {
+        public void onClose(Connection openedConnection, CloseReason reason, String detail) {
             assertEquals(null, closeReason, "closed twice");
-            closeReason = how;
+            closeReason = reason;
         }
     }
 
@@ -115,42 +115,44 @@
     void halfClosedPeerIsStillServed() throws IOException {
         RecordingHandler server = new RecordingHandler() {
             @Override
-            public boolean onInputEnd(Connection its) {
-                its.send(bytes("late answer"));
-                its.closeGracefully();
+            public boolean onInputEnd(Connection openedConnection) {
+                openedConnection.send(bytes("late response"));
+                openedConnection.closeGracefully();
                 return true;
             }
         };
         RecordingHandler client = new RecordingHandler();
         Connection connection = loop.connect(null, listen(server, DEFAULTS).address(), DEFAULTS, client);
-        connection.send(bytes("question"));
+        connection.send(bytes("request"));
         net.runFor(10 * MS);
         connection.closeGracefully();
         net.runFor(10 * MS);
-        assertEquals("question", server.received.toString());
+        assertEquals("request", server.received.toString());
         assertEquals(CloseReason.ENDED, server.closeReason);
     }
 
     @Test
     void resetIsReportedAsReset() throws IOException {
         RecordingHandler server = new RecordingHandler();
-        Connection connection = loop.connect(null, listen(server, DEFAULTS).address(), DEFAULTS, new RecordingHandler());
+        Connection connection = loop.connect(null, listen(server, DEFAULTS).address(), DEFAULTS,
+                new RecordingHandler());
         net.runFor(10 * MS);
         connection.reset("test");
         net.runFor(10 * MS);
         assertEquals(CloseReason.RESET, server.closeReason);
     }
 
-    /** A reader that has paused: the window fills, then the queue. */
-    private Connection connectionWithFullWindow(WriteLimit bound, RecordingHandler client) throws IOException {
+    /** A connection to a peer that has paused reading; its window is full, so that further frames stay queued. */
+    private Connection connectionWithFullWindow(WriteLimit writeLimit, RecordingHandler client) throws IOException {
         RecordingHandler server = new RecordingHandler() {
             @Override
-            public void onOpen(Connection its) {
-                super.onOpen(its);
-                its.pause();
+            public void onOpen(Connection openedConnection) {
+                super.onOpen(openedConnection);
+                openedConnection.pause();
             }
         };
-        Connection connection = loop.connect(null, listen(server, DEFAULTS).address(), DEFAULTS.bound(bound), client);
+        Connection connection = loop.connect(null, listen(server, DEFAULTS).address(), DEFAULTS.bound(writeLimit),
+                client);
         net.runFor(5 * MS);
         connection.send(ByteBuffer.allocate(1 << 16));
         net.runFor(5 * MS);
@@ -160,7 +162,8 @@
 
     @Test
     void fullQueueRefusesFrames() throws IOException {
-        Connection connection = connectionWithFullWindow(new WriteLimit(1 << 16, 2, WriteLimit.OverflowPolicy.REFUSE), new RecordingHandler());
+        Connection connection = connectionWithFullWindow(
+                new WriteLimit(1 << 16, 2, WriteLimit.OverflowPolicy.REFUSE), new RecordingHandler());
         assertTrue(connection.send(bytes("a")));
         assertTrue(connection.send(bytes("b")));
         assertFalse(connection.send(bytes("c")));
@@ -170,7 +173,8 @@
     @Test
     void fullQueueClosesConnection() throws IOException {
         RecordingHandler client = new RecordingHandler();
-        Connection connection = connectionWithFullWindow(new WriteLimit(1 << 16, 1, WriteLimit.OverflowPolicy.CLOSE), client);
+        Connection connection = connectionWithFullWindow(
+                new WriteLimit(1 << 16, 1, WriteLimit.OverflowPolicy.CLOSE), client);
         assertTrue(connection.send(bytes("0123456789")));
         assertFalse(connection.send(bytes("x")));
         assertEquals(CloseReason.OVERFLOW, client.closeReason);
@@ -197,21 +201,21 @@
 
     @Test
     void throwingHandlerClosesOnlyItsConnection() throws IOException {
-        RecordingHandler bad = new RecordingHandler() {
+        RecordingHandler throwing = new RecordingHandler() {
             @Override
-            public void onData(Connection its, ByteBuffer bytes) {
+            public void onData(Connection openedConnection, ByteBuffer bytes) {
                 throw new IllegalStateException("on purpose");
             }
         };
-        RecordingHandler good = new RecordingHandler();
-        Connection one = loop.connect(null, listen(bad, DEFAULTS).address(), DEFAULTS, new RecordingHandler());
-        Connection other = loop.connect(null, listen(good, DEFAULTS).address(), DEFAULTS, new RecordingHandler());
-        one.send(bytes("x"));
+        RecordingHandler healthy = new RecordingHandler();
+        Connection first = loop.connect(null, listen(throwing, DEFAULTS).address(), DEFAULTS, new RecordingHandler());
+        Connection second = loop.connect(null, listen(healthy, DEFAULTS).address(), DEFAULTS, new RecordingHandler());
+        first.send(bytes("x"));
         net.runFor(10 * MS);
-        other.send(bytes("y"));
+        second.send(bytes("y"));
         net.runFor(10 * MS);
-        assertEquals(CloseReason.FAULT, bad.closeReason);
-        assertEquals("y", good.received.toString());
+        assertEquals(CloseReason.FAULT, throwing.closeReason);
+        assertEquals("y", healthy.received.toString());
         assertEquals(1, faults.size());
     }
 
@@ -234,62 +238,62 @@
     }
 
     private static String runWithFaults(long seed) throws IOException {
-        MemoryNet its = new MemoryNet(0, seed);
-        its.setFaults(new MemoryNet.Faults(100, MS, 20 * MS, 0.01, 0.02));
-        Loop one = its.newLoop(e -> { });
-        StringBuilder story = new StringBuilder();
-        InetSocketAddress to = one.listen(ANY, DEFAULTS, c -> new RecordingHandler() {
+        MemoryNet memoryNet = new MemoryNet(0, seed);
+        memoryNet.setFaults(new MemoryNet.Faults(100, MS, 20 * MS, 0.01, 0.02));
+        Loop eventLoop = memoryNet.newLoop(e -> { });
+        StringBuilder events = new StringBuilder();
+        InetSocketAddress to = eventLoop.listen(ANY, DEFAULTS, c -> new RecordingHandler() {
             @Override
             public void onData(Connection connection, ByteBuffer bytes) {
-                story.append(bytes.remaining()).append('@').append(its.now()).append(' ');
+                events.append(bytes.remaining()).append('@').append(memoryNet.now()).append(' ');
             }
 
             @Override
-            public void onClose(Connection connection, CloseReason how, String detail) {
-                story.append(how).append(' ');
+            public void onClose(Connection connection, CloseReason reason, String detail) {
+                events.append(reason).append(' ');
             }
         }).address();
         for (int i = 0; i < 10; i++) {
-            one.connect(null, to, DEFAULTS, new RecordingHandler()).send(ByteBuffer.allocate(2000));
+            eventLoop.connect(null, to, DEFAULTS, new RecordingHandler()).send(ByteBuffer.allocate(2000));
         }
-        its.runFor(1000 * MS);
-        return story.toString();
+        memoryNet.runFor(1000 * MS);
+        return events.toString();
     }
 
     @Test
     void socketsEchoOneMebibyteAndStopFromAnotherThread() throws Exception {
-        List<Throwable> thrown = new ArrayList<>();
-        Loop sockets = Loop.onSockets(thrown::add);
-        CountDownLatch back = new CountDownLatch(1);
+        List<Throwable> socketFaults = new ArrayList<>();
+        Loop socketLoop = Loop.onSockets(socketFaults::add);
+        CountDownLatch allEchoed = new CountDownLatch(1);
         int size = 1 << 20;
-        InetSocketAddress to = sockets.listen(ANY, DEFAULTS, c -> new ConnectionHandler() {
+        InetSocketAddress to = socketLoop.listen(ANY, DEFAULTS, c -> new ConnectionHandler() {
             @Override
-            public void onData(Connection its, ByteBuffer bytes) {
-                its.send(ByteBuffer.allocate(bytes.remaining()).put(bytes).flip());
+            public void onData(Connection openedConnection, ByteBuffer bytes) {
+                openedConnection.send(ByteBuffer.allocate(bytes.remaining()).put(bytes).flip());
             }
         }).address();
-        int[] count = {0};
-        Thread thread = new Thread(sockets);
+        int[] echoedBytes = {0};
+        Thread thread = new Thread(socketLoop);
         thread.start();
-        sockets.post(() -> sockets.connect(null, to, DEFAULTS, new ConnectionHandler() {
+        socketLoop.post(() -> socketLoop.connect(null, to, DEFAULTS, new ConnectionHandler() {
             @Override
-            public void onOpen(Connection its) {
-                its.send(ByteBuffer.allocate(size));
+            public void onOpen(Connection openedConnection) {
+                openedConnection.send(ByteBuffer.allocate(size));
             }
 
             @Override
-            public void onData(Connection its, ByteBuffer bytes) {
-                count[0] += bytes.remaining();
+            public void onData(Connection openedConnection, ByteBuffer bytes) {
+                echoedBytes[0] += bytes.remaining();
                 bytes.position(bytes.limit());
-                if (count[0] == size) {
-                    back.countDown();
+                if (echoedBytes[0] == size) {
+                    allEchoed.countDown();
                 }
             }
         }));
-        assertTrue(back.await(60, TimeUnit.SECONDS));
-        sockets.stop();
+        assertTrue(allEchoed.await(60, TimeUnit.SECONDS));
+        socketLoop.stop();
         thread.join(60_000);
         assertFalse(thread.isAlive());
-        assertEquals(List.of(), thrown);
+        assertEquals(List.of(), socketFaults);
     }
 }
