--- a/src/main/java/rowanmoor/http/ClientConnection.java
+++ b/src/main/java/rowanmoor/http/ClientConnection.java
@@ -67,9 +67,9 @@
 
         @Override
         public void onResponseContent(ByteBuffer bytes) {
-            byte[] piece = new byte[bytes.remaining()];
-            bytes.get(piece);
-            content.write(piece, 0, piece.length);
+            byte[] copy = new byte[bytes.remaining()];
+            bytes.get(copy);
+            content.write(copy, 0, copy.length);
         }
 
         @Override
--- a/src/main/java/rowanmoor/http/ServerConnection.java
+++ b/src/main/java/rowanmoor/http/ServerConnection.java
@@ -64,9 +64,9 @@
             streamExchange.setBodyConsumer(new BodyConsumer() {
                 @Override
                 public void onRequestContent(ByteBuffer bytes) {
-                    byte[] piece = new byte[bytes.remaining()];
-                    bytes.get(piece);
-                    content.write(piece, 0, piece.length);
+                    byte[] copy = new byte[bytes.remaining()];
+                    bytes.get(copy);
+                    content.write(copy, 0, copy.length);
                 }
 
                 @Override
--- a/src/main/java/rowanmoor/net/Connection.java
+++ b/src/main/java/rowanmoor/net/Connection.java
@@ -7,11 +7,11 @@
 
 /**
  * One connection of a {@link Loop}: reads unless its handler has paused it, writes from a bounded queue, and
- * is closed exactly once. States: connecting, open, ending (the last bytes are being written), closed.
+ * is closed exactly once. States: connecting, open, closing (the last bytes are being written), closed.
  */
 public final class Connection {
 
-    private enum State { CONNECTING, OPEN, ENDING, CLOSED }
+    private enum State { CONNECTING, OPEN, CLOSING, CLOSED }
 
     /** Reads per readiness event, so that one busy connection does not starve the others. */
     private static final int MAX_READS_PER_TURN = 4;
@@ -34,22 +34,28 @@
     private Timer idleTimer;
     private Timer connectTimer;
 
-    Connection(Loop loop, ByteStream wire, ConnectionHandler handler, Options options, boolean established) {
+    Connection(Loop loop, ByteStream stream, ConnectionHandler handler, Options options, boolean established) {
         this.loop = loop;
-        this.stream = wire;
+        this.stream = stream;
         this.handler = handler;
         this.writeLimit = options.writeLimit();
         this.idleTimeoutNs = options.idleTimeoutNs();
         this.state = established ? State.OPEN : State.CONNECTING;
         this.lastReadAt = loop.now();
-        wire.setListener(this::onReady);
+        stream.setListener(this::onReady);
         if (!established) {
             connectTimer = loop.after(options.connectTimeoutNs(), () ->
-                    close(CloseReason.CONNECT_TIMEOUT, "no answer from " + wire.remote()));
+                    close(CloseReason.CONNECT_TIMEOUT, "no answer from " + stream.remote()));
         }
     }
 
-    /** Options of one connection; time-outs in nanoseconds, 0 for none. */
+    /**
+     * Options of one connection.
+     *
+     * @param writeLimit limit of the write queue
+     * @param connectTimeoutNs the longest connection attempt, ns
+     * @param idleTimeoutNs closes the connection if nothing is read for so long, ns; 0 for never
+     */
     public record Options(WriteLimit writeLimit, long connectTimeoutNs, long idleTimeoutNs) {
 
         private static final long SECOND_NS = 1_000_000_000L;
@@ -60,18 +66,18 @@
         }
 
         /** A copy with another idle time-out, ns. */
-        public Options idleAfter(long nanos) {
-            return new Options(writeLimit, connectTimeoutNs, nanos);
+        public Options idleAfter(long timeoutNs) {
+            return new Options(writeLimit, connectTimeoutNs, timeoutNs);
         }
 
         /** A copy with another connect time-out, ns. */
-        public Options connectWithin(long nanos) {
-            return new Options(writeLimit, nanos, idleTimeoutNs);
+        public Options connectWithin(long timeoutNs) {
+            return new Options(writeLimit, timeoutNs, idleTimeoutNs);
         }
 
         /** A copy with another write limit. */
-        public Options bound(WriteLimit other) {
-            return new Options(other, connectTimeoutNs, idleTimeoutNs);
+        public Options bound(WriteLimit newLimit) {
+            return new Options(newLimit, connectTimeoutNs, idleTimeoutNs);
         }
     }
 
@@ -85,7 +91,7 @@
 
     /** Queues a frame, to be written at the end of the loop's turn. False if it was not accepted. */
     public boolean send(ByteBuffer frame) {
-        if (state == State.CLOSED || state == State.ENDING) {
+        if (state == State.CLOSED || state == State.CLOSING) {
             return false;
         }
         if (!fits(frame)) {
@@ -326,7 +332,7 @@
                 }
                 queue.poll();
             }
-            if (queue.isEmpty() && state == State.ENDING) {
+            if (queue.isEmpty() && state == State.CLOSING) {
                 shutDownOutput();
             }
         } catch (IOException e) {
@@ -351,7 +357,7 @@
     }
 
     private void startClosing() {
-        state = State.ENDING;
+        state = State.CLOSING;
         paused = false;
         startLingerTimer();
     }
@@ -371,7 +377,7 @@
     }
 
     private void updateInterest() {
-        if (state == State.OPEN || state == State.ENDING) {
+        if (state == State.OPEN || state == State.CLOSING) {
             stream.setInterest(!paused && !inputEnded, !queue.isEmpty());
         }
     }
--- a/src/main/java/rowanmoor/net/WriteLimit.java
+++ b/src/main/java/rowanmoor/net/WriteLimit.java
@@ -3,9 +3,9 @@
 /**
  * Limit of one connection's write queue, and what happens to a frame that exceeds it.
  *
- * @param bytes the most bytes queued, 1 or more; a single frame larger than that is never accepted
- * @param frames the most frames queued, 1 or more
- * @param policy what is done with a frame that exceeds the limit
+ * @param maxBytes the most bytes queued, 1 or more; a single frame larger than that is never accepted
+ * @param maxFrames the most frames queued, 1 or more
+ * @param overflowPolicy what is done with a frame that exceeds the limit
  */
 public record WriteLimit(long maxBytes, int maxFrames, OverflowPolicy overflowPolicy) {
 
