--- a/src/main/java/rowanmoor/config/Section.java
+++ b/src/main/java/rowanmoor/config/Section.java
@@ -21,7 +21,7 @@
 /**
  * A node read as a set of keys: each child is a key with its values as arguments, or a section of its own.
  * What is wrong is noted and reading goes on with a harmless value, so that one look finds everything;
- * {@link #finish} notes keys that nobody asked for.
+ * {@link #fail} notes keys that nobody asked for.
  */
 public final class Section {
 
--- a/src/main/java/rowanmoor/proxy/ChannelClient.java
+++ b/src/main/java/rowanmoor/proxy/ChannelClient.java
@@ -29,23 +29,23 @@
     private final Loop loop;
     private final ProxyConfig config;
     private final Router router;
-    private final Runnable tablesChanged;
+    private final Runnable onTablesChanged;
     private final ReportQueue reports;
-    private final Runnable reportsChanged;
-    private final Set<Integer> oldControllers = new HashSet<>(); // places of those that refused this version
+    private final Runnable onReportsChanged;
+    private final Set<Integer> oldProtocolControllers = new HashSet<>(); // places of those that refused this version
     private final Redial redial;
     private final long incarnation;
     private final Tap tap;
     private FrameReader reader;
     private Connection connection;
-    private Timer firstSnapshot;
+    private Timer snapshotTimer;
     private boolean up;
     private boolean hasBeenUp;
-    private boolean unasked;
+    private boolean resyncPending;
     private boolean stopped;
-    private int streams;
-    private int calling; // place of the controller that is called or joined
-    private int protocol;
+    private int streamNumber;
+    private int controllerIndex; // place of the controller that is called or joined
+    private int protocolVersion;
 
     /** @param reportsChanged called when the stream comes up and when reports were acknowledged */
     ChannelClient(Loop loop, ProxyConfig config, Router router, ReportQueue reports, RandomGenerator random,
@@ -54,21 +54,21 @@
         this.config = config;
         this.router = router;
         this.tap = tap;
-        this.tablesChanged = tablesChanged;
+        this.onTablesChanged = tablesChanged;
         this.reports = reports;
-        this.reportsChanged = reportsChanged;
+        this.onReportsChanged = reportsChanged;
         this.incarnation = random.nextLong();
         this.redial = new Redial(config.controllers().size(), config.firstController(), config.redialWaitNs(),
                 random);
     }
 
-    void call() {
+    void connect() {
         if (stopped) {
             return;
         }
-        calling = redial.controller();
-        protocol = oldControllers.contains(calling) ? Frame.OLDEST_PROTOCOL : Frame.PROTOCOL;
-        InetSocketAddress to = config.controllers().get(calling);
+        controllerIndex = redial.currentController();
+        protocolVersion = oldProtocolControllers.contains(controllerIndex) ? Frame.OLDEST_PROTOCOL : Frame.PROTOCOL;
+        InetSocketAddress to = config.controllers().get(controllerIndex);
         connection = loop.connect(config.localAddress(), to, Connection.Options.usual()
                 .connectWithin(config.controllerTimeoutNs()).idleAfter(config.controllerTimeoutNs()), this);
     }
@@ -81,7 +81,7 @@
         }
     }
 
-    boolean up() {
+    boolean isUp() {
         return up;
     }
 
@@ -91,18 +91,18 @@
     }
 
     /** Reports what was counted by now, if the stream is up; what it does not take waits. */
-    void report() {
+    void sendReport() {
         if (up) {
-            reports.cut(loop.now());
-            sendReports();
+            reports.enqueueReport(loop.now());
+            sendPendingReports();
         }
     }
 
-    private void sendReports() {
-        if (protocol == Frame.OLDEST_PROTOCOL) {
+    private void sendPendingReports() {
+        if (protocolVersion == Frame.OLDEST_PROTOCOL) {
             reports.sendUnnumbered(this::send);
         } else {
-            reports.send(this::send);
+            reports.sendPending(this::send);
         }
     }
 
@@ -112,27 +112,27 @@
 
     @Override
     public void opened(Connection its) {
-        tap.opened(config.number(), ++streams, loop.now());
+        tap.opened(config.number(), ++streamNumber, loop.now());
         reader = new FrameReader(ChannelLimits.usual());
         boolean fresh = router.hasOnlyStandingTable();
         router.onStreamOpened();
-        unasked = false;
-        reports.streamBegins();
-        send(new Frame.Hello(protocol, config.number(), incarnation, config.zone(), config.requestsPerSecond(), fresh,
+        resyncPending = false;
+        reports.onStreamOpened();
+        send(new Frame.Hello(protocolVersion, config.number(), incarnation, config.zone(), config.requestsPerSecond(), fresh,
                 router.epoch(), router.version(), config.name()));
-        firstSnapshot = loop.after(config.controllerTimeoutNs(), () ->
+        snapshotTimer = loop.after(config.controllerTimeoutNs(), () ->
                 connection.close(Close.IDLE, "no snapshot after the hello"));
     }
 
     @Override
     public void received(Connection its, ByteBuffer bytes) {
         router.onControllerMessage(loop.now());
-        tap.read(config.number(), streams, loop.now(), bytes.duplicate());
+        tap.read(config.number(), streamNumber, loop.now(), bytes.duplicate());
         try {
             while (bytes.hasRemaining() && connection.isOpen()) {
                 Frame frame = reader.next(bytes);
                 if (frame != null) {
-                    take(frame);
+                    handle(frame);
                 }
             }
         } catch (ChannelError e) {
@@ -142,28 +142,28 @@
         }
     }
 
-    private void take(Frame frame) throws ChannelError {
+    private void handle(Frame frame) throws ChannelError {
         if (frame instanceof Frame.Snapshot snapshot) {
             router.apply(snapshot);
             if (!up) {
                 up = true;
                 hasBeenUp = true;
-                redial.up();
-                firstSnapshot.cancel();
-                lookHomeLater();
-                sendReports(); // what the last stream left without an answer
-                reportsChanged.run();
+                redial.onStreamUp();
+                snapshotTimer.cancel();
+                scheduleFirstControllerProbe();
+                sendPendingReports(); // what the last stream left without an answer
+                onReportsChanged.run();
             }
-            tablesChanged.run();
+            onTablesChanged.run();
         } else if (frame instanceof Frame.Update update) {
-            take(update);
+            handle(update);
         } else if (frame instanceof Frame.Ping ping) {
             send(new Frame.Pong(ping.token()));
         } else if (frame instanceof Frame.ReportsTaken taken) {
-            take(taken);
+            handle(taken);
         } else if (frame instanceof Frame.Goodbye goodbye) {
             if (goodbye.reason() == Frame.Reason.VERSION) {
-                oldControllers.add(calling);
+                oldProtocolControllers.add(controllerIndex);
             }
             LOG.info("proxy {}: the controller says goodbye: {} {}", config.number(), goodbye.reason(),
                     goodbye.text());
@@ -174,38 +174,38 @@
         }
     }
 
-    private void take(Frame.ReportsTaken taken) throws ChannelError {
+    private void handle(Frame.ReportsTaken taken) throws ChannelError {
         if (!reports.acknowledge(taken.upTo())) {
             throw new ChannelError("an acknowledgement of report " + taken.upTo() + ", which was not sent");
         }
-        sendReports();
-        reportsChanged.run();
+        sendPendingReports();
+        onReportsChanged.run();
     }
 
-    private void lookHomeLater() {
-        if (config.policy().rehomeIntervalNs() > 0 && !redial.atHome() && !stopped) {
-            int its = streams;
-            loop.after(redial.lookAfter(config.policy().rehomeIntervalNs()), () -> {
-                if (up && its == streams) {
-                    lookHome();
+    private void scheduleFirstControllerProbe() {
+        if (config.policy().rehomeIntervalNs() > 0 && !redial.isAtFirstController() && !stopped) {
+            int its = streamNumber;
+            loop.after(redial.jitteredProbeDelayNs(config.policy().rehomeIntervalNs()), () -> {
+                if (up && its == streamNumber) {
+                    probeFirstController();
                 }
             });
         }
     }
 
     /** Calls its first controller beside the stream that is up; that is left only for one that answers. */
-    private void lookHome() {
+    private void probeFirstController() {
         InetSocketAddress home = config.controllers().get(config.firstController()
                 % config.controllers().size());
-        int its = streams;
+        int its = streamNumber;
         loop.connect(config.localAddress(), home, Connection.Options.usual().connectWithin(config.controllerTimeoutNs()),
                 new Handler() {
                     @Override
                     public void opened(Connection made) {
                         made.close(Close.LOCAL, "it is there");
-                        if (up && its == streams && !stopped) {
+                        if (up && its == streamNumber && !stopped) {
                             LOG.info("proxy {}: moves back to its first controller", config.number());
-                            redial.home();
+                            redial.returnToFirstController();
                             send(new Frame.Goodbye(Frame.Reason.MOVING, "to its first controller"));
                             connection.end();
                         }
@@ -216,33 +216,33 @@
 
                     @Override
                     public void closed(Connection made, Close why, String detail) {
-                        if (why.neverMade() && up && its == streams) {
-                            lookHomeLater();
+                        if (why.neverMade() && up && its == streamNumber) {
+                            scheduleFirstControllerProbe();
                         }
                     }
                 });
     }
 
     /** Asks for a snapshot; one that its own full queue refuses is asked for again with the next message. */
-    private void askAnew() {
-        unasked = !send(new Frame.Resync(router.epoch(), router.version()));
+    private void requestSnapshot() {
+        resyncPending = !send(new Frame.Resync(router.epoch(), router.version()));
     }
 
-    private void take(Frame.Update update) {
+    private void handle(Frame.Update update) {
         Router.UpdateResult heed = router.apply(update);
         if (heed == Router.UpdateResult.GAP) {
             LOG.warn("proxy {}: version {}/{} does not follow on {}/{}", config.number(), update.epoch(),
                     update.version(), router.epoch(), router.version());
-            askAnew();
-        } else if (heed == Router.UpdateResult.SKIPPED && unasked) {
-            askAnew();
+            requestSnapshot();
+        } else if (heed == Router.UpdateResult.SKIPPED && resyncPending) {
+            requestSnapshot();
         } else if (heed == Router.UpdateResult.APPLIED) {
             for (Frame.Order order : update.orders()) {
                 if (order instanceof Frame.Mark mark) {
                     send(new Frame.Applied(update.epoch(), update.version(), mark.number()));
                 }
             }
-            tablesChanged.run();
+            onTablesChanged.run();
         }
     }
 
@@ -251,17 +251,17 @@
         boolean wasUp = up;
         up = false;
         if (wasUp) {
-            oldControllers.remove(calling); // it may come back with another version
+            oldProtocolControllers.remove(controllerIndex); // it may come back with another version
         }
-        if (firstSnapshot != null) {
-            firstSnapshot.cancel();
+        if (snapshotTimer != null) {
+            snapshotTimer.cancel();
         }
         if (!why.neverMade()) {
-            tap.closed(config.number(), streams, loop.now());
+            tap.closed(config.number(), streamNumber, loop.now());
         }
-        long wait = redial.failed(wasUp);
+        long wait = redial.onStreamEnded(wasUp);
         LOG.debug("proxy {}: stream ended, {} {}; calling again in {} ms", config.number(), why, detail,
                 wait / 1_000_000);
-        loop.after(wait, this::call);
+        loop.after(wait, this::connect);
     }
 }
--- a/src/main/java/rowanmoor/proxy/Forward.java
+++ b/src/main/java/rowanmoor/proxy/ForwardedRequest.java
@@ -19,113 +19,113 @@
  * held, up to a bound, so that another try can send it; longer content goes once. Once the answer has begun
  * there is no other try: if it breaks off, so does the client's.
  */
-final class Forward implements ServerStream.Body, ClientStream.Answer {
+final class ForwardedRequest implements ServerStream.Body, ClientStream.Answer {
 
     /** An answer that another try follows, up to this, is read and dropped to keep its connection. */
-    private static final long DROP_MOST = 1 << 16;
+    private static final long MAX_DISCARDED_BYTES = 1 << 16;
 
     private final Proxy proxy;
     private final int cls;
     private final ServerStream.Exchange exchange;
     private final Set<Backend> tried = new TreeSet<>();
-    private final long deadline;
-    private final Timer patience;
-    private List<ByteBuffer> held = new ArrayList<>();
-    private int heldBytes;
-    private Fields requestEnd;
-    private Timer tryPatience;
+    private final long deadlineNs;
+    private final Timer deadlineTimer;
+    private List<ByteBuffer> replayBuffer = new ArrayList<>();
+    private int replayBytes;
+    private Fields requestTrailers;
+    private Timer tryTimer;
     private ClientStream stream;
     private Backend backend;
-    private long sentAt;
+    private long trySentNs;
     private List<Double> load = List.of();
-    private boolean good;
-    private boolean begun;
-    private boolean over;
-    private long begunAt;
+    private boolean responseGood;
+    private boolean responseBegun;
+    private boolean finished;
+    private long responseBegunNs;
     /** Time of the last byte that moved in either direction. */
-    long movedAt;
+    long lastProgressNs;
 
-    Forward(Proxy proxy, int cls, ServerStream.Exchange exchange, long within) {
+    ForwardedRequest(Proxy proxy, int cls, ServerStream.Exchange exchange, long within) {
         this.proxy = proxy;
         this.cls = cls;
         this.exchange = exchange;
-        this.movedAt = proxy.now();
-        this.deadline = movedAt + within;
-        this.patience = proxy.loop().at(deadline, this::late);
+        this.lastProgressNs = proxy.now();
+        this.deadlineNs = lastProgressNs + within;
+        this.deadlineTimer = proxy.loop().at(deadlineNs, this::onDeadline);
     }
 
-    void begin() {
+    void start() {
         exchange.to(this);
         if (exchange.asked()) {
-            requestEnd = new Fields();
+            requestTrailers = new Fields();
         }
-        tryOne();
+        startTry();
     }
 
-    private void late() {
-        if (!begun) {
+    private void onDeadline() {
+        if (!responseBegun) {
             endTry(false, true);
-            finish(504, "no answer before its deadline");
+            fail(504, "no answer before its deadline");
         }
     }
 
     // ---- tries ---------------------------------------------------------------------------------------
 
-    private void tryOne() {
+    private void startTry() {
         backend = proxy.router().pick(cls, tried, proxy.now());
         if (backend == null) {
-            finish(503, "no backend");
+            fail(503, "no backend");
             return;
         }
         tried.add(backend);
         proxy.router().onTrySent(backend);
-        sentAt = proxy.now();
-        stream = proxy.connection(backend);
+        trySentNs = proxy.now();
+        stream = proxy.acquireConnection(backend);
         if (stream == null) { // this proxy's own bound: not held against the backend
             proxy.router().onTryAbandoned(backend);
             backend = null;
-            if (mayFollow(true)) {
-                tryOne();
+            if (mayRetry(true)) {
+                startTry();
             } else {
-                finish(503, "as many connections as may be");
+                fail(503, "as many connections as may be");
             }
             return;
         }
         long within = proxy.router().tryTimeoutNs(cls);
         if (within > 0) {
-            tryPatience = proxy.loop().after(within, () -> {
+            tryTimer = proxy.loop().after(within, () -> {
                 endTry(false, true);
-                follow(false, "no answer in time");
+                retryOrFail(false, "no answer in time");
             });
         }
-        stream.ask(proxy.forwarded(exchange.head(), backend, deadline - proxy.now()), this);
-        for (ByteBuffer piece : held == null ? List.<ByteBuffer>of() : held) {
+        stream.ask(proxy.backendRequestHead(exchange.head(), backend, deadlineNs - proxy.now()), this);
+        for (ByteBuffer piece : replayBuffer == null ? List.<ByteBuffer>of() : replayBuffer) {
             stream.write(piece.duplicate());
         }
-        if (requestEnd != null) {
-            stream.end(requestEnd);
+        if (requestTrailers != null) {
+            stream.end(requestTrailers);
         }
     }
 
     /** What has been sent is not held any more: no other try can send it. */
-    private boolean canRepeat() {
-        return held != null;
+    private boolean canReplay() {
+        return replayBuffer != null;
     }
 
     /** Asked in this order, for what lets a try follow may spend a credit: none without another backend. */
-    private boolean mayFollow(boolean neverRan) {
-        return canRepeat() && proxy.router().hasUntriedBackend(cls, tried)
-                && proxy.router().mayRetry(cls, tried.size(), neverRan, deadline - proxy.now());
+    private boolean mayRetry(boolean neverRan) {
+        return canReplay() && proxy.router().hasUntriedBackend(cls, tried)
+                && proxy.router().mayRetry(cls, tried.size(), neverRan, deadlineNs - proxy.now());
     }
 
-    private void follow(boolean neverRan, String why) {
-        if (over) {
+    private void retryOrFail(boolean neverRan, String why) {
+        if (finished) {
             return;
         }
-        if (mayFollow(neverRan)) {
-            tryOne();
+        if (mayRetry(neverRan)) {
+            startTry();
         } else {
-            finish(502, "the last try failed: " + why);
+            fail(502, "the last try failed: " + why);
         }
     }
 
@@ -134,14 +134,14 @@
         if (backend == null) {
             return;
         }
-        if (tryPatience != null) {
-            tryPatience.cancel();
-            tryPatience = null;
+        if (tryTimer != null) {
+            tryTimer.cancel();
+            tryTimer = null;
         }
         Backend its = backend;
         backend = null;
         proxy.router().onTryEnded(its, itsGood, proxy.now());
-        proxy.tallies().onTryEnded(its, itsGood, proxy.now() - sentAt, load);
+        proxy.tallies().onTryEnded(its, itsGood, proxy.now() - trySentNs, load);
         load = List.of();
         if (cancel && stream != null) {
             ClientStream left = stream;
@@ -151,48 +151,48 @@
     }
 
     /** An answer of the proxy's own, as the last word. */
-    private void finish(int status, String why) {
-        if (!over) {
-            over();
+    private void fail(int status, String why) {
+        if (!finished) {
+            markFinished();
             proxy.tallies().onUnanswered(cls);
             if (exchange.begun()) {
                 exchange.breakOff();
             } else {
-                proxy.own(exchange, status, why);
+                proxy.answerDirectly(exchange, status, why);
             }
         }
     }
 
-    private void over() {
-        over = true;
-        patience.cancel();
-        held = null;
-        proxy.ended(this);
+    private void markFinished() {
+        finished = true;
+        deadlineTimer.cancel();
+        replayBuffer = null;
+        proxy.onRequestEnded(this);
     }
 
     /** The client is gone: its try is cancelled and counts for nothing. */
-    void giveUp() {
-        if (over) {
+    void abandon() {
+        if (finished) {
             return;
         }
-        over();
-        leaveTry();
+        markFinished();
+        abandonTry();
         proxy.tallies().onUnanswered(cls);
     }
 
     /** The proxy stops: the client gets an answer, unless one has begun, which breaks off. */
     void stop() {
-        if (!over) {
-            leaveTry();
-            finish(503, "the proxy stops");
+        if (!finished) {
+            abandonTry();
+            fail(503, "the proxy stops");
         }
     }
 
     /** Cancels the try in work, which counts neither for nor against its backend. */
-    private void leaveTry() {
-        if (tryPatience != null) {
-            tryPatience.cancel();
-            tryPatience = null;
+    private void abandonTry() {
+        if (tryTimer != null) {
+            tryTimer.cancel();
+            tryTimer = null;
         }
         if (stream != null) {
             ClientStream left = stream;
@@ -206,11 +206,11 @@
     }
 
     /** Looks whether it stands still or has taken too long; called now and then. */
-    void watch(long now) {
-        boolean still = now - movedAt > proxy.conduct().stallTimeoutNs();
-        if (begun && (still || now - begunAt > proxy.conduct().responseTimeoutNs())) {
+    void checkTimeouts(long now) {
+        boolean still = now - lastProgressNs > proxy.policy().stallTimeoutNs();
+        if (responseBegun && (still || now - responseBegunNs > proxy.policy().responseTimeoutNs())) {
             endTry(false, true);
-            finish(504, "stands still");
+            fail(504, "stands still");
         }
     }
 
@@ -218,16 +218,16 @@
 
     @Override
     public void piece(ByteBuffer bytes) {
-        movedAt = proxy.now();
-        if (backend == null && stream == null && held == null) {
+        lastProgressNs = proxy.now();
+        if (backend == null && stream == null && replayBuffer == null) {
             return;
         }
-        if (held != null) {
-            if (heldBytes + bytes.remaining() <= proxy.conduct().maxReplayBytes()) {
-                heldBytes += bytes.remaining();
-                held.add(ByteBuffer.allocate(bytes.remaining()).put(bytes.duplicate()).flip());
+        if (replayBuffer != null) {
+            if (replayBytes + bytes.remaining() <= proxy.policy().maxReplayBytes()) {
+                replayBytes += bytes.remaining();
+                replayBuffer.add(ByteBuffer.allocate(bytes.remaining()).put(bytes.duplicate()).flip());
             } else {
-                held = null;
+                replayBuffer = null;
             }
         }
         if (stream != null && !stream.write(bytes)) {
@@ -237,7 +237,7 @@
 
     @Override
     public void end(Fields trailers) {
-        requestEnd = trailers;
+        requestTrailers = trailers;
         if (stream != null) {
             stream.end(trailers);
         }
@@ -252,36 +252,36 @@
 
     @Override
     public void head(Part.ResponseHead head) {
-        movedAt = proxy.now();
+        lastProgressNs = proxy.now();
         boolean unrun = (head.status() == 503 || head.status() == 408)
                 && head.fields().get(Proxy.NEVER_RAN_FIELD) != null;
-        good = head.status() < 500 && !unrun;
+        responseGood = head.status() < 500 && !unrun;
         load = proxy.columns().parse(head.fields().get(Orca.FIELD));
-        if (!good && mayFollow(unrun)) {
+        if (!responseGood && mayRetry(unrun)) {
             ClientStream left = stream;
             Backend of = backend;
             stream = null;
             endTry(false, false);
-            drop(left, of, head.length());
-            tryOne();
+            discardResponse(left, of, head.length());
+            startTry();
             return;
         }
-        begun = true;
-        begunAt = proxy.now();
-        held = null;
-        patience.cancel();
-        if (tryPatience != null) {
-            tryPatience.cancel();
-            tryPatience = null;
+        responseBegun = true;
+        responseBegunNs = proxy.now();
+        replayBuffer = null;
+        deadlineTimer.cancel();
+        if (tryTimer != null) {
+            tryTimer.cancel();
+            tryTimer = null;
         }
         ClientStream its = stream;
         exchange.drained(() -> its.pause(false));
-        exchange.begin(Proxy.backward(head));
+        exchange.begin(Proxy.clientResponseHead(head));
     }
 
     /** Reads an answer that nobody waits for to its end, or closes its connection. */
-    private void drop(ClientStream left, Backend of, long length) {
-        if (length < 0 || length > DROP_MOST) {
+    private void discardResponse(ClientStream left, Backend of, long length) {
+        if (length < 0 || length > MAX_DISCARDED_BYTES) {
             left.cancel();
             return;
         }
@@ -294,7 +294,7 @@
 
             @Override
             public void whole(Fields trailers) {
-                proxy.keep(of, left);
+                proxy.releaseConnection(of, left);
             }
 
             @Override
@@ -304,7 +304,7 @@
 
     @Override
     public void content(ByteBuffer bytes) {
-        movedAt = proxy.now();
+        lastProgressNs = proxy.now();
         if (!exchange.write(bytes) && stream != null) {
             stream.pause(true);
         }
@@ -315,15 +315,15 @@
         ClientStream its = stream;
         Backend of = backend;
         stream = null;
-        endTry(good, false);
-        if (!over) {
-            over();
-            if (!good) {
+        endTry(responseGood, false);
+        if (!finished) {
+            markFinished();
+            if (!responseGood) {
                 proxy.tallies().onUnanswered(cls);
             }
             exchange.end(trailers);
         }
-        proxy.keep(of, its);
+        proxy.releaseConnection(of, its);
     }
 
     @Override
@@ -333,10 +333,10 @@
         }
         stream = null;
         endTry(false, false);
-        if (begun) {
-            finish(502, "the answer broke off");
+        if (responseBegun) {
+            fail(502, "the answer broke off");
         } else {
-            follow(neverRan, why + ": " + detail);
+            retryOrFail(neverRan, why + ": " + detail);
         }
     }
 
--- a/src/main/java/rowanmoor/proxy/ForwardingPolicy.java
+++ b/src/main/java/rowanmoor/proxy/ForwardingPolicy.java
@@ -29,11 +29,11 @@
         int maxIdlePerBackend, int maxRequestsInFlight, int maxConnectionsPerClient, double retryBudget, int refusalStatus, int retryAfterSeconds,
         long leaseNs, double safeLevel, String deadlineField, long stopTimeoutNs, long rehomeIntervalNs) {
 
-    private static final long SECOND = 1_000_000_000L;
+    private static final long NS_PER_SECOND = 1_000_000_000L;
 
     public static ForwardingPolicy defaults() {
-        return new ForwardingPolicy(10 * SECOND, 30 * SECOND, 300 * SECOND, 1 << 16, 1024, 256, 4096, 1 << 20, 1, 503,
-                1, 30 * SECOND, -1, "x-deadline-ms", 10 * SECOND, 0);
+        return new ForwardingPolicy(10 * NS_PER_SECOND, 30 * NS_PER_SECOND, 300 * NS_PER_SECOND, 1 << 16, 1024, 256, 4096, 1 << 20, 1, 503,
+                1, 30 * NS_PER_SECOND, -1, "x-deadline-ms", 10 * NS_PER_SECOND, 0);
     }
 
     /** Reads the block's own keys; what is left out is as usual. */
--- a/src/main/java/rowanmoor/proxy/Proxy.java
+++ b/src/main/java/rowanmoor/proxy/Proxy.java
@@ -41,20 +41,20 @@
     /** Names a request through all its tries; made here if the client names none. */
     public static final String REQUEST_ID_FIELD = "x-request-id";
 
-    private static final List<String> HOP_BY_HOP = List.of("connection", "keep-alive", "proxy-connection",
+    private static final List<String> HOP_BY_HOP_FIELDS = List.of("connection", "keep-alive", "proxy-connection",
             "te", "transfer-encoding", "upgrade", "content-length");
     /** A client's connection may be idle for so many times as long as one to a backend. */
-    private static final int IDLE_TIMES = 4;
-    private static final long WATCH_EVERY = 500_000_000L;
-    private static final long MILLI = 1_000_000L;
+    private static final int CLIENT_IDLE_FACTOR = 4;
+    private static final long TIMEOUT_CHECK_INTERVAL_NS = 500_000_000L;
+    private static final long NS_PER_MS = 1_000_000L;
     /** Clients without room that are told so at once; beyond it they are cut off. */
-    private static final int TURNED_AWAY_MOST = 64;
+    private static final int MAX_REJECTED_CONNECTIONS = 64;
     /** A stopping proxy waits so long for the next request on a kept connection, ns. */
-    private static final long STOP_IDLE = 500_000_000L;
+    private static final long STOP_IDLE_TIMEOUT_NS = 500_000_000L;
     /** The time that its last report has to be acknowledged, ns. */
-    private static final long STOP_LAST_REPORT = 400_000_000L;
+    private static final long STOP_LAST_REPORT_NS = 400_000_000L;
     /** Within its bound, the time that the last answers have to be read, ns. */
-    private static final long STOP_LAST_ANSWERS = 1_000_000_000L;
+    private static final long STOP_LAST_ANSWERS_NS = 1_000_000_000L;
 
     private final ProxyConfig config;
     private final Loop loop;
@@ -65,16 +65,16 @@
     private final LoadColumns columns;
     private final Limits limits = Limits.usual();
     private final Loop.Listener listener;
-    private final Pool<ClientStream> pool;
+    private final ConnectionPool<ClientStream> pool;
     private final Set<ServerStream> clients = new LinkedHashSet<>();
-    private final Map<InetAddress, Integer> byAddress = new HashMap<>();
-    private final Set<Forward> working = new LinkedHashSet<>();
-    private int turnedAway;
-    private final String idStem;
-    private long ids;
+    private final Map<InetAddress, Integer> connectionsByAddress = new HashMap<>();
+    private final Set<ForwardedRequest> activeRequests = new LinkedHashSet<>();
+    private int rejectedConnections;
+    private final String requestIdPrefix;
+    private long lastRequestId;
     private boolean stopping;
-    private boolean leaving;
-    private Runnable stopped;
+    private boolean finishing;
+    private Runnable onStopped;
 
     /** Listens and calls its controller. */
     public Proxy(ProxyConfig config, Loop loop, Router router, RandomGenerator random, Tap tap)
@@ -85,16 +85,16 @@
         this.tallies = new Tallies(loop.now());
         this.reports = new ReportQueue(tallies);
         this.columns = new LoadColumns(config.site().columns());
-        this.pool = new Pool<>(new Ways(), conduct().maxConnectionsPerBackend(), conduct().maxIdlePerBackend());
-        this.idStem = config.number() + "-" + Long.toHexString(random.nextLong()) + "-";
+        this.pool = new ConnectionPool<>(new ClientStreamOperations(), policy().maxConnectionsPerBackend(), policy().maxIdlePerBackend());
+        this.requestIdPrefix = config.number() + "-" + Long.toHexString(random.nextLong()) + "-";
         this.listener = loop.listen(config.listen(), ServerStream.options(), this::accept);
         this.channel = new ChannelClient(loop, config, router, reports, random, tap,
-                () -> pool.closeIdle(router::uses), this::leaveIfReported);
+                () -> pool.closeIdleExcept(router::uses), this::completeStopIfReported);
         // Proxies started together must not report together for good.
-        loop.after((long) (config.site().period() * random.nextDouble()), this::report);
-        loop.after(config.backendIdleTimeoutNs() / 4 + 1, this::closeOld);
-        loop.after(WATCH_EVERY, this::watch);
-        channel.call();
+        loop.after((long) (config.site().period() * random.nextDouble()), this::sendReport);
+        loop.after(config.backendIdleTimeoutNs() / 4 + 1, this::closeIdleConnections);
+        loop.after(TIMEOUT_CHECK_INTERVAL_NS, this::checkTimeouts);
+        channel.connect();
     }
 
     /** A proxy with a router of its own. */
@@ -106,14 +106,14 @@
         return new Proxy(config, loop, router, random, tap);
     }
 
-    private static final class Ways implements Pool.Ways<ClientStream> {
+    private static final class ClientStreamOperations implements ConnectionPool.Operations<ClientStream> {
         @Override
-        public boolean usable(ClientStream connection) {
+        public boolean isUsable(ClientStream connection) {
             return connection.free();
         }
 
         @Override
-        public boolean stillUsable(ClientStream connection) {
+        public boolean isUsableAfterIdle(ClientStream connection) {
             return connection.stillFree();
         }
 
@@ -134,7 +134,7 @@
 
     /** Whether its stream is up. */
     public boolean isJoined() {
-        return channel.up();
+        return channel.isUp();
     }
 
     /** Epoch and version of what it holds. */
@@ -144,12 +144,12 @@
 
     /** Requests in work. */
     public int requestsInFlight() {
-        return working.size();
+        return activeRequests.size();
     }
 
     /** Connections to backends, idle and in use. */
     public int backendConnections() {
-        return pool.open();
+        return pool.openCount();
     }
 
     /** Connections of clients. */
@@ -168,19 +168,19 @@
             return;
         }
         stopping = true;
-        stopped = then;
+        onStopped = then;
         listener.close();
-        long within = conduct().stopTimeoutNs();
-        long idleWithin = Math.min(STOP_IDLE, within / 4);
+        long within = policy().stopTimeoutNs();
+        long idleWithin = Math.min(STOP_IDLE_TIMEOUT_NS, within / 4);
         List.copyOf(clients).forEach(c -> c.stop(idleWithin));
-        loop.after(within - Math.min(STOP_LAST_ANSWERS, within / 2), this::answerTheRest);
-        loop.after(within - lastReportWithin(), this::finishStop);
-        loop.after(within, this::leave);
+        loop.after(within - Math.min(STOP_LAST_ANSWERS_NS, within / 2), this::answerRemaining);
+        loop.after(within - lastReportTimeoutNs(), this::finishStop);
+        loop.after(within, this::completeStop);
         finishStopIfDone();
     }
 
-    private void answerTheRest() {
-        List.copyOf(working).forEach(Forward::stop);
+    private void answerRemaining() {
+        List.copyOf(activeRequests).forEach(ForwardedRequest::stop);
         List.copyOf(clients).forEach(ServerStream::endUnlessInWork);
     }
 
@@ -190,32 +190,32 @@
         }
     }
 
-    private long lastReportWithin() {
-        return Math.min(STOP_LAST_REPORT, conduct().stopTimeoutNs() / 4);
+    private long lastReportTimeoutNs() {
+        return Math.min(STOP_LAST_REPORT_NS, policy().stopTimeoutNs() / 4);
     }
 
     /** No request is in work any more: what was counted is told, and must have been taken. */
     private void finishStop() {
-        if (!leaving) {
-            leaving = true;
-            List.copyOf(working).forEach(Forward::giveUp);
-            loop.after(lastReportWithin(), this::leave);
-            leaveIfReported();
+        if (!finishing) {
+            finishing = true;
+            List.copyOf(activeRequests).forEach(ForwardedRequest::abandon);
+            loop.after(lastReportTimeoutNs(), this::completeStop);
+            completeStopIfReported();
         }
     }
 
-    private void leaveIfReported() {
-        if (leaving) {
-            channel.report();
+    private void completeStopIfReported() {
+        if (finishing) {
+            channel.sendReport();
             if (reports.isSettled() || !channel.hasBeenUp()) {
-                leave();
+                completeStop();
             }
         }
     }
 
-    private void leave() {
-        Runnable then = stopped;
-        stopped = null;
+    private void completeStop() {
+        Runnable then = onStopped;
+        onStopped = null;
         if (then != null) {
             channel.stop();
             then.run();
@@ -240,7 +240,7 @@
         return tallies;
     }
 
-    ForwardingPolicy conduct() {
+    ForwardingPolicy policy() {
         return config.policy();
     }
 
@@ -249,49 +249,49 @@
     }
 
     /** A connection that is free, or a new one, or null if there are as many as may be. */
-    ClientStream connection(Backend backend) {
+    ClientStream acquireConnection(Backend backend) {
         ClientStream kept = pool.take(backend);
-        if (kept != null || !pool.mayOpen(backend)) {
+        if (kept != null || !pool.canOpen(backend)) {
             return kept;
         }
-        pool.opened(backend);
+        pool.onOpened(backend);
         return ClientStream.open(loop, config.localAddress(), Addresses.toSocketAddress(backend),
                 ServerStream.options().connectWithin(config.connectTimeoutNs()), limits,
-                gone -> pool.gone(backend, gone));
+                gone -> pool.onClosed(backend, gone));
     }
 
     /** A request's answer was whole: its connection is kept if the tables still name its backend. */
-    void keep(Backend backend, ClientStream connection) {
+    void releaseConnection(Backend backend, ClientStream connection) {
         if (router.uses(backend)) {
-            pool.keep(backend, connection);
+            pool.release(backend, connection);
         } else {
             connection.cancel();
         }
     }
 
-    void ended(Forward forward) {
-        working.remove(forward);
+    void onRequestEnded(ForwardedRequest forward) {
+        activeRequests.remove(forward);
     }
 
     /** An answer of the proxy's own. */
-    void own(ServerStream.Exchange exchange, int status, String why) {
+    void answerDirectly(ServerStream.Exchange exchange, int status, String why) {
         exchange.answer(status, why + "\n", REASON_FIELD, why, "Content-Type", "text/plain");
     }
 
-    Part.RequestHead forwarded(Part.RequestHead head, Backend backend, long left) {
-        Fields fields = endToEnd(head.fields());
+    Part.RequestHead backendRequestHead(Part.RequestHead head, Backend backend, long left) {
+        Fields fields = endToEndFields(head.fields());
         fields.set("Host", backend.toString());
         fields.set(PROXY_NUMBER_FIELD, Integer.toString(config.number()));
         fields.add("Via", "1." + head.minor() + " " + config.name());
         if (fields.get(REQUEST_ID_FIELD) == null) {
-            fields.set(REQUEST_ID_FIELD, idStem + ++ids);
+            fields.set(REQUEST_ID_FIELD, requestIdPrefix + ++lastRequestId);
         }
-        fields.set(conduct().deadlineField(), Long.toString(Math.max(1, left / MILLI)));
+        fields.set(policy().deadlineField(), Long.toString(Math.max(1, left / NS_PER_MS)));
         return new Part.RequestHead(head.method(), head.target(), 1, fields, head.length());
     }
 
-    static Part.ResponseHead backward(Part.ResponseHead head) {
-        Fields fields = endToEnd(head.fields());
+    static Part.ResponseHead clientResponseHead(Part.ResponseHead head) {
+        Fields fields = endToEndFields(head.fields());
         String length = head.fields().get("content-length");
         if (head.length() == 0 && length != null) {
             fields.set("Content-Length", length); // of an answer to HEAD, or 304
@@ -301,13 +301,13 @@
     }
 
     /** Without what belongs to one connection only (RFC 9110, 7.6.1). */
-    private static Fields endToEnd(Fields all) {
+    private static Fields endToEndFields(Fields all) {
         Fields fields = all.copy();
         String named = all.get("connection", "");
         for (String name : named.split(",")) {
             fields.remove(name.trim());
         }
-        HOP_BY_HOP.forEach(fields::remove);
+        HOP_BY_HOP_FIELDS.forEach(fields::remove);
         return fields;
     }
 
@@ -315,18 +315,18 @@
 
     private Handler accept(Connection connection) {
         InetAddress from = connection.remote().getAddress();
-        int its = byAddress.getOrDefault(from, 0);
-        if (clients.size() >= config.maxClientConnections() || its >= conduct().maxConnectionsPerClient()) {
-            return turnedAway < TURNED_AWAY_MOST ? new TurnedAway() : null;
+        int its = connectionsByAddress.getOrDefault(from, 0);
+        if (clients.size() >= config.maxClientConnections() || its >= policy().maxConnectionsPerClient()) {
+            return rejectedConnections < MAX_REJECTED_CONNECTIONS ? new RejectedClient() : null;
         }
-        byAddress.put(from, its + 1);
-        ServerStream.Patience patience = new ServerStream.Patience(conduct().headTimeoutNs(),
-                IDLE_TIMES * config.backendIdleTimeoutNs());
+        connectionsByAddress.put(from, its + 1);
+        ServerStream.Patience patience = new ServerStream.Patience(policy().headTimeoutNs(),
+                CLIENT_IDLE_FACTOR * config.backendIdleTimeoutNs());
         ServerStream stream = new ServerStream(loop, limits, patience, this) {
             @Override
             public void closed(Connection itsConnection, Close why, String detail) {
                 clients.remove(this);
-                byAddress.computeIfPresent(from, (a, n) -> n == 1 ? null : n - 1);
+                connectionsByAddress.computeIfPresent(from, (a, n) -> n == 1 ? null : n - 1);
                 super.closed(itsConnection, why, detail);
                 finishStopIfDone();
             }
@@ -336,10 +336,10 @@
     }
 
     /** A client without room: it is told so, whatever it has asked by then, and its connection ends. */
-    private final class TurnedAway implements Handler {
+    private final class RejectedClient implements Handler {
 
-        TurnedAway() {
-            turnedAway++;
+        RejectedClient() {
+            rejectedConnections++;
         }
 
         @Override
@@ -354,7 +354,7 @@
 
         @Override
         public void closed(Connection connection, Close why, String detail) {
-            turnedAway--;
+            rejectedConnections--;
         }
     }
 
@@ -363,19 +363,19 @@
         Part.RequestHead head = exchange.head();
         int cls = config.site().classOf(head.path());
         if (cls < 0) {
-            own(exchange, 404, "no class has this path");
+            answerDirectly(exchange, 404, "no class has this path");
             return;
         }
         tallies.onRequest(cls);
         long within = config.site().classes().get(cls).deadline();
-        String stated = head.fields().get(conduct().deadlineField());
-        long millis = stated == null ? 0 : millis(stated);
+        String stated = head.fields().get(policy().deadlineField());
+        long millis = stated == null ? 0 : parseMillis(stated);
         if (millis < 0) {
-            own(exchange, 400, conduct().deadlineField() + " is not a number of milliseconds");
+            answerDirectly(exchange, 400, policy().deadlineField() + " is not a number of milliseconds");
             return;
         }
-        within = stated == null ? within : Math.min(within, millis * MILLI);
-        if (working.size() >= conduct().maxRequestsInFlight()) { // asked before its level, which would spend a token
+        within = stated == null ? within : Math.min(within, millis * NS_PER_MS);
+        if (activeRequests.size() >= policy().maxRequestsInFlight()) { // asked before its level, which would spend a token
             refuse(exchange, "as many requests in work as may be");
             return;
         }
@@ -383,43 +383,43 @@
             refuse(exchange, "refused by its level");
             return;
         }
-        Forward forward = new Forward(this, cls, exchange, within);
+        ForwardedRequest forward = new ForwardedRequest(this, cls, exchange, within);
         exchange.tag = forward;
-        working.add(forward);
-        forward.begin();
+        activeRequests.add(forward);
+        forward.start();
     }
 
-    private static long millis(String text) {
+    private static long parseMillis(String text) {
         return text.matches("[0-9]{1,9}") ? Long.parseLong(text) : -1;
     }
 
     private void refuse(ServerStream.Exchange exchange, String why) {
-        exchange.answer(conduct().refusalStatus(), why + "\n", REASON_FIELD, why, "Content-Type", "text/plain",
-                "Retry-After", Integer.toString(conduct().retryAfterSeconds()));
+        exchange.answer(policy().refusalStatus(), why + "\n", REASON_FIELD, why, "Content-Type", "text/plain",
+                "Retry-After", Integer.toString(policy().retryAfterSeconds()));
     }
 
     @Override
     public void gone(ServerStream.Exchange exchange) {
-        if (exchange.tag instanceof Forward forward) {
-            forward.giveUp();
+        if (exchange.tag instanceof ForwardedRequest forward) {
+            forward.abandon();
         }
     }
 
     // ---- now and then --------------------------------------------------------------------------------
 
-    private void watch() {
+    private void checkTimeouts() {
         long now = loop.now();
-        List.copyOf(working).forEach(f -> f.watch(now));
-        loop.after(WATCH_EVERY, this::watch);
+        List.copyOf(activeRequests).forEach(f -> f.checkTimeouts(now));
+        loop.after(TIMEOUT_CHECK_INTERVAL_NS, this::checkTimeouts);
     }
 
-    private void closeOld() {
-        pool.closeOld(loop.now() - config.backendIdleTimeoutNs());
-        loop.after(config.backendIdleTimeoutNs() / 4 + 1, this::closeOld);
+    private void closeIdleConnections() {
+        pool.closeIdleBefore(loop.now() - config.backendIdleTimeoutNs());
+        loop.after(config.backendIdleTimeoutNs() / 4 + 1, this::closeIdleConnections);
     }
 
-    private void report() {
-        channel.report();
-        loop.after(config.site().period(), this::report);
+    private void sendReport() {
+        channel.sendReport();
+        loop.after(config.site().period(), this::sendReport);
     }
 }
--- a/src/main/java/rowanmoor/proxy/ReportQueue.java
+++ b/src/main/java/rowanmoor/proxy/ReportQueue.java
@@ -15,40 +15,40 @@
  */
 final class ReportQueue {
 
-    static final int UNACKNOWLEDGED_MOST = 8;
+    static final int MAX_UNACKNOWLEDGED = 8;
 
     private final Tallies tallies;
     private final ArrayDeque<Frame.NumberedReport> unacknowledged = new ArrayDeque<>();
-    private long lastNumber;
-    private long sentUpTo;
+    private long lastReportNumber;
+    private long lastSentNumber;
 
     ReportQueue(Tallies tallies) {
         this.tallies = tallies;
     }
 
     /** Makes a report of what was counted since the last one, if there is anything and room for it. */
-    void cut(long now) {
-        if (unacknowledged.size() < UNACKNOWLEDGED_MOST) {
+    void enqueueReport(long now) {
+        if (unacknowledged.size() < MAX_UNACKNOWLEDGED) {
             Frame.Report report = tallies.takeReport(now);
             if (!report.tallies().isEmpty() || !report.uses().isEmpty()) {
-                unacknowledged.add(new Frame.NumberedReport(++lastNumber, report));
+                unacknowledged.add(new Frame.NumberedReport(++lastReportNumber, report));
             }
         }
     }
 
     /** On a new stream all that is not acknowledged has to be sent again. */
-    void streamBegins() {
-        sentUpTo = unacknowledged.isEmpty() ? lastNumber : unacknowledged.peek().number() - 1;
+    void onStreamOpened() {
+        lastSentNumber = unacknowledged.isEmpty() ? lastReportNumber : unacknowledged.peek().number() - 1;
     }
 
     /** Sends what has not been sent on this stream, in order, as far as the stream takes it. */
-    void send(Predicate<Frame> stream) {
+    void sendPending(Predicate<Frame> stream) {
         for (Frame.NumberedReport report : unacknowledged) {
-            if (report.number() > sentUpTo) {
+            if (report.number() > lastSentNumber) {
                 if (!stream.test(report)) {
                     return;
                 }
-                sentUpTo = report.number();
+                lastSentNumber = report.number();
             }
         }
     }
@@ -65,10 +65,10 @@
 
     /** All reports up to a number were taken; false if there is none of that number yet. */
     boolean acknowledge(long upTo) {
-        if (upTo > lastNumber) {
+        if (upTo > lastReportNumber) {
             return false;
         }
-        sentUpTo = Math.max(sentUpTo, upTo);
+        lastSentNumber = Math.max(lastSentNumber, upTo);
         while (!unacknowledged.isEmpty() && unacknowledged.peek().number() <= upTo) {
             unacknowledged.poll();
         }
@@ -80,7 +80,7 @@
         return unacknowledged.isEmpty() && tallies.isEmpty();
     }
 
-    int unacknowledged() {
+    int unacknowledgedCount() {
         return unacknowledged.size();
     }
 }
--- a/src/main/java/rowanmoor/proxy/TapFile.java
+++ b/src/main/java/rowanmoor/proxy/TapFile.java
@@ -21,10 +21,10 @@
     private static final int OPENED = 1;
     private static final int READ = 2;
     private static final int CLOSED = 3;
-    private static final int BYTES_MOST = 1 << 20;
+    private static final int MAX_RECORD_BYTES = 1 << 20;
 
     private final DataOutputStream out;
-    private IOException ended;
+    private IOException writeError;
 
     public TapFile(Path file) throws IOException {
         out = new DataOutputStream(new BufferedOutputStream(Files.newOutputStream(file), 1 << 16));
@@ -46,7 +46,7 @@
     }
 
     private void write(int what, int proxy, int stream, long now, ByteBuffer bytes) {
-        if (ended != null) {
+        if (writeError != null) {
             return;
         }
         try {
@@ -59,15 +59,15 @@
             out.writeInt(copy.length);
             out.write(copy);
         } catch (IOException e) {
-            ended = e;
+            writeError = e;
         }
     }
 
     @Override
     public void close() throws IOException {
         out.close();
-        if (ended != null) {
-            throw ended;
+        if (writeError != null) {
+            throw writeError;
         }
     }
 
@@ -79,7 +79,7 @@
                 int stream = in.readInt();
                 long at = in.readLong();
                 int count = in.readInt();
-                if (count < 0 || count > BYTES_MOST) {
+                if (count < 0 || count > MAX_RECORD_BYTES) {
                     throw new IOException(file + ": a record of " + count + " bytes");
                 }
                 byte[] bytes = new byte[count];
--- a/src/test/java/rowanmoor/proxy/ProxyFixture.java
+++ b/src/test/java/rowanmoor/proxy/ProxyFixture.java
@@ -28,68 +28,68 @@
     final Loop loop = net.loop(e -> {
         throw new AssertionError(e);
     });
-    final List<BackendEnd> reached = new ArrayList<>();
+    final List<BackendConnection> backendConnections = new ArrayList<>();
 
     /** One connection that a backend has taken. */
-    final class BackendEnd implements Handler {
+    final class BackendConnection implements Handler {
         private final int backend;
-        final StringBuilder heard = new StringBuilder();
+        final StringBuilder received = new StringBuilder();
         Connection connection;
-        boolean over;
+        boolean closed;
 
-        BackendEnd(int backend, Connection connection) {
+        BackendConnection(int backend, Connection connection) {
             this.backend = backend;
             this.connection = connection;
-            reached.add(this);
+            backendConnections.add(this);
         }
 
         @Override
         public void received(Connection its, ByteBuffer bytes) {
-            heard.append(StandardCharsets.ISO_8859_1.decode(bytes));
+            received.append(StandardCharsets.ISO_8859_1.decode(bytes));
         }
 
         @Override
         public void closed(Connection its, Close why, String detail) {
-            over = true;
+            closed = true;
         }
 
-        void say(String text) {
+        void send(String text) {
             connection.send(bytes(text));
             net.runFor(20 * MS);
         }
     }
 
     /** One client. */
-    final class ClientEnd implements Handler {
-        final StringBuilder heard = new StringBuilder();
+    final class ClientConnection implements Handler {
+        final StringBuilder received = new StringBuilder();
         final Connection connection;
-        boolean over;
+        boolean closed;
 
-        ClientEnd(Proxy proxy) {
+        ClientConnection(Proxy proxy) {
             connection = loop.connect(null, proxy.address(), Connection.Options.usual(), this);
         }
 
         @Override
         public void received(Connection its, ByteBuffer bytes) {
-            heard.append(StandardCharsets.ISO_8859_1.decode(bytes));
+            received.append(StandardCharsets.ISO_8859_1.decode(bytes));
         }
 
         @Override
         public void closed(Connection its, Close why, String detail) {
-            over = true;
+            closed = true;
         }
 
         /**
          * What it heard but for a last word that its connection ends: one 408 that says that nothing ran, after which
          * nothing may come.
          */
-        String answers() {
-            String all = heard.toString();
+        String responsesBeforeTimeout() {
+            String all = received.toString();
             int last = all.lastIndexOf("HTTP/1.1 408 ");
-            return over && last > 0 && all.substring(last).toLowerCase().contains(Proxy.NEVER_RAN_FIELD) ? all.substring(0, last) : all;
+            return closed && last > 0 && all.substring(last).toLowerCase().contains(Proxy.NEVER_RAN_FIELD) ? all.substring(0, last) : all;
         }
 
-        ClientEnd say(String text) {
+        ClientConnection send(String text) {
             connection.send(bytes(text));
             net.runFor(20 * MS);
             return this;
@@ -100,11 +100,11 @@
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    InetSocketAddress backend(int number) throws IOException {
-        return loop.listen(ANY, Connection.Options.usual(), c -> new BackendEnd(number, c)).address();
+    InetSocketAddress startBackend(int number) throws IOException {
+        return loop.listen(ANY, Connection.Options.usual(), c -> new BackendConnection(number, c)).address();
     }
 
-    InetSocketAddress refusing() throws IOException {
+    InetSocketAddress refusingAddress() throws IOException {
         Loop.Listener listener = loop.listen(ANY, Connection.Options.usual(), c -> null);
         listener.close();
         return listener.address();
@@ -130,18 +130,18 @@
                 """));
     }
 
-    Proxy proxy(UnaryOperator<ForwardingPolicy> conduct, InetSocketAddress... standing)
+    Proxy startProxy(UnaryOperator<ForwardingPolicy> conduct, InetSocketAddress... standing)
             throws IOException, ConfigError {
-        return Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(refusing()), 0,
+        return Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(refusingAddress()), 0,
                 300 * MS, 3 * SECOND, List.of(standing), 15 * SECOND, 250 * MS, 1000,
                 conduct.apply(ForwardingPolicy.defaults())), loop, new SplittableRandom(1), Tap.NONE);
     }
 
-    Proxy proxy(InetSocketAddress... standing) throws IOException, ConfigError {
-        return proxy(c -> c, standing);
+    Proxy startProxy(InetSocketAddress... standing) throws IOException, ConfigError {
+        return startProxy(c -> c, standing);
     }
 
-    static String get(String target, String... fields) {
+    static String getRequest(String target, String... fields) {
         return "GET " + target + " HTTP/1.1\r\nHost: h\r\n" + String.join("", fields) + "\r\n";
     }
 
--- a/src/test/java/rowanmoor/proxy/ReportQueueTest.java
+++ b/src/test/java/rowanmoor/proxy/ReportQueueTest.java
@@ -27,20 +27,20 @@
     /** A controller's end: what it is to do with a hello and a numbered report, the test says. */
     private final class ScriptedController {
         private final List<Connection> streams = new ArrayList<>();
-        private final List<Long> heard = new ArrayList<>();
+        private final List<Long> receivedNumbers = new ArrayList<>();
         private final InetSocketAddress address;
         private ReportReceiver receiver = new ReportReceiver();
-        private int versionSpoken = Frame.PROTOCOL;
-        private boolean answers = true;
+        private int supportedProtocol = Frame.PROTOCOL;
+        private boolean acknowledges = true;
         private Frame.Goodbye refusal;
-        private Frame.Goodbye goodbyeHeard;
-        private long requests;
+        private Frame.Goodbye receivedGoodbye;
+        private long reportedRequests;
 
         ScriptedController() throws IOException {
-            address = loop.listen(ANY, Connection.Options.usual(), c -> new Stream()).address();
+            address = loop.listen(ANY, Connection.Options.usual(), c -> new ControllerStream()).address();
         }
 
-        private final class Stream implements Handler {
+        private final class ControllerStream implements Handler {
             private final FrameReader reader = new FrameReader(ChannelLimits.usual());
             private int proxy;
 
@@ -50,7 +50,7 @@
                     while (bytes.hasRemaining() && its.isOpen()) {
                         Frame frame = reader.next(bytes);
                         if (frame != null) {
-                            take(its, frame);
+                            handle(its, frame);
                         }
                     }
                 } catch (ChannelError e) {
@@ -58,26 +58,26 @@
                 }
             }
 
-            private void take(Connection its, Frame frame) {
+            private void handle(Connection its, Frame frame) {
                 if (frame instanceof Frame.Hello hello) {
                     join(its, hello);
                 } else if (frame instanceof Frame.NumberedReport numbered) {
-                    assertEquals(Frame.PROTOCOL, versionSpoken, "an old controller must not get what it cannot read");
-                    heard.add(numbered.number());
-                    if (answers) {
-                        requests += receiver.hear(proxy, numbered.number()) == ReportReceiver.Verdict.TAKEN
-                                ? count(numbered.report()) : 0;
+                    assertEquals(Frame.PROTOCOL, supportedProtocol, "an old controller must not get what it cannot read");
+                    receivedNumbers.add(numbered.number());
+                    if (acknowledges) {
+                        reportedRequests += receiver.hear(proxy, numbered.number()) == ReportReceiver.Verdict.TAKEN
+                                ? countRequests(numbered.report()) : 0;
                         acknowledge(its, receiver.takenUpTo(proxy));
                     }
                 } else if (frame instanceof Frame.Report report) {
-                    requests += count(report);
+                    reportedRequests += countRequests(report);
                 } else if (frame instanceof Frame.Goodbye goodbye) {
-                    goodbyeHeard = goodbye;
+                    receivedGoodbye = goodbye;
                 }
             }
 
             private void join(Connection its, Frame.Hello hello) {
-                if (hello.protocol() > versionSpoken) {
+                if (hello.protocol() > supportedProtocol) {
                     its.send(Codec.encode(new Frame.Goodbye(Frame.Reason.VERSION, "too new")));
                     its.end();
                     return;
@@ -98,11 +98,11 @@
         }
     }
 
-    private static long count(Frame.Report report) {
+    private static long countRequests(Frame.Report report) {
         return report.uses().stream().mapToLong(Frame.Use::requests).sum();
     }
 
-    private Proxy proxyOf(ScriptedController... controllers) throws IOException, ConfigError {
+    private Proxy startJoinedProxy(ScriptedController... controllers) throws IOException, ConfigError {
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (ScriptedController controller : controllers) {
             addresses.add(controller.address);
@@ -115,40 +115,40 @@
     }
 
     /** Requests that are answered at once, since there is no backend; each counts. */
-    private void ask(Proxy proxy, int times) {
+    private void sendRequests(Proxy proxy, int times) {
         for (int i = 0; i < times; i++) {
-            new ClientEnd(proxy).say(get("/r/" + i));
+            new ClientConnection(proxy).send(getRequest("/r/" + i));
         }
     }
 
     @Test
-    void whatABrokenStreamLeftUnansweredIsToldOnTheNextAndCountsOnce() throws IOException, ConfigError {
+    void reportsUnacknowledgedAtStreamBreakAreResentAndCountOnce() throws IOException, ConfigError {
         ScriptedController controller = new ScriptedController();
-        Proxy proxy = proxyOf(controller);
+        Proxy proxy = startJoinedProxy(controller);
         for (int round = 0; round < 10; round++) {
-            ask(proxy, 5);
-            controller.answers = round % 2 == 0; // every other report is read and its answer never comes
+            sendRequests(proxy, 5);
+            controller.acknowledges = round % 2 == 0; // every other report is read and its answer never comes
             net.runFor(1100 * MS);
             controller.newest().reset("test");
-            controller.answers = true;
+            controller.acknowledges = true;
             net.runFor(SECOND);
         }
         net.runFor(3 * SECOND);
-        assertEquals(50, controller.requests);
+        assertEquals(50, controller.reportedRequests);
         assertTrue(controller.streams.size() >= 10);
     }
 
     /** The answer is lost, not the report: it is sent again and must not count again. */
     @Test
-    void aReportWhoseAnswerIsLostIsSentAgainAndCountsOnce() throws IOException, ConfigError {
+    void reportWithLostAcknowledgementIsResentAndCountsOnce() throws IOException, ConfigError {
         ScriptedController controller = new ScriptedController();
-        Proxy proxy = proxyOf(controller);
-        ask(proxy, 3);
-        net.runUntil(net.now() + 3 * SECOND, () -> controller.requests > 0);
+        Proxy proxy = startJoinedProxy(controller);
+        sendRequests(proxy, 3);
+        net.runUntil(net.now() + 3 * SECOND, () -> controller.reportedRequests > 0);
         controller.newest().reset("its answer is dropped with it");
         net.runFor(3 * SECOND);
-        assertEquals(3, controller.requests);
-        assertEquals(List.of(1L, 1L), controller.heard, "told twice");
+        assertEquals(3, controller.reportedRequests);
+        assertEquals(List.of(1L, 1L), controller.receivedNumbers, "told twice");
     }
 
     /**
@@ -156,102 +156,102 @@
      * in two books is taken for a little more load by each for one period, a count in none hides load.
      */
     @Test
-    void aProxyThatMovesTellsItsNextControllerWhatTheFirstDidNotAnswer() throws IOException, ConfigError {
+    void proxyResendsUnacknowledgedReportsToNextController() throws IOException, ConfigError {
         ScriptedController first = new ScriptedController();
         ScriptedController second = new ScriptedController();
-        Proxy proxy = proxyOf(first, second);
-        ask(proxy, 4);
+        Proxy proxy = startJoinedProxy(first, second);
+        sendRequests(proxy, 4);
         net.runFor(2 * SECOND);
-        assertEquals(4, first.requests);
-        first.answers = false;
-        ask(proxy, 6);
+        assertEquals(4, first.reportedRequests);
+        first.acknowledges = false;
+        sendRequests(proxy, 6);
         net.runFor(2 * SECOND);
-        first.versionSpoken = 0; // it takes nobody in from now on
+        first.supportedProtocol = 0; // it takes nobody in from now on
         first.newest().reset("test");
         net.runFor(5 * SECOND);
-        assertEquals(4, first.requests);
-        assertEquals(6, second.requests, "what was answered is not told again");
+        assertEquals(4, first.reportedRequests);
+        assertEquals(6, second.reportedRequests, "what was answered is not told again");
     }
 
     @Test
-    void aRestartedControllerIsToldWhatWasNotAnswered() throws IOException, ConfigError {
+    void restartedControllerGetsUnacknowledgedReports() throws IOException, ConfigError {
         ScriptedController controller = new ScriptedController();
-        Proxy proxy = proxyOf(controller);
-        ask(proxy, 4);
+        Proxy proxy = startJoinedProxy(controller);
+        sendRequests(proxy, 4);
         net.runFor(2 * SECOND);
-        controller.answers = false;
-        ask(proxy, 6);
+        controller.acknowledges = false;
+        sendRequests(proxy, 6);
         net.runFor(2 * SECOND);
         controller.receiver = new ReportReceiver(); // it remembers nobody
-        controller.answers = true;
+        controller.acknowledges = true;
         controller.newest().reset("restarted");
         net.runFor(3 * SECOND);
-        assertEquals(10, controller.requests);
+        assertEquals(10, controller.reportedRequests);
     }
 
     @Test
-    void aControllerThatAnswersNothingHoldsUpNoMoreThanTheBoundAndLosesNothing() throws IOException, ConfigError {
+    void unacknowledgedReportsAreBoundedAndNoCountIsLost() throws IOException, ConfigError {
         ScriptedController controller = new ScriptedController();
-        Proxy proxy = proxyOf(controller);
-        controller.answers = false;
+        Proxy proxy = startJoinedProxy(controller);
+        controller.acknowledges = false;
         for (int i = 0; i < 30; i++) {
-            ask(proxy, 1);
+            sendRequests(proxy, 1);
             net.runFor(SECOND);
         }
-        assertEquals(ReportQueue.UNACKNOWLEDGED_MOST, controller.heard.size());
-        controller.answers = true;
+        assertEquals(ReportQueue.MAX_UNACKNOWLEDGED, controller.receivedNumbers.size());
+        controller.acknowledges = true;
         controller.newest().reset("test");
         net.runFor(4 * SECOND);
-        assertEquals(30, controller.requests);
+        assertEquals(30, controller.reportedRequests);
     }
 
     @Test
-    void aControllerOfTheOldProtocolGetsReportsAsItKnowsThem() throws IOException, ConfigError {
+    void oldProtocolControllerGetsUnnumberedReports() throws IOException, ConfigError {
         ScriptedController old = new ScriptedController();
-        old.versionSpoken = Frame.OLDEST_PROTOCOL;
+        old.supportedProtocol = Frame.OLDEST_PROTOCOL;
         Proxy proxy = Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(old.address), 0, 300 * MS,
                 60 * SECOND, List.of(), 15 * SECOND, 250 * MS, 5000, ForwardingPolicy.defaults()), loop, new SplittableRandom(4), Tap.NONE);
         net.runFor(2 * SECOND);
         assertTrue(proxy.isJoined(), "it calls again in the version that is spoken there");
-        ask(proxy, 7);
+        sendRequests(proxy, 7);
         net.runFor(2 * SECOND);
-        assertEquals(7, old.requests);
-        old.versionSpoken = Frame.PROTOCOL; // upgraded
+        assertEquals(7, old.reportedRequests);
+        old.supportedProtocol = Frame.PROTOCOL; // upgraded
         old.newest().reset("restarted");
         net.runFor(2 * SECOND);
-        ask(proxy, 2);
+        sendRequests(proxy, 2);
         net.runFor(2 * SECOND);
-        assertEquals(9, old.requests);
-        assertFalse(old.heard.isEmpty(), "the newer version is tried again");
+        assertEquals(9, old.reportedRequests);
+        assertFalse(old.receivedNumbers.isEmpty(), "the newer version is tried again");
     }
 
     @Test
-    void anAnswerToAReportThatWasNeverSentEndsTheStream() throws IOException, ConfigError {
+    void acknowledgementOfUnsentReportEndsStream() throws IOException, ConfigError {
         ScriptedController controller = new ScriptedController();
-        proxyOf(controller);
+        startJoinedProxy(controller);
         controller.acknowledge(controller.newest(), 5);
         net.runFor(100 * MS);
-        assertEquals(Frame.Reason.PROTOCOL, controller.goodbyeHeard.reason());
+        assertEquals(Frame.Reason.PROTOCOL, controller.receivedGoodbye.reason());
     }
 
     @Test
-    void aProxyThatStopsWaitsForTheAnswerToItsLastReportWithinABound() throws IOException, ConfigError {
+    void stoppingProxyWaitsBoundedTimeForLastAcknowledgement() throws IOException, ConfigError {
         for (boolean answered : new boolean[] {true, false}) {
             ScriptedController controller = new ScriptedController();
-            Proxy proxy = proxyOf(controller);
-            controller.answers = answered;
-            ask(proxy, 2);
+            Proxy proxy = startJoinedProxy(controller);
+            controller.acknowledges = answered;
+            sendRequests(proxy, 2);
             boolean[] stopped = new boolean[1];
             long from = net.now();
             proxy.stop(() -> stopped[0] = true);
             assertTrue(net.runUntil(from + 2 * SECOND, () -> stopped[0]));
-            assertEquals(answered ? 2 : 0, controller.requests);
+            assertEquals(answered ? 2 : 0, controller.reportedRequests);
         }
     }
 
     /** Chance drives both halves: reports, lost answers, breaks, two controllers. Each book must hold each report once. */
     @Test
-    void inAnyOrderOfBreaksEachBookHoldsAReportOnceAndNoneIsInNoBook() {
+    void randomStreamBreaksLoseNoReportAndDuplicateNonePerController() {
         for (long seed = 1; seed <= 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             Tallies tallies = new Tallies(0);
@@ -260,31 +260,31 @@
             List<List<Long>> books = List.of(new ArrayList<>(), new ArrayList<>());
             int at = 0;
             receivers.get(at).streamBegins(0, 1);
-            queue.streamBegins();
+            queue.onStreamOpened();
             long counted = 0;
             for (int step = 0; step < 300; step++) {
                 if (random.nextInt(3) > 0) {
                     tallies.onRequest(0);
                     counted++;
-                    queue.cut(step);
+                    queue.enqueueReport(step);
                 }
                 boolean lost = random.nextInt(4) == 0;
                 int its = at;
-                queue.send(frame -> lost || deliver((Frame.NumberedReport) frame, receivers.get(its), books.get(its)));
+                queue.sendPending(frame -> lost || deliver((Frame.NumberedReport) frame, receivers.get(its), books.get(its)));
                 if (random.nextInt(2) == 0 && !lost) {
                     assertTrue(queue.acknowledge(receivers.get(at).takenUpTo(0)), "seed " + seed);
                 }
                 if (lost || random.nextInt(5) == 0) { // what was lost is lost with its stream
                     at = random.nextInt(2);
                     receivers.get(at).streamBegins(0, 1);
-                    queue.streamBegins();
+                    queue.onStreamOpened();
                 }
-                assertTrue(queue.unacknowledged() <= ReportQueue.UNACKNOWLEDGED_MOST);
+                assertTrue(queue.unacknowledgedCount() <= ReportQueue.MAX_UNACKNOWLEDGED);
             }
             int last = at;
             for (int i = 0; i < 300 && !queue.isSettled(); i++) {
-                queue.cut(1000 + i);
-                queue.send(frame -> deliver((Frame.NumberedReport) frame, receivers.get(last), books.get(last)));
+                queue.enqueueReport(1000 + i);
+                queue.sendPending(frame -> deliver((Frame.NumberedReport) frame, receivers.get(last), books.get(last)));
                 queue.acknowledge(receivers.get(last).takenUpTo(0));
             }
             assertTrue(queue.isSettled(), "seed " + seed);
--- a/src/test/java/rowanmoor/proxy/RouterTest.java
+++ b/src/test/java/rowanmoor/proxy/RouterTest.java
@@ -28,7 +28,7 @@
     private Router router;
 
     @BeforeEach
-    void make() throws ConfigError {
+    void createRouter() throws ConfigError {
         site = ProxyConfig.read(Path.of("conf/proxy.kdl")).get(0).site();
         router = new Router(site, List.of(A, B), new SplittableRandom(1), 0);
     }
@@ -38,7 +38,7 @@
                 level == null ? List.of() : List.of(level));
     }
 
-    private static Frame.Snapshot keep(long epoch) {
+    private static Frame.Snapshot emptySnapshot(long epoch) {
         return new Frame.Snapshot(epoch, 0, 0, 0, List.of(), List.of(), List.of(), List.of());
     }
 
@@ -57,15 +57,15 @@
         return picks;
     }
 
-    private void joined() {
+    private void joinStream() {
         router.onStreamOpened();
-        router.apply(keep(9));
+        router.apply(emptySnapshot(9));
     }
 
     @Test
-    void theStandingTableServesUntilAClassIsBound() {
+    void standingTableIsUsedUntilClassIsBound() {
         assertTrue(router.hasOnlyStandingTable());
-        joined();
+        joinStream();
         assertEquals(Set.of(A, B), picks(0));
         assertEquals(Router.UpdateResult.APPLIED, update(9, 1, new Frame.Bind(1, table(4, null, C), List.of())));
         assertEquals(Set.of(C), picks(0));
@@ -74,8 +74,8 @@
     }
 
     @Test
-    void aGapMakesItAskForASnapshotAndHeedNothingBeforeIt() {
-        joined();
+    void updatesAfterVersionGapAreSkippedUntilSnapshot() {
+        joinStream();
         update(9, 1, new Frame.Bind(0, table(4, null, C), List.of()));
         assertEquals(Router.UpdateResult.GAP, update(9, 3, new Frame.Clear(4)));
         assertEquals(Router.UpdateResult.SKIPPED, update(9, 4, new Frame.Clear(4)));
@@ -87,11 +87,11 @@
     }
 
     @Test
-    void whatItHoldsOutlivesItsStreamAndTheNextControllersNumbersDoNotMixWithIt() {
-        joined();
+    void tablesSurviveStreamAndTableNumbersAreScopedToStream() {
+        joinStream();
         update(9, 1, new Frame.Bind(0, table(0, null, A), List.of()));
         router.onStreamOpened();
-        router.apply(keep(10));
+        router.apply(emptySnapshot(10));
         assertEquals(Set.of(A), picks(0));
         update(10, 1, new Frame.Bind(2, table(0, null, C), List.of()));
         assertEquals(Set.of(A), picks(0), "class 0 still has the table of the stream before");
@@ -99,12 +99,12 @@
     }
 
     @Test
-    void withdrawalsHoldForEveryTableAndEndWithTheFirstBindOfAnotherStream() {
-        joined();
+    void withdrawalsCoverAllTablesUntilFirstBindOfNextStream() {
+        joinStream();
         update(9, 1, new Frame.Withdraw(A, true));
         assertEquals(Set.of(B), picks(0));
         router.onStreamOpened();
-        router.apply(keep(10));
+        router.apply(emptySnapshot(10));
         assertEquals(Set.of(B), picks(0));
         update(10, 1, new Frame.Bind(1, table(0, null, A, C), List.of(C)));
         assertEquals(Set.of(A), picks(0));
@@ -112,16 +112,16 @@
     }
 
     @Test
-    void anEmptiedTableLeavesNothingToPick() {
-        joined();
+    void emptiedTableYieldsNoBackend() {
+        joinStream();
         update(9, 1, new Frame.Bind(0, table(0, null, A), List.of()),
                 new Frame.SetLine(0, new Frame.Line(A, 0)));
         assertNull(router.pick(0, Set.of(), SECOND));
     }
 
     @Test
-    void aLevelLetsInItsRateAndZeroNothing() {
-        joined();
+    void levelAdmitsItsRateAndZeroAdmitsNothing() {
+        joinStream();
         update(9, 1, new Frame.Bind(0, table(0, new Frame.Level(3, 10, Retry.NEVER), A), List.of()));
         int in = 0;
         for (long now = 0; now < 10 * SECOND; now += SECOND / 100) {
@@ -133,13 +133,13 @@
     }
 
     @Test
-    void anotherTryFollowsOnlyAsOrderedAndForWhatIsUnsafeOnlyWithProof() {
+    void retriesFollowOrdersAndUnsafeClassesNeedProof() {
         long left = site.classes().get(0).deadline();
         assertTrue(router.mayRetry(1, 1, true, left), "usual: once, with proof");
         assertFalse(router.mayRetry(1, 1, false, left));
         assertFalse(router.mayRetry(1, 2, true, left));
         assertFalse(router.mayRetry(1, 1, true, left / 20), "too little time is left");
-        joined();
+        joinStream();
         update(9, 1, new Frame.Bind(0, table(0, new Frame.Level(3, 1e6, Retry.TWICE), A, B), List.of()));
         assertTrue(router.mayRetry(0, 2, false, left));
         assertFalse(router.mayRetry(1, 1, false, left), "unsafe, whatever is ordered");
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void aBackendThatFailsInARowIsShunnedWhileThereAreOthers() {
+    void backendWithConsecutiveFailuresIsEjectedWhileOthersExist() {
         for (int i = 0; i < site.ejects(); i++) {
             router.onTrySent(A);
             router.onTryEnded(A, false, SECOND);
@@ -161,7 +161,7 @@
     }
 
     @Test
-    void ofTwoDrawnTheOneWithLessOutIsTaken() {
+    void twoChoicesPreferBackendWithFewerTriesInFlight() {
         router.onTrySent(A);
         router.onTrySent(A);
         int b = 0;
@@ -172,30 +172,30 @@
     }
 
     @Test
-    void callsAreJitteredGrowAndTakeControllersInTurn() {
+    void reconnectWaitsAreJitteredAndGrowAndControllersRotate() {
         Redial redial = new Redial(2, 1, SECOND, new SplittableRandom(1));
-        assertEquals(1, redial.controller());
-        long first = redial.failed(true);
-        assertEquals(1, redial.controller(), "one whose stream was up is called again first");
+        assertEquals(1, redial.currentController());
+        long first = redial.onStreamEnded(true);
+        assertEquals(1, redial.currentController(), "one whose stream was up is called again first");
         assertTrue(first >= SECOND / 2 && first <= SECOND * 3 / 2);
-        redial.failed(false);
-        assertEquals(0, redial.controller());
+        redial.onStreamEnded(false);
+        assertEquals(0, redial.currentController());
         long last = 0;
         for (int i = 0; i < 20; i++) {
-            last = redial.failed(false);
+            last = redial.onStreamEnded(false);
         }
         assertTrue(last >= 8 * SECOND && last <= 24 * SECOND, last + " ns");
-        redial.up();
-        assertTrue(redial.failed(true) <= SECOND * 3 / 2);
+        redial.onStreamUp();
+        assertTrue(redial.onStreamEnded(true) <= SECOND * 3 / 2);
     }
 
-    private Router with(double budget, double safe) {
+    private Router routerWith(double budget, double safe) {
         ForwardingPolicy u = ForwardingPolicy.defaults();
         return new Router(site, new ForwardingPolicy(u.headTimeoutNs(), u.stallTimeoutNs(), u.responseTimeoutNs(), u.maxReplayBytes(), 9, 9, 9, 9,
                 budget, 503, 1, 10 * SECOND, safe, u.deadlineField(), 0, 0), List.of(A, B), new SplittableRandom(1), 0);
     }
 
-    private static int admitted(Router its, long from, long to, int times) {
+    private static int countAdmitted(Router its, long from, long to, int times) {
         int in = 0;
         for (int i = 0; i < times; i++) {
             in += its.tryAdmit(0, from + i * (to - from) / times) ? 1 : 0;
@@ -204,8 +204,8 @@
     }
 
     @Test
-    void picksFollowWeightsWhateverTheTablesSize() {
-        joined();
+    void picksFollowWeightsInLargeTable() {
+        joinStream();
         java.util.List<Frame.Line> lines = new java.util.ArrayList<>();
         for (int i = 1; i <= 10_000; i++) {
             lines.add(new Frame.Line(new Backend(i), i % 10 + 1));
@@ -222,20 +222,20 @@
     }
 
     @Test
-    void aLevelThatRisesIsNoBurst() {
-        joined();
+    void raisedLevelGrantsNoBurst() {
+        joinStream();
         update(9, 1, new Frame.Admit(rowanmoor.ControlApi.ALL_TABLES, new Frame.Level(0, 1, Retry.NEVER)));
-        admitted(router, SECOND, 2 * SECOND, 50);
+        countAdmitted(router, SECOND, 2 * SECOND, 50);
         update(9, 2, new Frame.Admit(rowanmoor.ControlApi.ALL_TABLES, new Frame.Level(0, 100, Retry.NEVER)));
-        int atOnce = admitted(router, 10 * SECOND, 10 * SECOND + 1000, 50);
+        int atOnce = countAdmitted(router, 10 * SECOND, 10 * SECOND + 1000, 50);
         assertTrue(atOnce <= 9, atOnce + " at once after eight quiet seconds at one a second");
-        int after = admitted(router, 11 * SECOND, 21 * SECOND, 5000);
+        int after = countAdmitted(router, 11 * SECOND, 21 * SECOND, 5000);
         assertTrue(after > 950 && after < 1060, after + " in ten seconds at a hundred");
     }
 
     @Test
-    void aBudgetLowersWhatIsOrderedAndNeverRaisesIt() {
-        Router bounded = with(0.1, -1);
+    void retryBudgetReducesOrderedRetriesAndNeverAddsAny() {
+        Router bounded = routerWith(0.1, -1);
         int followed = 0;
         for (int i = 0; i < 1000; i++) {
             bounded.tryAdmit(0, i);
@@ -243,24 +243,24 @@
         }
         assertTrue(followed > 95 && followed < 120, followed + " of a tenth of a thousand");
         assertFalse(bounded.mayRetry(1, 1, false, 2 * SECOND), "no proof, unsafe");
-        assertTrue(with(1, -1).mayRetry(0, 1, true, 2 * SECOND));
+        assertTrue(routerWith(1, -1).mayRetry(0, 1, true, 2 * SECOND));
     }
 
     @Test
-    void outOfReachOfAllControllersLevelsAreKeptThroughALeaseAndThenFall() {
-        Router safe = with(1, 20);
+    void levelsHoldForLeaseWithoutControllerThenDropToSafeLevel() {
+        Router safe = routerWith(1, 20);
         safe.onControllerMessage(SECOND);
-        assertEquals(500, admitted(safe, 2 * SECOND, 10 * SECOND, 500), "within the lease");
-        int after = admitted(safe, 12 * SECOND, 22 * SECOND, 5000);
+        assertEquals(500, countAdmitted(safe, 2 * SECOND, 10 * SECOND, 500), "within the lease");
+        int after = countAdmitted(safe, 12 * SECOND, 22 * SECOND, 5000);
         assertTrue(after > 190 && after < 215, after + " in ten seconds at twenty");
         safe.onControllerMessage(23 * SECOND);
-        assertEquals(500, admitted(safe, 24 * SECOND, 25 * SECOND, 500), "a controller is back");
-        assertEquals(500, admitted(with(1, -1), 90 * SECOND, 91 * SECOND, 500), "kept where so set");
+        assertEquals(500, countAdmitted(safe, 24 * SECOND, 25 * SECOND, 500), "a controller is back");
+        assertEquals(500, countAdmitted(routerWith(1, -1), 90 * SECOND, 91 * SECOND, 500), "kept where so set");
     }
 
     @Test
-    void machinesReplacedForYearsAreNotRememberedForGood() {
-        joined();
+    void stateOfReplacedBackendsIsForgotten() {
+        joinStream();
         update(9, 1, new Frame.Bind(0, table(4, null, A), List.of()));
         for (int i = 0; i < 20_000; i++) {
             Backend fresh = new Backend(1000 + i);
@@ -268,12 +268,12 @@
                     new Backend(999 + i), true), new Frame.SetLine(4, new Frame.Line(new Backend(999 + i), 0)));
             assertTrue(picks(0).size() > 0);
         }
-        assertTrue(router.remembered() < 1100, router.remembered() + " remembered of 20000");
+        assertTrue(router.rememberedBackends() < 1100, router.rememberedBackends() + " remembered of 20000");
         assertEquals(Set.of(A, new Backend(20_999)), picks(0));
     }
 
     @Test
-    void aTryThatItsClientGaveUpNeitherClearsNorAddsToABackendsFailures() {
+    void abandonedTryLeavesFailureCountUnchanged() {
         for (int i = 0; i < 4; i++) {
             router.onTrySent(B);
             router.onTryEnded(B, false, 0);
@@ -288,17 +288,17 @@
     }
 
     @Test
-    void aControllerSilentForYearsSavesNoBurstUpAndTheLevelsStand() {
+    void longSilenceAccumulatesNoBurstAndLevelsStillApply() {
         long years = 90L * 365 * 86_400 * SECOND;
-        joined();
+        joinStream();
         update(9, 1, new Frame.Admit(rowanmoor.ControlApi.ALL_TABLES, new Frame.Level(0, 20, Retry.NEVER)));
-        admitted(router, SECOND, 2 * SECOND, 50);
-        int atOnce = admitted(router, years, years + 1000, 500);
+        countAdmitted(router, SECOND, 2 * SECOND, 50);
+        int atOnce = countAdmitted(router, years, years + 1000, 500);
         assertTrue(atOnce <= 6, atOnce + " at once, a quarter of a second's");
-        int after = admitted(router, years + SECOND, years + 11 * SECOND, 5000);
+        int after = countAdmitted(router, years + SECOND, years + 11 * SECOND, 5000);
         assertTrue(after > 190 && after < 215, after + " in ten seconds at twenty");
-        Router safe = with(1, 5);
-        int fallen = admitted(safe, years, years + 10 * SECOND, 5000);
+        Router safe = routerWith(1, 5);
+        int fallen = countAdmitted(safe, years, years + 10 * SECOND, 5000);
         assertTrue(fallen > 45 && fallen < 56, fallen + " in ten seconds at the safe level of five");
     }
 }
--- a/src/test/java/rowanmoor/proxy/SwapExplorerTest.java
+++ b/src/test/java/rowanmoor/proxy/SwapExplorerTest.java
@@ -36,7 +36,7 @@
     private long paths;
 
     @BeforeEach
-    void read() throws ConfigError {
+    void readSite() throws ConfigError {
         site = ProxyConfig.read(Path.of("conf/proxy.kdl")).get(0).site();
     }
 
@@ -52,16 +52,16 @@
             List.of(new Frame.Withdraw(A, false), new Frame.SetLine(2, line(A, 9)), new Frame.SetLine(2, line(C, 0))));
 
     /** What may be picked after so many updates, told without the router. */
-    private static final List<Set<Backend>> OPEN = List.of(Set.of(A, B), Set.of(A, B), Set.of(B), Set.of(B, C),
+    private static final List<Set<Backend>> ELIGIBLE = List.of(Set.of(A, B), Set.of(A, B), Set.of(B), Set.of(B, C),
             Set.of(A, B));
 
     /** One run: the router, and what its requests have done. */
     private final class Run {
         private final Router router;
         private final List<Set<Backend>> tried = new ArrayList<>();
-        private final Backend[] at = new Backend[REQUESTS];
+        private final Backend[] current = new Backend[REQUESTS];
         private int updates;
-        private String wrong;
+        private String violation;
 
         Run(Function<RandomGenerator, Router> make, long seed) {
             router = make.apply(new SplittableRandom(seed));
@@ -83,11 +83,11 @@
             }
             int request = (what - 1) / 2;
             boolean fails = (what - 1) % 2 == 1;
-            if (at[request] == null) {
+            if (current[request] == null) {
                 return !fails && pick(request);
             }
-            Backend left = at[request];
-            at[request] = null;
+            Backend left = current[request];
+            current[request] = null;
             router.onTryEnded(left, !fails, 1);
             if (fails) {
                 return pick(request);
@@ -97,16 +97,16 @@
         }
 
         private boolean pick(int request) {
-            Set<Backend> may = new TreeSet<>(OPEN.get(updates));
+            Set<Backend> may = new TreeSet<>(ELIGIBLE.get(updates));
             may.removeAll(tried.get(request));
             Backend picked = router.pick(0, tried.get(request), 1);
             if (picked == null ? !may.isEmpty() : !may.contains(picked)) {
-                wrong = "after " + updates + " updates picked " + picked + " of " + may;
+                violation = "after " + updates + " updates picked " + picked + " of " + may;
             }
             if (picked != null) {
                 router.onTrySent(picked);
                 tried.get(request).add(picked);
-                at[request] = picked;
+                current[request] = picked;
             } else {
                 tried.get(request).clear();
             }
@@ -133,14 +133,14 @@
                 if (!run.step(path[i])) {
                     return null;
                 }
-                if (run.wrong != null) {
-                    return java.util.Arrays.toString(path) + ": " + run.wrong;
+                if (run.violation != null) {
+                    return java.util.Arrays.toString(path) + ": " + run.violation;
                 }
             }
             return null;
         }
         for (int what = 0; what <= 2 * REQUESTS; what++) {
-            if (path.length < 7 || !idle(path, at, what)) {
+            if (path.length < 7 || !isImpossible(path, at, what)) {
                 path[at] = what;
                 String found = explore(make, path, at + 1);
                 if (found != null) {
@@ -152,7 +152,7 @@
     }
 
     /** Leaves out what cannot happen: a fifth update, a failure first, the second request before the first. */
-    private static boolean idle(int[] path, int at, int what) {
+    private static boolean isImpossible(int[] path, int at, int what) {
         int updates = 0;
         boolean firstSeen = false;
         boolean[] out = new boolean[REQUESTS];
@@ -172,13 +172,13 @@
     }
 
     @Test
-    void noInterleavingOfSwapDrainAndRetryPicksWhatItMayNot() {
+    void everyInterleavingOfSwapDrainAndRetryPicksEligibleBackend() {
         assertNull(explore(random -> new Router(site, List.of(A, B), random, 0)));
         assertTrue(paths > 100_000, paths + " paths");
     }
 
     @Test
-    void aProxyThatRemembersItsPicksOverASwapIsFound() {
+    void routerThatCachesPicksAcrossSwapIsDetected() {
         String found = explore(random -> new Router(site, List.of(A, B), random, 0) {
             private Backend remembered;
 
@@ -194,7 +194,7 @@
     }
 
     @Test
-    void aProxyThatLetsARetryGoToADrainedBackendIsFound() {
+    void routerThatRetriesOnWithdrawnBackendIsDetected() {
         String found = explore(random -> new Router(site, List.of(A, B), random, 0) {
             @Override
             public Backend pick(int cls, Set<Backend> tried, long now) {
