--- a/src/main/java/rowanmoor/proxy/ChannelClient.java
+++ b/src/main/java/rowanmoor/proxy/ChannelClient.java
@@ -19,8 +19,9 @@
 import rowanmoor.net.Timer;
 
 /**
- * A proxy's end of the channel: calls a controller, says hello, takes messages in order, and calls again
- * when the stream ends. States: calling, open (hello sent), up (snapshot taken), waiting to call.
+ * A proxy's end of the channel: connects to a controller, sends a hello, handles messages in order, and
+ * reconnects when the stream ends. States: connecting, open (hello sent), up (snapshot received), waiting to
+ * reconnect.
  */
 final class ChannelClient implements Handler {
 
@@ -32,7 +33,8 @@
     private final Runnable onTablesChanged;
     private final ReportQueue reports;
     private final Runnable onReportsChanged;
-    private final Set<Integer> oldProtocolControllers = new HashSet<>(); // places of those that refused this version
+    /** Indexes of the controllers that refused the current protocol version. */
+    private final Set<Integer> oldProtocolControllers = new HashSet<>();
     private final Redial redial;
     private final long incarnation;
     private final Tap tap;
@@ -41,22 +43,30 @@
     private Timer snapshotTimer;
     private boolean up;
     private boolean hasBeenUp;
+    /** Whether the outbound queue refused the last request for a snapshot. */
     private boolean resyncPending;
     private boolean stopped;
+    /** Number of streams opened so far, which is the number of the latest. */
     private int streamNumber;
-    private int controllerIndex; // place of the controller that is called or joined
+    /** Index of the controller that it connects to or is connected to. */
+    private int controllerIndex;
     private int protocolVersion;
 
-    /** @param reportsChanged called when the stream comes up and when reports were acknowledged */
+    /**
+     * Does not connect yet.
+     *
+     * @param onTablesChanged called after each applied snapshot or update
+     * @param onReportsChanged called when the stream comes up and when reports were acknowledged
+     */
     ChannelClient(Loop loop, ProxyConfig config, Router router, ReportQueue reports, RandomGenerator random,
-            Tap tap, Runnable tablesChanged, Runnable reportsChanged) {
+            Tap tap, Runnable onTablesChanged, Runnable onReportsChanged) {
         this.loop = loop;
         this.config = config;
         this.router = router;
         this.tap = tap;
-        this.onTablesChanged = tablesChanged;
+        this.onTablesChanged = onTablesChanged;
         this.reports = reports;
-        this.onReportsChanged = reportsChanged;
+        this.onReportsChanged = onReportsChanged;
         this.incarnation = random.nextLong();
         this.redial = new Redial(config.controllers().size(), config.firstController(), config.redialWaitNs(),
                 random);
@@ -67,9 +77,10 @@
             return;
         }
         controllerIndex = redial.currentController();
-        protocolVersion = oldProtocolControllers.contains(controllerIndex) ? Frame.OLDEST_PROTOCOL : Frame.PROTOCOL;
-        InetSocketAddress to = config.controllers().get(controllerIndex);
-        connection = loop.connect(config.localAddress(), to, Connection.Options.usual()
+        protocolVersion = oldProtocolControllers.contains(controllerIndex) ? Frame.OLDEST_PROTOCOL
+                : Frame.PROTOCOL;
+        InetSocketAddress address = config.controllers().get(controllerIndex);
+        connection = loop.connect(config.localAddress(), address, Connection.Options.usual()
                 .connectWithin(config.controllerTimeoutNs()).idleAfter(config.controllerTimeoutNs()), this);
     }
 
@@ -85,12 +96,12 @@
         return up;
     }
 
-    /** Whether any stream was up since the start: if not, nobody can be told anything. */
+    /** Whether any stream has been up since the start; if not, there is no controller to report to. */
     boolean hasBeenUp() {
         return hasBeenUp;
     }
 
-    /** Reports what was counted by now, if the stream is up; what it does not take waits. */
+    /** Reports the counts so far if the stream is up; reports that it cannot take yet wait. */
     void sendReport() {
         if (up) {
             reports.enqueueReport(loop.now());
@@ -111,21 +122,22 @@
     }
 
     @Override
-    public void opened(Connection its) {
+    public void opened(Connection stream) {
         tap.opened(config.number(), ++streamNumber, loop.now());
         reader = new FrameReader(ChannelLimits.usual());
-        boolean fresh = router.hasOnlyStandingTable();
+        boolean onlyStandingTable = router.hasOnlyStandingTable();
         router.onStreamOpened();
         resyncPending = false;
         reports.onStreamOpened();
-        send(new Frame.Hello(protocolVersion, config.number(), incarnation, config.zone(), config.requestsPerSecond(), fresh,
-                router.epoch(), router.version(), config.name()));
+        send(new Frame.Hello(protocolVersion, config.number(), incarnation, config.zone(),
+                config.requestsPerSecond(), onlyStandingTable, router.epoch(), router.version(),
+                config.name()));
         snapshotTimer = loop.after(config.controllerTimeoutNs(), () ->
-                connection.close(Close.IDLE, "no snapshot after the hello"));
+                connection.close(Close.IDLE, "no snapshot received after the hello"));
     }
 
     @Override
-    public void received(Connection its, ByteBuffer bytes) {
+    public void received(Connection stream, ByteBuffer bytes) {
         router.onControllerMessage(loop.now());
         tap.read(config.number(), streamNumber, loop.now(), bytes.duplicate());
         try {
@@ -138,7 +150,8 @@
         } catch (ChannelError e) {
             send(new Frame.Goodbye(Frame.Reason.PROTOCOL, e.getMessage()));
             connection.end();
-            LOG.warn("proxy {}: the controller's stream is broken: {}", config.number(), e.getMessage());
+            LOG.warn("proxy {}: protocol error on the controller stream: {}", config.number(),
+                    e.getMessage());
         }
     }
 
@@ -151,7 +164,7 @@
                 redial.onStreamUp();
                 snapshotTimer.cancel();
                 scheduleFirstControllerProbe();
-                sendPendingReports(); // what the last stream left without an answer
+                sendPendingReports(); // those that the last stream left unacknowledged
                 onReportsChanged.run();
             }
             onTablesChanged.run();
@@ -165,7 +178,7 @@
             if (goodbye.reason() == Frame.Reason.VERSION) {
                 oldProtocolControllers.add(controllerIndex);
             }
-            LOG.info("proxy {}: the controller says goodbye: {} {}", config.number(), goodbye.reason(),
+            LOG.info("proxy {}: controller sent goodbye: {} {}", config.number(), goodbye.reason(),
                     goodbye.text());
             connection.close(Close.LOCAL, "goodbye: " + goodbye.reason());
         } else if (!(frame instanceof Frame.Pong)) {
@@ -184,27 +197,31 @@
 
     private void scheduleFirstControllerProbe() {
         if (config.policy().rehomeIntervalNs() > 0 && !redial.isAtFirstController() && !stopped) {
-            int its = streamNumber;
+            int probedStream = streamNumber;
             loop.after(redial.jitteredProbeDelayNs(config.policy().rehomeIntervalNs()), () -> {
-                if (up && its == streamNumber) {
+                if (up && probedStream == streamNumber) {
                     probeFirstController();
                 }
             });
         }
     }
 
-    /** Calls its first controller beside the stream that is up; that is left only for one that answers. */
+    /**
+     * Tries to connect to the first controller beside the stream that is up. That stream is closed only if
+     * the first controller accepts the connection.
+     */
     private void probeFirstController() {
-        InetSocketAddress home = config.controllers().get(config.firstController()
+        InetSocketAddress first = config.controllers().get(config.firstController()
                 % config.controllers().size());
-        int its = streamNumber;
-        loop.connect(config.localAddress(), home, Connection.Options.usual().connectWithin(config.controllerTimeoutNs()),
+        int probedStream = streamNumber;
+        Connection.Options options = Connection.Options.usual().connectWithin(config.controllerTimeoutNs());
+        loop.connect(config.localAddress(), first, options,
                 new Handler() {
                     @Override
-                    public void opened(Connection made) {
-                        made.close(Close.LOCAL, "it is there");
-                        if (up && its == streamNumber && !stopped) {
-                            LOG.info("proxy {}: moves back to its first controller", config.number());
+                    public void opened(Connection probe) {
+                        probe.close(Close.LOCAL, "the first controller is reachable");
+                        if (up && probedStream == streamNumber && !stopped) {
+                            LOG.info("proxy {}: moving back to its first controller", config.number());
                             redial.returnToFirstController();
                             send(new Frame.Goodbye(Frame.Reason.MOVING, "to its first controller"));
                             connection.end();
@@ -212,31 +229,31 @@
                     }
 
                     @Override
-                    public void received(Connection made, ByteBuffer bytes) { }
+                    public void received(Connection probe, ByteBuffer bytes) { }
 
                     @Override
-                    public void closed(Connection made, Close why, String detail) {
-                        if (why.neverMade() && up && its == streamNumber) {
+                    public void closed(Connection probe, Close why, String detail) {
+                        if (why.neverMade() && up && probedStream == streamNumber) {
                             scheduleFirstControllerProbe();
                         }
                     }
                 });
     }
 
-    /** Asks for a snapshot; one that its own full queue refuses is asked for again with the next message. */
+    /** Requests a snapshot; if the full outbound queue refuses that, the next update requests it again. */
     private void requestSnapshot() {
         resyncPending = !send(new Frame.Resync(router.epoch(), router.version()));
     }
 
     private void handle(Frame.Update update) {
-        Router.UpdateResult heed = router.apply(update);
-        if (heed == Router.UpdateResult.GAP) {
-            LOG.warn("proxy {}: version {}/{} does not follow on {}/{}", config.number(), update.epoch(),
-                    update.version(), router.epoch(), router.version());
+        Router.UpdateResult result = router.apply(update);
+        if (result == Router.UpdateResult.GAP) {
+            LOG.warn("proxy {}: update {}/{} does not follow {}/{}; requesting a snapshot", config.number(),
+                    update.epoch(), update.version(), router.epoch(), router.version());
             requestSnapshot();
-        } else if (heed == Router.UpdateResult.SKIPPED && resyncPending) {
+        } else if (result == Router.UpdateResult.SKIPPED && resyncPending) {
             requestSnapshot();
-        } else if (heed == Router.UpdateResult.APPLIED) {
+        } else if (result == Router.UpdateResult.APPLIED) {
             for (Frame.Order order : update.orders()) {
                 if (order instanceof Frame.Mark mark) {
                     send(new Frame.Applied(update.epoch(), update.version(), mark.number()));
@@ -247,11 +264,11 @@
     }
 
     @Override
-    public void closed(Connection its, Close why, String detail) {
+    public void closed(Connection stream, Close why, String detail) {
         boolean wasUp = up;
         up = false;
         if (wasUp) {
-            oldProtocolControllers.remove(controllerIndex); // it may come back with another version
+            oldProtocolControllers.remove(controllerIndex); // it may restart with another version
         }
         if (snapshotTimer != null) {
             snapshotTimer.cancel();
@@ -259,9 +276,9 @@
         if (!why.neverMade()) {
             tap.closed(config.number(), streamNumber, loop.now());
         }
-        long wait = redial.onStreamEnded(wasUp);
-        LOG.debug("proxy {}: stream ended, {} {}; calling again in {} ms", config.number(), why, detail,
-                wait / 1_000_000);
-        loop.after(wait, this::connect);
+        long waitNs = redial.onStreamEnded(wasUp);
+        LOG.debug("proxy {}: stream ended, {} {}; reconnecting in {} ms", config.number(), why, detail,
+                waitNs / 1_000_000);
+        loop.after(waitNs, this::connect);
     }
 }
--- a/src/main/java/rowanmoor/proxy/ConnectionPool.java
+++ b/src/main/java/rowanmoor/proxy/ConnectionPool.java
@@ -9,25 +9,28 @@
 import rowanmoor.ControlApi.Backend;
 
 /**
- * Connections to backends, idle and in use, counted for each backend. The one last used is used first, so
- * that those not needed grow old and are closed. No I/O: what a connection is, its owner knows.
+ * Pool of connections to backends, with a count of idle and used ones per backend. The connection used last
+ * is taken first, so that surplus ones reach the idle time-out and are closed. Does no I/O itself.
+ *
+ * @param <C> type of the connections
  */
 final class ConnectionPool<C> {
 
-    /** What the pool must know of a connection, and the one thing it does to it. */
+    /** Operations on connections that the pool needs. */
     interface Operations<C> {
 
-        /** Whether it can be used now. */
+        /** Whether it can carry another request. */
         boolean isUsable(C connection);
 
-        /** The same for one that has been idle, going by what has arrived on it unread as well. */
+        /** Same for one that has been idle, also considering data or a close that has arrived unread. */
         default boolean isUsableAfterIdle(C connection) {
             return isUsable(connection);
         }
 
-        /** When it was last used. */
+        /** Time of its last use, ns. */
         long idleSince(C connection);
 
+        /** Closes it. */
         void close(C connection);
     }
 
@@ -42,20 +45,22 @@
     private final Map<Backend, BackendConnections<C>> byBackend = new TreeMap<>();
 
     /**
-     * @param openMost connections to one backend, idle and in use, 1 or more
-     * @param idleMost idle ones to one backend
+     * An empty pool.
+     *
+     * @param maxOpen limit of connections to one backend, idle and in use, 1 or more
+     * @param maxIdle limit of idle connections to one backend
      */
-    ConnectionPool(Operations<C> ways, int openMost, int idleMost) {
-        this.operations = ways;
-        this.maxOpen = openMost;
-        this.maxIdle = idleMost;
+    ConnectionPool(Operations<C> operations, int maxOpen, int maxIdle) {
+        this.operations = operations;
+        this.maxOpen = maxOpen;
+        this.maxIdle = maxIdle;
     }
 
-    /** The last used one that still can be used, or null. Others met on the way are closed. */
+    /** The most recently used connection that is still usable, or null. Unusable ones found are closed. */
     C take(Backend backend) {
-        BackendConnections<C> of = byBackend.get(backend);
-        while (of != null && !of.idle.isEmpty()) {
-            C last = of.idle.pollLast();
+        BackendConnections<C> connections = byBackend.get(backend);
+        while (connections != null && !connections.idle.isEmpty()) {
+            C last = connections.idle.pollLast();
             if (operations.isUsableAfterIdle(last)) {
                 return last;
             }
@@ -64,57 +69,57 @@
         return null;
     }
 
-    /** Whether another may be opened. */
+    /** Whether another connection to a backend may be opened. */
     boolean canOpen(Backend backend) {
-        BackendConnections<C> of = byBackend.get(backend);
-        return of == null || of.open < maxOpen;
+        BackendConnections<C> connections = byBackend.get(backend);
+        return connections == null || connections.open < maxOpen;
     }
 
-    /** One has been opened; it counts until {@link #onClosed}. */
+    /** A connection was opened; it counts until {@link #onClosed}. */
     void onOpened(Backend backend) {
         byBackend.computeIfAbsent(backend, b -> new BackendConnections<>()).open++;
     }
 
-    /** One is free again: it is kept, or closed if it cannot be used or enough are idle. */
+    /** Returns a connection to the pool; closes it if it is unusable or the limit of idle ones is reached. */
     void release(Backend backend, C connection) {
-        BackendConnections<C> of = byBackend.get(backend);
-        if (of != null && operations.isUsable(connection) && of.idle.size() < maxIdle) {
-            of.idle.addLast(connection);
+        BackendConnections<C> connections = byBackend.get(backend);
+        if (connections != null && operations.isUsable(connection) && connections.idle.size() < maxIdle) {
+            connections.idle.addLast(connection);
         } else {
             operations.close(connection);
         }
     }
 
-    /** One is over, in use or idle; told once for each. */
+    /** A connection, idle or in use, has closed; called once for each. */
     void onClosed(Backend backend, C connection) {
-        BackendConnections<C> of = byBackend.get(backend);
-        if (of != null) {
-            of.idle.remove(connection);
-            if (--of.open == 0) {
+        BackendConnections<C> connections = byBackend.get(backend);
+        if (connections != null) {
+            connections.idle.remove(connection);
+            if (--connections.open == 0) {
                 byBackend.remove(backend);
             }
         }
     }
 
-    /** Closes idle ones to backends that fail the test. */
-    void closeIdleExcept(Predicate<Backend> kept) {
+    /** Closes idle connections to backends that do not match. */
+    void closeIdleExcept(Predicate<Backend> keep) {
         for (Backend backend : List.copyOf(byBackend.keySet())) {
-            if (!kept.test(backend)) {
+            if (!keep.test(backend)) {
                 closeIdleOf(backend, Long.MAX_VALUE);
             }
         }
     }
 
-    /** Closes those that were last used before a time. */
+    /** Closes idle connections that were last used before a time, ns. */
     void closeIdleBefore(long before) {
         List.copyOf(byBackend.keySet()).forEach(b -> closeIdleOf(b, before));
     }
 
     private void closeIdleOf(Backend backend, long before) {
-        BackendConnections<C> of = byBackend.get(backend);
+        BackendConnections<C> connections = byBackend.get(backend);
         List<C> old = new ArrayList<>();
-        while (!of.idle.isEmpty() && operations.idleSince(of.idle.peekFirst()) < before) {
-            old.add(of.idle.pollFirst());
+        while (!connections.idle.isEmpty() && operations.idleSince(connections.idle.peekFirst()) < before) {
+            old.add(connections.idle.pollFirst());
         }
         old.forEach(operations::close);
     }
@@ -128,6 +133,6 @@
     }
 
     int openCount() {
-        return byBackend.values().stream().mapToInt(of -> of.open).sum();
+        return byBackend.values().stream().mapToInt(connections -> connections.open).sum();
     }
 }
--- a/src/main/java/rowanmoor/proxy/ForwardedRequest.java
+++ b/src/main/java/rowanmoor/proxy/ForwardedRequest.java
@@ -15,13 +15,14 @@
 import rowanmoor.net.Timer;
 
 /**
- * One request on its way: its tries, one after the other, and its answer, passed on as it comes. Content is
- * held, up to a bound, so that another try can send it; longer content goes once. Once the answer has begun
- * there is no other try: if it breaks off, so does the client's.
+ * One request in flight: its sequential tries and its response, streamed to the client. Request content is
+ * buffered up to a limit so that a retry can send it again; a request with longer content is not retried
+ * once the limit is exceeded. There is no retry after the response has begun: if the response breaks off, so
+ * does the client's.
  */
 final class ForwardedRequest implements ServerStream.Body, ClientStream.Answer {
 
-    /** An answer that another try follows, up to this, is read and dropped to keep its connection. */
+    /** A failed response up to this length is read and discarded before a retry, to keep its connection. */
     private static final long MAX_DISCARDED_BYTES = 1 << 16;
 
     private final Proxy proxy;
@@ -42,15 +43,15 @@
     private boolean responseBegun;
     private boolean finished;
     private long responseBegunNs;
-    /** Time of the last byte that moved in either direction. */
+    /** Time of the last byte transferred in either direction, ns. */
     long lastProgressNs;
 
-    ForwardedRequest(Proxy proxy, int cls, ServerStream.Exchange exchange, long within) {
+    ForwardedRequest(Proxy proxy, int cls, ServerStream.Exchange exchange, long timeoutNs) {
         this.proxy = proxy;
         this.cls = cls;
         this.exchange = exchange;
         this.lastProgressNs = proxy.now();
-        this.deadlineNs = lastProgressNs + within;
+        this.deadlineNs = lastProgressNs + timeoutNs;
         this.deadlineTimer = proxy.loop().at(deadlineNs, this::onDeadline);
     }
 
@@ -81,7 +82,7 @@
         proxy.router().onTrySent(backend);
         trySentNs = proxy.now();
         stream = proxy.acquireConnection(backend);
-        if (stream == null) { // this proxy's own bound: not held against the backend
+        if (stream == null) { // this proxy's own limit, not a failure of the backend
             proxy.router().onTryAbandoned(backend);
             backend = null;
             if (mayRetry(true)) {
@@ -91,9 +92,9 @@
             }
             return;
         }
-        long within = proxy.router().tryTimeoutNs(cls);
-        if (within > 0) {
-            tryTimer = proxy.loop().after(within, () -> {
+        long tryTimeoutNs = proxy.router().tryTimeoutNs(cls);
+        if (tryTimeoutNs > 0) {
+            tryTimer = proxy.loop().after(tryTimeoutNs, () -> {
                 endTry(false, true);
                 retryOrFail(false, "no answer in time");
             });
@@ -107,12 +108,12 @@
         }
     }
 
-    /** What has been sent is not held any more: no other try can send it. */
+    /** Whether all request content received so far is still buffered, so that a retry can send it. */
     private boolean canReplay() {
         return replayBuffer != null;
     }
 
-    /** Asked in this order, for what lets a try follow may spend a credit: none without another backend. */
+    /** The router is asked last, as it may spend a retry credit: none is spent without another backend. */
     private boolean mayRetry(boolean neverRan) {
         return canReplay() && proxy.router().hasUntriedBackend(cls, tried)
                 && proxy.router().mayRetry(cls, tried.size(), neverRan, deadlineNs - proxy.now());
@@ -129,8 +130,8 @@
         }
     }
 
-    /** Books the end of the try in work. */
-    private void endTry(boolean itsGood, boolean cancel) {
+    /** Records the end of the current try, if there is one. */
+    private void endTry(boolean good, boolean cancel) {
         if (backend == null) {
             return;
         }
@@ -138,19 +139,19 @@
             tryTimer.cancel();
             tryTimer = null;
         }
-        Backend its = backend;
+        Backend triedBackend = backend;
         backend = null;
-        proxy.router().onTryEnded(its, itsGood, proxy.now());
-        proxy.tallies().onTryEnded(its, itsGood, proxy.now() - trySentNs, load);
+        proxy.router().onTryEnded(triedBackend, good, proxy.now());
+        proxy.tallies().onTryEnded(triedBackend, good, proxy.now() - trySentNs, load);
         load = List.of();
         if (cancel && stream != null) {
-            ClientStream left = stream;
+            ClientStream cancelled = stream;
             stream = null;
-            left.cancel();
+            cancelled.cancel();
         }
     }
 
-    /** An answer of the proxy's own, as the last word. */
+    /** Ends the request with an error answer of the proxy, or breaks off a response that has begun. */
     private void fail(int status, String why) {
         if (!finished) {
             markFinished();
@@ -170,7 +171,7 @@
         proxy.onRequestEnded(this);
     }
 
-    /** The client is gone: its try is cancelled and counts for nothing. */
+    /** The client has disconnected: cancels the try, which counts neither for nor against its backend. */
     void abandon() {
         if (finished) {
             return;
@@ -180,7 +181,7 @@
         proxy.tallies().onUnanswered(cls);
     }
 
-    /** The proxy stops: the client gets an answer, unless one has begun, which breaks off. */
+    /** The proxy stops: answers the client with 503, or breaks off a response that has begun. */
     void stop() {
         if (!finished) {
             abandonTry();
@@ -188,16 +189,16 @@
         }
     }
 
-    /** Cancels the try in work, which counts neither for nor against its backend. */
+    /** Cancels the current try, which counts neither for nor against its backend. */
     private void abandonTry() {
         if (tryTimer != null) {
             tryTimer.cancel();
             tryTimer = null;
         }
         if (stream != null) {
-            ClientStream left = stream;
+            ClientStream cancelled = stream;
             stream = null;
-            left.cancel();
+            cancelled.cancel();
         }
         if (backend != null) {
             proxy.router().onTryAbandoned(backend);
@@ -205,16 +206,16 @@
         }
     }
 
-    /** Looks whether it stands still or has taken too long; called now and then. */
+    /** Ends a response that has stalled or takes too long; called periodically. */
     void checkTimeouts(long now) {
-        boolean still = now - lastProgressNs > proxy.policy().stallTimeoutNs();
-        if (responseBegun && (still || now - responseBegunNs > proxy.policy().responseTimeoutNs())) {
+        boolean stalled = now - lastProgressNs > proxy.policy().stallTimeoutNs();
+        if (responseBegun && (stalled || now - responseBegunNs > proxy.policy().responseTimeoutNs())) {
             endTry(false, true);
             fail(504, "stands still");
         }
     }
 
-    // ---- the request's content -----------------------------------------------------------------------
+    // ---- request content -----------------------------------------------------------------------------
 
     @Override
     public void piece(ByteBuffer bytes) {
@@ -243,7 +244,7 @@
         }
     }
 
-    // ---- the answer ----------------------------------------------------------------------------------
+    // ---- response ------------------------------------------------------------------------------------
 
     @Override
     public void interim(Part.ResponseHead head) {
@@ -253,16 +254,16 @@
     @Override
     public void head(Part.ResponseHead head) {
         lastProgressNs = proxy.now();
-        boolean unrun = (head.status() == 503 || head.status() == 408)
+        boolean neverRan = (head.status() == 503 || head.status() == 408)
                 && head.fields().get(Proxy.NEVER_RAN_FIELD) != null;
-        responseGood = head.status() < 500 && !unrun;
+        responseGood = head.status() < 500 && !neverRan;
         load = proxy.columns().parse(head.fields().get(Orca.FIELD));
-        if (!responseGood && mayRetry(unrun)) {
-            ClientStream left = stream;
-            Backend of = backend;
+        if (!responseGood && mayRetry(neverRan)) {
+            ClientStream failed = stream;
+            Backend target = backend;
             stream = null;
             endTry(false, false);
-            discardResponse(left, of, head.length());
+            discardResponse(failed, target, head.length());
             startTry();
             return;
         }
@@ -274,18 +275,18 @@
             tryTimer.cancel();
             tryTimer = null;
         }
-        ClientStream its = stream;
-        exchange.drained(() -> its.pause(false));
+        ClientStream current = stream;
+        exchange.drained(() -> current.pause(false));
         exchange.begin(Proxy.clientResponseHead(head));
     }
 
-    /** Reads an answer that nobody waits for to its end, or closes its connection. */
-    private void discardResponse(ClientStream left, Backend of, long length) {
+    /** Reads a response that is not forwarded to its end, or closes its connection if it is too long. */
+    private void discardResponse(ClientStream discarded, Backend target, long length) {
         if (length < 0 || length > MAX_DISCARDED_BYTES) {
-            left.cancel();
+            discarded.cancel();
             return;
         }
-        left.hand(new ClientStream.Answer() {
+        discarded.hand(new ClientStream.Answer() {
             @Override
             public void head(Part.ResponseHead head) { }
 
@@ -294,7 +295,7 @@
 
             @Override
             public void whole(Fields trailers) {
-                proxy.releaseConnection(of, left);
+                proxy.releaseConnection(target, discarded);
             }
 
             @Override
@@ -312,8 +313,8 @@
 
     @Override
     public void whole(Fields trailers) {
-        ClientStream its = stream;
-        Backend of = backend;
+        ClientStream completed = stream;
+        Backend target = backend;
         stream = null;
         endTry(responseGood, false);
         if (!finished) {
@@ -323,7 +324,7 @@
             }
             exchange.end(trailers);
         }
-        proxy.releaseConnection(of, its);
+        proxy.releaseConnection(target, completed);
     }
 
     @Override
--- a/src/main/java/rowanmoor/proxy/ForwardingPolicy.java
+++ b/src/main/java/rowanmoor/proxy/ForwardingPolicy.java
@@ -3,60 +3,65 @@
 import rowanmoor.config.Section;
 
 /**
- * How a proxy treats connections and requests; times in nanoseconds, 0 for no such bound unless said.
+ * Limits and time-outs of a proxy for connections and requests. Times are in nanoseconds; 0 means no limit
+ * unless stated otherwise.
  *
- * @param headWithin a client's head may take so long from its first byte
- * @param idleWithin a request or answer under way on which nothing moves for so long is broken off
- * @param wholeWithin an answer that has begun may take so long in all
- * @param holdMost bytes of a request's content that are held so that another try can send them; what is
- *     longer is tried once
- * @param perBackendMost connections to one backend
- * @param idleMost idle connections kept to one backend
- * @param inflightMost requests in work; beyond it the answer is 503 at once
- * @param perClientMost connections of one client address
- * @param retryBudget tries that may follow, as a part of first tries; 1 or more for as many as are ordered
- * @param refusal status of a request over its level: 429 or 503
- * @param retryAfter seconds that a refusal names
- * @param lease levels are kept so long after the last word of any controller
- * @param safeLevel requests a second a class at which a proxy lets in when the lease is over; negative to
- *     keep what it had (the paper's safe capacity)
- * @param deadlineField names the field in which clients state milliseconds left, and which goes on
- * @param stopWithin a stopping proxy waits so long for requests in work
- * @param homeAfter joined to another controller than its first, it looks for that one about so often, and
- *     moves back; 0 to stay
+ * @param headTimeoutNs time for a client's request head, from its first byte
+ * @param stallTimeoutNs a response that makes no progress for this long is aborted
+ * @param responseTimeoutNs total time for a response that has begun
+ * @param maxReplayBytes request content buffered so that a retry can send it again; a request with longer
+ *     content is tried once
+ * @param maxConnectionsPerBackend limit of connections to one backend
+ * @param maxIdlePerBackend limit of idle connections kept to one backend
+ * @param maxRequestsInFlight limit of requests in flight; beyond it the answer is {@code refusalStatus} at
+ *     once
+ * @param maxConnectionsPerClient limit of connections from one client address
+ * @param retryBudget allowed retries as a fraction of first tries; 1 or more for as many as are ordered
+ * @param refusalStatus status for a request over its level: 429 or 503
+ * @param retryAfterSeconds value of {@code Retry-After} in a refusal
+ * @param leaseNs how long levels are kept after the last message from any controller
+ * @param safeLevel requests per second and class that are admitted after the lease has expired (the paper's
+ *     safe capacity); negative to keep the levels
+ * @param deadlineField name of the field with the milliseconds left, read from clients and sent to backends
+ * @param stopTimeoutNs how long a stopping proxy waits for requests in flight
+ * @param rehomeIntervalNs mean interval at which a proxy joined to another controller than its first probes
+ *     that one, to move back; 0 to stay
  */
-public record ForwardingPolicy(long headTimeoutNs, long stallTimeoutNs, long responseTimeoutNs, int maxReplayBytes, int maxConnectionsPerBackend,
-        int maxIdlePerBackend, int maxRequestsInFlight, int maxConnectionsPerClient, double retryBudget, int refusalStatus, int retryAfterSeconds,
+public record ForwardingPolicy(long headTimeoutNs, long stallTimeoutNs, long responseTimeoutNs,
+        int maxReplayBytes, int maxConnectionsPerBackend, int maxIdlePerBackend, int maxRequestsInFlight,
+        int maxConnectionsPerClient, double retryBudget, int refusalStatus, int retryAfterSeconds,
         long leaseNs, double safeLevel, String deadlineField, long stopTimeoutNs, long rehomeIntervalNs) {
 
     private static final long NS_PER_SECOND = 1_000_000_000L;
 
+    /** The policy in force where settings state nothing else. */
     public static ForwardingPolicy defaults() {
-        return new ForwardingPolicy(10 * NS_PER_SECOND, 30 * NS_PER_SECOND, 300 * NS_PER_SECOND, 1 << 16, 1024, 256, 4096, 1 << 20, 1, 503,
-                1, 30 * NS_PER_SECOND, -1, "x-deadline-ms", 10 * NS_PER_SECOND, 0);
+        return new ForwardingPolicy(10 * NS_PER_SECOND, 30 * NS_PER_SECOND, 300 * NS_PER_SECOND, 1 << 16,
+                1024, 256, 4096, 1 << 20, 1, 503, 1, 30 * NS_PER_SECOND, -1, "x-deadline-ms",
+                10 * NS_PER_SECOND, 0);
     }
 
-    /** Reads the block's own keys; what is left out is as usual. */
-    static ForwardingPolicy of(Section p) {
-        ForwardingPolicy u = defaults();
-        int refusal = p.whole("refusal", 429, 503, u.refusalStatus);
+    /** Reads the policy's keys of a {@code proxy} block; absent keys take their defaults. */
+    static ForwardingPolicy of(Section section) {
+        ForwardingPolicy defaults = defaults();
+        int refusal = section.whole("refusal", 429, 503, defaults.refusalStatus);
         if (refusal != 429 && refusal != 503) {
-            p.problem("refusal", "is 429 or 503");
+            section.problem("refusal", "must be 429 or 503");
         }
-        return new ForwardingPolicy(p.duration("head-within", "10ms", "1h", "10s"),
-                p.duration("move-within", "10ms", "1h", "30s"),
-                p.duration("whole-within", "10ms", "24h", "300s"),
-                p.whole("hold-most", 0, 1 << 30, u.maxReplayBytes),
-                p.whole("per-backend-most", 1, 1 << 20, u.maxConnectionsPerBackend),
-                p.whole("idle-most", 0, 1 << 20, u.maxIdlePerBackend),
-                p.whole("inflight-most", 1, 1 << 24, u.maxRequestsInFlight),
-                p.whole("per-client-most", 1, 1 << 20, u.maxConnectionsPerClient),
-                p.number("retry-budget", 0, 100, u.retryBudget), refusal,
-                p.whole("retry-after", 0, 3600, u.retryAfterSeconds),
-                p.duration("lease", "100ms", "24h", "30s"),
-                p.has("safe-level") ? p.number("safe-level", 0, 1e9) : u.safeLevel,
-                p.text("deadline-field", u.deadlineField),
-                p.duration("stop-within", "0s", "1h", "10s"),
-                p.duration("home-after", "0s", "24h", "0s"));
+        return new ForwardingPolicy(section.duration("head-within", "10ms", "1h", "10s"),
+                section.duration("move-within", "10ms", "1h", "30s"),
+                section.duration("whole-within", "10ms", "24h", "300s"),
+                section.whole("hold-most", 0, 1 << 30, defaults.maxReplayBytes),
+                section.whole("per-backend-most", 1, 1 << 20, defaults.maxConnectionsPerBackend),
+                section.whole("idle-most", 0, 1 << 20, defaults.maxIdlePerBackend),
+                section.whole("inflight-most", 1, 1 << 24, defaults.maxRequestsInFlight),
+                section.whole("per-client-most", 1, 1 << 20, defaults.maxConnectionsPerClient),
+                section.number("retry-budget", 0, 100, defaults.retryBudget), refusal,
+                section.whole("retry-after", 0, 3600, defaults.retryAfterSeconds),
+                section.duration("lease", "100ms", "24h", "30s"),
+                section.has("safe-level") ? section.number("safe-level", 0, 1e9) : defaults.safeLevel,
+                section.text("deadline-field", defaults.deadlineField),
+                section.duration("stop-within", "0s", "1h", "10s"),
+                section.duration("home-after", "0s", "24h", "0s"));
     }
 }
--- a/src/main/java/rowanmoor/proxy/Proxy.java
+++ b/src/main/java/rowanmoor/proxy/Proxy.java
@@ -26,34 +26,34 @@
 import rowanmoor.net.Loop;
 
 /**
- * Takes requests, forwards them by the tables, reports. Content is passed on as it comes, no faster than the
- * slower side takes it. A request that cannot be served gets its final answer at once: refused by its level
- * or a bound, no backend, a last try that failed, its deadline.
+ * Accepts requests, forwards them by the routing tables and reports to the controller. Content is streamed
+ * with backpressure, no faster than the slower side takes it. A request that cannot be served gets its final
+ * answer at once: refused by its level or a limit, no backend, failure of the last try, deadline exceeded.
  */
 public final class Proxy implements ServerStream.Service {
 
-    /** Set by a backend on a refusal: proof that it did nothing for this request. */
+    /** Field that a backend sets on a refusal: proof that it did nothing for this request. */
     public static final String NEVER_RAN_FIELD = ServerStream.NEVER_RAN;
-    /** Says, on what a proxy answers itself, why. */
+    /** Field with the reason of an answer that the proxy gives itself. */
     public static final String REASON_FIELD = "x-rowanmoor";
-    /** Names the proxy in what it sends to backends. */
+    /** Field of requests to backends with the number of the proxy. */
     public static final String PROXY_NUMBER_FIELD = "x-rowanmoor-proxy";
-    /** Names a request through all its tries; made here if the client names none. */
+    /** Field that identifies a request in all its tries; generated here if the client sends none. */
     public static final String REQUEST_ID_FIELD = "x-request-id";
 
-    private static final List<String> HOP_BY_HOP_FIELDS = List.of("connection", "keep-alive", "proxy-connection",
-            "te", "transfer-encoding", "upgrade", "content-length");
-    /** A client's connection may be idle for so many times as long as one to a backend. */
+    private static final List<String> HOP_BY_HOP_FIELDS = List.of("connection", "keep-alive",
+            "proxy-connection", "te", "transfer-encoding", "upgrade", "content-length");
+    /** Idle time-out of client connections, as a multiple of that of backend connections. */
     private static final int CLIENT_IDLE_FACTOR = 4;
     private static final long TIMEOUT_CHECK_INTERVAL_NS = 500_000_000L;
     private static final long NS_PER_MS = 1_000_000L;
-    /** Clients without room that are told so at once; beyond it they are cut off. */
+    /** Connections over the limit that are answered with 503 at a time; more are closed without an answer. */
     private static final int MAX_REJECTED_CONNECTIONS = 64;
-    /** A stopping proxy waits so long for the next request on a kept connection, ns. */
+    /** How long a stopping proxy waits for the next request on a keep-alive connection. */
     private static final long STOP_IDLE_TIMEOUT_NS = 500_000_000L;
-    /** The time that its last report has to be acknowledged, ns. */
+    /** Time for the last report to be acknowledged. */
     private static final long STOP_LAST_REPORT_NS = 400_000_000L;
-    /** Within its bound, the time that the last answers have to be read, ns. */
+    /** Part of the stop time-out that is left for clients to read the last answers. */
     private static final long STOP_LAST_ANSWERS_NS = 1_000_000_000L;
 
     private final ProxyConfig config;
@@ -76,7 +76,7 @@
     private boolean finishing;
     private Runnable onStopped;
 
-    /** Listens and calls its controller. */
+    /** Starts to listen and connects to a controller. */
     public Proxy(ProxyConfig config, Loop loop, Router router, RandomGenerator random, Tap tap)
             throws IOException {
         this.config = config;
@@ -85,19 +85,20 @@
         this.tallies = new Tallies(loop.now());
         this.reports = new ReportQueue(tallies);
         this.columns = new LoadColumns(config.site().columns());
-        this.pool = new ConnectionPool<>(new ClientStreamOperations(), policy().maxConnectionsPerBackend(), policy().maxIdlePerBackend());
+        this.pool = new ConnectionPool<>(new ClientStreamOperations(), policy().maxConnectionsPerBackend(),
+                policy().maxIdlePerBackend());
         this.requestIdPrefix = config.number() + "-" + Long.toHexString(random.nextLong()) + "-";
         this.listener = loop.listen(config.listen(), ServerStream.options(), this::accept);
         this.channel = new ChannelClient(loop, config, router, reports, random, tap,
                 () -> pool.closeIdleExcept(router::uses), this::completeStopIfReported);
-        // Proxies started together must not report together for good.
+        // A random first delay, so that proxies started together do not always report together.
         loop.after((long) (config.site().period() * random.nextDouble()), this::sendReport);
         loop.after(config.backendIdleTimeoutNs() / 4 + 1, this::closeIdleConnections);
         loop.after(TIMEOUT_CHECK_INTERVAL_NS, this::checkTimeouts);
         channel.connect();
     }
 
-    /** A proxy with a router of its own. */
+    /** Starts a proxy with a router made from its configuration. */
     public static Proxy start(ProxyConfig config, Loop loop, RandomGenerator random, Tap tap)
             throws IOException {
         Router router = new Router(config.site(), config.policy(),
@@ -128,40 +129,41 @@
         }
     }
 
+    /** Address on which it listens. */
     public InetSocketAddress address() {
         return listener.address();
     }
 
-    /** Whether its stream is up. */
+    /** Whether the stream to a controller is up. */
     public boolean isJoined() {
         return channel.isUp();
     }
 
-    /** Epoch and version of what it holds. */
+    /** Epoch and version of the routing state in force, separated by a slash. */
     public String epochAndVersion() {
         return router.epoch() + "/" + router.version();
     }
 
-    /** Requests in work. */
+    /** Number of requests in flight. */
     public int requestsInFlight() {
         return activeRequests.size();
     }
 
-    /** Connections to backends, idle and in use. */
+    /** Number of connections to backends, idle and in use. */
     public int backendConnections() {
         return pool.openCount();
     }
 
-    /** Connections of clients. */
+    /** Number of connections of clients. */
     public int clientConnections() {
         return clients.size();
     }
 
     /**
-     * Takes no more connections and serves those it has until their clients know: each answer says that its
-     * connection closes, and one on which nothing comes is ended. Once the last is closed and all that was
-     * counted is acknowledged, or the bound for that is over, says goodbye to its controller and runs {@code
-     * then}. Only the first call counts.
+     * Stops gracefully. Accepts no more connections; each further answer announces that its connection
+     * closes, and idle connections are closed. Once the last is closed and all counts are acknowledged, or
+     * the time-out for that has passed, says goodbye to the controller and runs {@code then}. Calls after the
+     * first have no effect.
      */
     public void stop(Runnable then) {
         if (stopping) {
@@ -170,12 +172,12 @@
         stopping = true;
         onStopped = then;
         listener.close();
-        long within = policy().stopTimeoutNs();
-        long idleWithin = Math.min(STOP_IDLE_TIMEOUT_NS, within / 4);
-        List.copyOf(clients).forEach(c -> c.stop(idleWithin));
-        loop.after(within - Math.min(STOP_LAST_ANSWERS_NS, within / 2), this::answerRemaining);
-        loop.after(within - lastReportTimeoutNs(), this::finishStop);
-        loop.after(within, this::completeStop);
+        long timeoutNs = policy().stopTimeoutNs();
+        long idleTimeoutNs = Math.min(STOP_IDLE_TIMEOUT_NS, timeoutNs / 4);
+        List.copyOf(clients).forEach(c -> c.stop(idleTimeoutNs));
+        loop.after(timeoutNs - Math.min(STOP_LAST_ANSWERS_NS, timeoutNs / 2), this::answerRemaining);
+        loop.after(timeoutNs - lastReportTimeoutNs(), this::finishStop);
+        loop.after(timeoutNs, this::completeStop);
         finishStopIfDone();
     }
 
@@ -194,7 +196,7 @@
         return Math.min(STOP_LAST_REPORT_NS, policy().stopTimeoutNs() / 4);
     }
 
-    /** No request is in work any more: what was counted is told, and must have been taken. */
+    /** Ends all requests and sends the last counts, which the controller should acknowledge. */
     private void finishStop() {
         if (!finishing) {
             finishing = true;
@@ -222,7 +224,7 @@
         }
     }
 
-    // ---- what a request needs ------------------------------------------------------------------------
+    // ---- services for forwarded requests -------------------------------------------------------------
 
     long now() {
         return loop.now();
@@ -248,19 +250,19 @@
         return columns;
     }
 
-    /** A connection that is free, or a new one, or null if there are as many as may be. */
+    /** An idle connection or a new one, or null if the backend's connection limit is reached. */
     ClientStream acquireConnection(Backend backend) {
-        ClientStream kept = pool.take(backend);
-        if (kept != null || !pool.canOpen(backend)) {
-            return kept;
+        ClientStream idle = pool.take(backend);
+        if (idle != null || !pool.canOpen(backend)) {
+            return idle;
         }
         pool.onOpened(backend);
         return ClientStream.open(loop, config.localAddress(), Addresses.toSocketAddress(backend),
                 ServerStream.options().connectWithin(config.connectTimeoutNs()), limits,
-                gone -> pool.onClosed(backend, gone));
+                closed -> pool.onClosed(backend, closed));
     }
 
-    /** A request's answer was whole: its connection is kept if the tables still name its backend. */
+    /** Keeps a connection whose response is complete, or closes it if no table names its backend any more. */
     void releaseConnection(Backend backend, ClientStream connection) {
         if (router.uses(backend)) {
             pool.release(backend, connection);
@@ -269,15 +271,16 @@
         }
     }
 
-    void onRequestEnded(ForwardedRequest forward) {
-        activeRequests.remove(forward);
+    void onRequestEnded(ForwardedRequest request) {
+        activeRequests.remove(request);
     }
 
-    /** An answer of the proxy's own. */
+    /** Answers a request without a backend. */
     void answerDirectly(ServerStream.Exchange exchange, int status, String why) {
         exchange.answer(status, why + "\n", REASON_FIELD, why, "Content-Type", "text/plain");
     }
 
+    /** The head to send to a backend; {@code left} is the time to the deadline, ns. */
     Part.RequestHead backendRequestHead(Part.RequestHead head, Backend backend, long left) {
         Fields fields = endToEndFields(head.fields());
         fields.set("Host", backend.toString());
@@ -290,21 +293,22 @@
         return new Part.RequestHead(head.method(), head.target(), 1, fields, head.length());
     }
 
+    /** The head to send to the client for a backend's response. */
     static Part.ResponseHead clientResponseHead(Part.ResponseHead head) {
         Fields fields = endToEndFields(head.fields());
         String length = head.fields().get("content-length");
         if (head.length() == 0 && length != null) {
-            fields.set("Content-Length", length); // of an answer to HEAD, or 304
+            fields.set("Content-Length", length); // in a response to HEAD, or a 304
         }
         fields.remove(Orca.FIELD);
         return new Part.ResponseHead(head.status(), head.reason(), 1, fields, head.length());
     }
 
-    /** Without what belongs to one connection only (RFC 9110, 7.6.1). */
+    /** The fields without those that concern a single connection only (RFC 9110, 7.6.1). */
     private static Fields endToEndFields(Fields all) {
         Fields fields = all.copy();
-        String named = all.get("connection", "");
-        for (String name : named.split(",")) {
+        String connectionOptions = all.get("connection", "");
+        for (String name : connectionOptions.split(",")) {
             fields.remove(name.trim());
         }
         HOP_BY_HOP_FIELDS.forEach(fields::remove);
@@ -315,14 +319,15 @@
 
     private Handler accept(Connection connection) {
         InetAddress from = connection.remote().getAddress();
-        int its = connectionsByAddress.getOrDefault(from, 0);
-        if (clients.size() >= config.maxClientConnections() || its >= policy().maxConnectionsPerClient()) {
+        int existing = connectionsByAddress.getOrDefault(from, 0);
+        if (clients.size() >= config.maxClientConnections()
+                || existing >= policy().maxConnectionsPerClient()) {
             return rejectedConnections < MAX_REJECTED_CONNECTIONS ? new RejectedClient() : null;
         }
-        connectionsByAddress.put(from, its + 1);
-        ServerStream.Patience patience = new ServerStream.Patience(policy().headTimeoutNs(),
+        connectionsByAddress.put(from, existing + 1);
+        ServerStream.Patience timeouts = new ServerStream.Patience(policy().headTimeoutNs(),
                 CLIENT_IDLE_FACTOR * config.backendIdleTimeoutNs());
-        ServerStream stream = new ServerStream(loop, limits, patience, this) {
+        ServerStream stream = new ServerStream(loop, limits, timeouts, this) {
             @Override
             public void closed(Connection itsConnection, Close why, String detail) {
                 clients.remove(this);
@@ -335,7 +340,7 @@
         return stream;
     }
 
-    /** A client without room: it is told so, whatever it has asked by then, and its connection ends. */
+    /** Answers a connection over the limit with 503, whatever it has sent, and closes it. */
     private final class RejectedClient implements Handler {
 
         RejectedClient() {
@@ -367,15 +372,16 @@
             return;
         }
         tallies.onRequest(cls);
-        long within = config.site().classes().get(cls).deadline();
+        long timeoutNs = config.site().classes().get(cls).deadline();
         String stated = head.fields().get(policy().deadlineField());
         long millis = stated == null ? 0 : parseMillis(stated);
         if (millis < 0) {
             answerDirectly(exchange, 400, policy().deadlineField() + " is not a number of milliseconds");
             return;
         }
-        within = stated == null ? within : Math.min(within, millis * NS_PER_MS);
-        if (activeRequests.size() >= policy().maxRequestsInFlight()) { // asked before its level, which would spend a token
+        timeoutNs = stated == null ? timeoutNs : Math.min(timeoutNs, millis * NS_PER_MS);
+        // Checked before admission by level, which would use up a token.
+        if (activeRequests.size() >= policy().maxRequestsInFlight()) {
             refuse(exchange, "as many requests in work as may be");
             return;
         }
@@ -383,10 +389,10 @@
             refuse(exchange, "refused by its level");
             return;
         }
-        ForwardedRequest forward = new ForwardedRequest(this, cls, exchange, within);
-        exchange.tag = forward;
-        activeRequests.add(forward);
-        forward.start();
+        ForwardedRequest request = new ForwardedRequest(this, cls, exchange, timeoutNs);
+        exchange.tag = request;
+        activeRequests.add(request);
+        request.start();
     }
 
     private static long parseMillis(String text) {
@@ -400,12 +406,12 @@
 
     @Override
     public void gone(ServerStream.Exchange exchange) {
-        if (exchange.tag instanceof ForwardedRequest forward) {
-            forward.abandon();
+        if (exchange.tag instanceof ForwardedRequest request) {
+            request.abandon();
         }
     }
 
-    // ---- now and then --------------------------------------------------------------------------------
+    // ---- periodic work -------------------------------------------------------------------------------
 
     private void checkTimeouts() {
         long now = loop.now();
--- a/src/main/java/rowanmoor/proxy/ProxyConfig.java
+++ b/src/main/java/rowanmoor/proxy/ProxyConfig.java
@@ -9,58 +9,69 @@
 import rowanmoor.config.Site;
 
 /**
- * One proxy: the {@code proxy} block beside a {@code site} block.
+ * Settings of one proxy: a {@code proxy} block beside a {@code site} block.
  *
- * @param number its number, one to a proxy of the site
- * @param requestsPerSecond requests a second that it usually gets
+ * @param number number of the proxy, unique within the site
+ * @param name name of the proxy in {@code Via} fields and towards controllers
+ * @param zone index of its zone in the site
+ * @param requestsPerSecond expected request rate in normal operation
+ * @param listen address on which it accepts clients
  * @param localAddress local address of its connections, or null for any
- * @param controllers their addresses; it calls them in turn, beginning with {@code firstController}
- * @param redialWaitNs mean wait before the first call after a stream has ended, ns
- * @param controllerTimeoutNs a stream on which nothing is heard for so long has broken, ns
- * @param standingBackends backends used until a controller says otherwise
- * @param backendIdleTimeoutNs a connection to a backend that is not used for so long is closed, ns
- * @param maxClientConnections connections of clients
- * @param connectTimeoutNs how long a backend may take to accept a connection, ns
+ * @param controllers addresses of the controllers, tried in rotation from index {@code firstController}
+ * @param redialWaitNs mean wait before the first reconnection after a stream has ended
+ * @param controllerTimeoutNs a stream on which nothing arrives for this long is taken as broken
+ * @param standingBackends backends used until a controller binds a table
+ * @param backendIdleTimeoutNs idle time after which a connection to a backend is closed
+ * @param connectTimeoutNs how long a backend may take to accept a connection
+ * @param maxClientConnections limit of client connections
+ * @param policy limits, time-outs and retry budget for requests
  */
-public record ProxyConfig(Site site, int number, String name, int zone, double requestsPerSecond, InetSocketAddress listen,
-        InetSocketAddress localAddress, List<InetSocketAddress> controllers, int firstController, long redialWaitNs,
-        long controllerTimeoutNs, List<InetSocketAddress> standingBackends, long backendIdleTimeoutNs, long connectTimeoutNs,
+public record ProxyConfig(Site site, int number, String name, int zone, double requestsPerSecond,
+        InetSocketAddress listen, InetSocketAddress localAddress, List<InetSocketAddress> controllers,
+        int firstController, long redialWaitNs, long controllerTimeoutNs,
+        List<InetSocketAddress> standingBackends, long backendIdleTimeoutNs, long connectTimeoutNs,
         int maxClientConnections, ForwardingPolicy policy) {
 
-    /** All {@code proxy} blocks of a file; one process may run several. */
+    /**
+     * Reads all {@code proxy} blocks of a file; one process may run several proxies.
+     *
+     * @throws ConfigError with all problems of the file
+     */
     public static List<ProxyConfig> read(Path file) throws ConfigError {
         Section root = Section.read(file);
         Site site = Site.of(root);
         List<ProxyConfig> all = new ArrayList<>();
-        for (Section p : root.sections("proxy")) {
-            all.add(read(p, site));
+        for (Section section : root.sections("proxy")) {
+            all.add(read(section, site));
         }
         if (all.isEmpty()) {
             root.problem("proxy", "is missing");
         }
         if (all.stream().map(ProxyConfig::number).distinct().count() < all.size()) {
-            root.problem("proxy", "a number stands twice");
+            root.problem("proxy", "has the same number as another one");
         }
         root.finish();
         root.check();
         return all;
     }
 
-    private static ProxyConfig read(Section p, Site site) {
-        String zone = p.text("zone");
+    private static ProxyConfig read(Section section, Site site) {
+        String zone = section.text("zone");
         if (!site.zones().contains(zone)) {
-            p.problem("zone", "is not a zone of the site: " + zone);
+            section.problem("zone", "is not a zone of the site: " + zone);
         }
-        int number = p.whole("number", 0, 65534);
-        ProxyConfig config = new ProxyConfig(site, number, p.text("name", "proxy-" + number),
-                Math.max(0, site.zones().indexOf(zone)), p.rate("rate", 0, 1e6, 10), p.address("listen"),
-                p.has("from") ? p.address("from") : null, p.addresses("controllers", true),
-                p.whole("first-controller", 0, 63, 0), p.duration("redial", "10ms", "60s", "300ms"),
-                p.duration("silent-after", "200ms", "60s", "3s"), p.addresses("standing", true),
-                p.duration("idle-for", "100ms", "1h", "15s"),
-                p.duration("connect-within", "1ms", "60s", "250ms"),
-                p.whole("connections-most", 1, 1 << 20, 4096), ForwardingPolicy.of(p));
-        p.finish();
+        int number = section.whole("number", 0, 65534);
+        ProxyConfig config = new ProxyConfig(site, number, section.text("name", "proxy-" + number),
+                Math.max(0, site.zones().indexOf(zone)), section.rate("rate", 0, 1e6, 10),
+                section.address("listen"), section.has("from") ? section.address("from") : null,
+                section.addresses("controllers", true), section.whole("first-controller", 0, 63, 0),
+                section.duration("redial", "10ms", "60s", "300ms"),
+                section.duration("silent-after", "200ms", "60s", "3s"),
+                section.addresses("standing", true),
+                section.duration("idle-for", "100ms", "1h", "15s"),
+                section.duration("connect-within", "1ms", "60s", "250ms"),
+                section.whole("connections-most", 1, 1 << 20, 4096), ForwardingPolicy.of(section));
+        section.finish();
         return config;
     }
 }
--- a/src/main/java/rowanmoor/proxy/Redial.java
+++ b/src/main/java/rowanmoor/proxy/Redial.java
@@ -2,7 +2,7 @@
 
 import java.util.random.RandomGenerator;
 
-/** When and whom to call after a stream has ended: jittered waits that grow, each controller in turn. */
+/** Reconnection after a stream has ended: exponential backoff with jitter, controllers in rotation. */
 final class Redial {
 
     private static final double WAIT_GROWTH_FACTOR = 2;
@@ -15,47 +15,58 @@
     private int currentController;
     private int failures;
 
-    /** @param least the shortest mean wait, ns; the longest is 16 times that */
-    Redial(int controllers, int first, long least, RandomGenerator random) {
+    /**
+     * Starts with the first controller and the shortest wait.
+     *
+     * @param controllers number of controllers
+     * @param minMeanWaitNs the shortest mean wait; the longest is 16 times that
+     */
+    Redial(int controllers, int firstController, long minMeanWaitNs, RandomGenerator random) {
         this.controllers = controllers;
-        this.firstController = first % controllers;
+        this.firstController = firstController % controllers;
         this.currentController = this.firstController;
-        this.minMeanWaitNs = least;
+        this.minMeanWaitNs = minMeanWaitNs;
         this.random = random;
     }
 
-    /** Place of the controller to call now. */
+    /** Index of the controller to connect to. */
     int currentController() {
         return currentController;
     }
 
-    /** Whether the controller to call is its first. */
+    /** Whether the current controller is the first one. */
     boolean isAtFirstController() {
         return currentController == firstController;
     }
 
-    /** Its first controller is to be called next. */
+    /** Makes the first controller the next to connect to, with the shortest wait. */
     void returnToFirstController() {
         currentController = firstController;
         failures = 0;
     }
 
-    /** When to look for the first controller again: jittered, so that proxies do not move all at once. */
-    long jitteredProbeDelayNs(long mean) {
-        return (long) (mean * (0.5 + random.nextDouble()));
+    /** Wait before a probe of the first controller; jittered, so that proxies do not all move at once. */
+    long jitteredProbeDelayNs(long meanNs) {
+        return (long) (meanNs * (0.5 + random.nextDouble()));
     }
 
-    /** The stream was up: the next wait starts small again, with the same controller. */
+    /** The stream is up: the next wait is the shortest again, and the controller stays the same. */
     void onStreamUp() {
         failures = 0;
     }
 
-    /** A call failed, or a stream that was up ended; answers how long to wait. */
+    /**
+     * A connection attempt failed or a stream ended.
+     *
+     * @param wasUp whether the stream was up; if not, the next controller is tried
+     * @return ns to wait before the next attempt
+     */
     long onStreamEnded(boolean wasUp) {
         if (!wasUp) {
             currentController = (currentController + 1) % controllers;
         }
-        double mean = minMeanWaitNs * Math.pow(WAIT_GROWTH_FACTOR, Math.min(failures++ / controllers, MAX_DOUBLINGS));
-        return (long) (mean * (0.5 + random.nextDouble()));
+        double meanNs = minMeanWaitNs
+                * Math.pow(WAIT_GROWTH_FACTOR, Math.min(failures++ / controllers, MAX_DOUBLINGS));
+        return (long) (meanNs * (0.5 + random.nextDouble()));
     }
 }
--- a/src/main/java/rowanmoor/proxy/ReportQueue.java
+++ b/src/main/java/rowanmoor/proxy/ReportQueue.java
@@ -6,12 +6,12 @@
 import rowanmoor.channel.Frame;
 
 /**
- * A proxy's half of report acknowledgement: numbers reports within the process and keeps each until a
- * controller has acknowledged it. What is under way when a stream breaks is sent again on the next one. No
- * I/O.
+ * The proxy's side of report acknowledgement: numbers reports within the process and keeps each until a
+ * controller has acknowledged it. Reports in transit when a stream breaks are sent again on the next one.
+ * Does no I/O.
  *
- * <p>At most {@value #UNACKNOWLEDGED_MOST} reports wait. Beyond that counts stay in the tallies, so that the
- * next report covers a longer span and nothing is lost.
+ * <p>At most {@value #MAX_UNACKNOWLEDGED} reports wait. Beyond that, counts stay in the tallies, so that the
+ * next report covers a longer span and no count is lost.
  */
 final class ReportQueue {
 
@@ -26,7 +26,7 @@
         this.tallies = tallies;
     }
 
-    /** Makes a report of what was counted since the last one, if there is anything and room for it. */
+    /** Queues a report of the counts since the last one, if there are any and the queue has room. */
     void enqueueReport(long now) {
         if (unacknowledged.size() < MAX_UNACKNOWLEDGED) {
             Frame.Report report = tallies.takeReport(now);
@@ -36,12 +36,16 @@
         }
     }
 
-    /** On a new stream all that is not acknowledged has to be sent again. */
+    /** On a new stream, all unacknowledged reports must be sent again. */
     void onStreamOpened() {
         lastSentNumber = unacknowledged.isEmpty() ? lastReportNumber : unacknowledged.peek().number() - 1;
     }
 
-    /** Sends what has not been sent on this stream, in order, as far as the stream takes it. */
+    /**
+     * Sends, in order, the reports that have not been sent on this stream.
+     *
+     * @param stream sends a frame; false if it has no room, which ends this call
+     */
     void sendPending(Predicate<Frame> stream) {
         for (Frame.NumberedReport report : unacknowledged) {
             if (report.number() > lastSentNumber) {
@@ -53,7 +57,10 @@
         }
     }
 
-    /** The same towards a controller that acknowledges nothing: what its stream has taken is forgotten. */
+    /**
+     * Sends reports to a controller whose protocol has no acknowledgements; a report is dropped once the
+     * stream has taken it.
+     */
     void sendUnnumbered(Predicate<Frame> stream) {
         for (Iterator<Frame.NumberedReport> all = unacknowledged.iterator(); all.hasNext();) {
             if (!stream.test(all.next().report())) {
@@ -63,7 +70,7 @@
         }
     }
 
-    /** All reports up to a number were taken; false if there is none of that number yet. */
+    /** Drops the reports up to a number; returns false if that number has not been assigned yet. */
     boolean acknowledge(long upTo) {
         if (upTo > lastReportNumber) {
             return false;
@@ -75,7 +82,7 @@
         return true;
     }
 
-    /** Whether all that was counted is acknowledged. */
+    /** Whether all counts are acknowledged. */
     boolean isSettled() {
         return unacknowledged.isEmpty() && tallies.isEmpty();
     }
--- a/src/main/java/rowanmoor/proxy/Router.java
+++ b/src/main/java/rowanmoor/proxy/Router.java
@@ -16,35 +16,36 @@
 import rowanmoor.config.Site;
 
 /**
- * What a proxy holds of its tables, and the choices that it makes by them: what is let in, which line is
- * picked, whether a try may be followed by another. No I/O; time and randomness are passed in.
+ * Routing state of a proxy: holds the tables published by the controller and decides which requests are
+ * admitted, which backend serves a try, and whether a failed try may be retried. Does no I/O; time and
+ * randomness are passed in.
  *
- * <p>Holding: what came last stays in force until it is replaced, whatever becomes of the stream. A new
- * stream begins with a snapshot; one without bindings changes nothing. The first table that a stream binds
- * ends withdrawals from streams before it.
+ * <p>State received last stays in force until it is replaced, even when the stream ends. A new stream
+ * begins with a snapshot; a snapshot without bindings changes nothing. The first table that a stream binds
+ * clears the withdrawals of earlier streams.
  */
 public class Router {
 
-    /** What became of a message. */
+    /** Outcome of applying an update. */
     public enum UpdateResult {
-        /** It is in force; its marks are to be answered. */
+        /** The update is in force; its marks must be acknowledged. */
         APPLIED,
-        /** It does not follow on what is held: a snapshot must be asked for. */
+        /** The update does not follow the current version: a snapshot must be requested. */
         GAP,
-        /** A snapshot has been asked for, and this came before it. */
+        /** The update arrived before the snapshot that the stream is waiting for. */
         SKIPPED
     }
 
-    /** Part of a second's level that may be used at once after a silence; one request always may. */
+    /** Seconds of a level's rate that may be used at once after an idle time; one request always may. */
     private static final double BURST_SECONDS = 0.25;
-    /** No try follows with less of the deadline left than this part of it. */
+    /** Fraction of the deadline that must remain for a retry. */
     private static final double MIN_REMAINING_DEADLINE_FRACTION = 0.1;
     private static final double NS_PER_SECOND = 1e9;
-    /** So many backends may be remembered beside the tables before those that no table names are let go. */
+    /** Number of remembered backends from which state of those in no table is dropped. */
     private static final int FORGET_THRESHOLD_BACKENDS = 1024;
-    /** Tries that may follow at once after a quiet time, from a budget that is a part of first tries. */
+    /** Retries that may be sent at once after an idle time; credits are a fraction of first tries. */
     private static final double MAX_RETRY_CREDITS = 10;
-    /** Draws that may meet a line that is shunned or was tried, before all lines are looked through. */
+    /** Random draws that may hit an ejected or already tried backend before all backends are scanned. */
     private static final int MAX_RANDOM_DRAWS = 8;
 
     private static final class Table {
@@ -56,7 +57,7 @@
         }
     }
 
-    /** One backend, as this proxy's own requests find it. */
+    /** State of one backend as observed by this proxy's own requests. */
     private static final class BackendState {
         private int triesInFlight;
         private int consecutiveFailures;
@@ -83,15 +84,24 @@
     private boolean inSync;
     private boolean boundOnStream;
 
-    /** @param standingTable backends used, evenly, for every class until a controller says otherwise */
+    /**
+     * A router with the default forwarding policy.
+     *
+     * @param standingTable backends used with equal weights for every class until a controller binds a table
+     */
     public Router(Site site, Collection<Backend> standingTable, RandomGenerator random, long now) {
         this(site, ForwardingPolicy.defaults(), standingTable, random, now);
     }
 
-    /** @param conduct its retry budget, lease and safe level count here */
-    public Router(Site site, ForwardingPolicy conduct, Collection<Backend> standingTable, RandomGenerator random,
-            long now) {
-        this.policy = conduct;
+    /**
+     * A router with the given forwarding policy.
+     *
+     * @param policy only its retry budget, lease and safe level are used
+     * @param standingTable backends used with equal weights for every class until a controller binds a table
+     */
+    public Router(Site site, ForwardingPolicy policy, Collection<Backend> standingTable,
+            RandomGenerator random, long now) {
+        this.policy = policy;
         this.retryCredits = MAX_RETRY_CREDITS;
         this.controllerHeardNs = now;
         this.previousLevels = new double[site.classes().size()];
@@ -111,29 +121,31 @@
         Arrays.fill(admissionTokens, 1);
     }
 
-    // ---- the stream ----------------------------------------------------------------------------------
+    // ---- controller stream ---------------------------------------------------------------------------
 
-    /** A stream has begun: nothing of it is in step before its snapshot. */
+    /** Begins a new stream: updates are skipped until its snapshot arrives. */
     public void onStreamOpened() {
         inSync = false;
         boundOnStream = false;
         tables.clear();
     }
 
-    /** Whether it still has only its standing table. */
+    /** Whether every class still uses the standing table. */
     public boolean hasOnlyStandingTable() {
         return Arrays.stream(boundTables).allMatch(t -> t == initialTable);
     }
 
+    /** Epoch of the state in force; 0 before the first snapshot. */
     public long epoch() {
         return epoch;
     }
 
+    /** Version within the epoch. */
     public long version() {
         return version;
     }
 
-    /** Takes a snapshot in. */
+    /** Replaces the state by a snapshot, unless the snapshot binds no table. */
     public void apply(Frame.Snapshot snapshot) {
         Arrays.fill(candidatesByClass, null);
         epoch = snapshot.epoch();
@@ -153,7 +165,7 @@
                 n -> new Table(boundTables.length))));
     }
 
-    /** Takes an update in, if it is the next one. */
+    /** Applies an update if it directly follows the current version. */
     public UpdateResult apply(Frame.Update update) {
         if (!inSync) {
             return UpdateResult.SKIPPED;
@@ -169,19 +181,23 @@
         return UpdateResult.APPLIED;
     }
 
-    /** What no table names any more, and no try is out to, is let go: machines are replaced for years. */
+    /**
+     * Drops state of backends that are in no table and have no try in flight. Without this, state would grow
+     * for as long as machines are replaced.
+     */
     private void forgetUnlistedBackends() {
         if (rememberedBackends() < FORGET_THRESHOLD_BACKENDS) {
             return;
         }
-        Set<Backend> named = new TreeSet<>();
-        tables.values().forEach(t -> named.addAll(t.weights.keySet()));
-        Arrays.stream(boundTables).forEach(t -> named.addAll(t.weights.keySet()));
-        withdrawn.retainAll(named);
-        backendStates.entrySet().removeIf(e -> e.getValue().triesInFlight == 0 && !named.contains(e.getKey()));
+        Set<Backend> listed = new TreeSet<>();
+        tables.values().forEach(t -> listed.addAll(t.weights.keySet()));
+        Arrays.stream(boundTables).forEach(t -> listed.addAll(t.weights.keySet()));
+        withdrawn.retainAll(listed);
+        backendStates.entrySet().removeIf(e -> e.getValue().triesInFlight == 0
+                && !listed.contains(e.getKey()));
     }
 
-    /** Backends of which something is kept beside the tables. */
+    /** Number of backends with state outside the tables, for tests. */
     int rememberedBackends() {
         return backendStates.size() + withdrawn.size();
     }
@@ -218,12 +234,12 @@
         }
     }
 
-    private Table replaceTable(Frame.Table whole) {
-        Table table = tables.computeIfAbsent(whole.number(), n -> new Table(boundTables.length));
+    private Table replaceTable(Frame.Table contents) {
+        Table table = tables.computeIfAbsent(contents.number(), n -> new Table(boundTables.length));
         table.weights.clear();
         Arrays.fill(table.levels, null);
-        whole.lines().forEach(line -> setWeight(table, line));
-        whole.levels().forEach(level -> setLevels(table.levels, level));
+        contents.lines().forEach(line -> setWeight(table, line));
+        contents.levels().forEach(level -> setLevels(table.levels, level));
         return table;
     }
 
@@ -251,13 +267,14 @@
         }
     }
 
-    // ---- choices -------------------------------------------------------------------------------------
+    // ---- routing decisions ---------------------------------------------------------------------------
 
-    /** Whether a request of a class is let in now; one that is not must be refused at once. */
+    /** Whether a request of a class is admitted now; if not, it must be refused at once. May use a token. */
     public boolean tryAdmit(int cls, long now) {
         double level = Double.POSITIVE_INFINITY;
         level = overallLevels[cls] == null ? level : Math.min(level, overallLevels[cls].level());
-        level = boundTables[cls].levels[cls] == null ? level : Math.min(level, boundTables[cls].levels[cls].level());
+        level = boundTables[cls].levels[cls] == null ? level
+                : Math.min(level, boundTables[cls].levels[cls].level());
         if (policy.safeLevel() >= 0 && now - controllerHeardNs > policy.leaseNs()) {
             return creditRetryBudget(takeToken(cls, Math.min(rateLimit(level), policy.safeLevel()), now));
         }
@@ -271,17 +288,21 @@
         return creditRetryBudget(takeToken(cls, level, now));
     }
 
-    /** A level as a rate: where levels are shares or off, they bound no rate. */
+    /** The level as a rate limit; infinite if levels are shares or switched off. */
     private double rateLimit(double level) {
         return site.admission() == Admission.RATE ? level : Double.POSITIVE_INFINITY;
     }
 
-    /** A bucket that fills at the lower of two levels while one follows the other: a rise is no burst. */
+    /**
+     * Token bucket of a class. Time since the last call is credited at the lower of the previous and the
+     * current level, so that a raised level grants no burst.
+     */
     private boolean takeToken(int cls, double level, long now) {
-        double most = Math.max(1, level * BURST_SECONDS);
-        double fill = Math.min(level, previousLevels[cls]);
+        double capacity = Math.max(1, level * BURST_SECONDS);
+        double fillRate = Math.min(level, previousLevels[cls]);
         previousLevels[cls] = level;
-        admissionTokens[cls] = Math.min(most, admissionTokens[cls] + fill * (now - tokensRefilledNs[cls]) / NS_PER_SECOND);
+        admissionTokens[cls] = Math.min(capacity, admissionTokens[cls]
+                + fillRate * (now - tokensRefilledNs[cls]) / NS_PER_SECOND);
         tokensRefilledNs[cls] = now;
         if (admissionTokens[cls] < 1) {
             return false;
@@ -297,12 +318,12 @@
         return admitted;
     }
 
-    /** A controller was heard: levels and tables stand for another lease. */
+    /** Renews the lease of levels and tables: a controller was heard at {@code now}. */
     public void onControllerMessage(long now) {
         controllerHeardNs = now;
     }
 
-    /** A class's lines that are not withdrawn, laid out so that a pick allocates nothing. */
+    /** Backends of a class's table that are not withdrawn, in arrays so that a pick allocates nothing. */
     private static final class Candidates {
         private final Backend[] backends;
         private final double[] weights;
@@ -318,7 +339,7 @@
             roundRobinCredits = new double[count];
         }
 
-        /** Lays lines out so that a draw looks at two of them (Vose's alias method). */
+        /** Prepares weighted draws that look at no more than two backends (Vose's alias method). */
         void buildAliasTable() {
             int n = backends.length;
             aliases = new int[n];
@@ -351,54 +372,60 @@
                 }
             }
             while (smalls > 0) {
-                keepProbabilities[small[--smalls]] = 1; // what rounding has left
+                keepProbabilities[small[--smalls]] = 1; // left over from rounding
             }
         }
 
         int draw(RandomGenerator random) {
-            double at = random.nextDouble() * backends.length;
-            int i = (int) at;
-            return at - i < keepProbabilities[i] ? i : aliases[i];
+            double position = random.nextDouble() * backends.length;
+            int i = (int) position;
+            return position - i < keepProbabilities[i] ? i : aliases[i];
         }
 
-        /** Whether a line may be picked; {@code openOnly} leaves shunned backends out. */
-        boolean isEligible(int i, Set<Backend> tried, long now, boolean openOnly) {
-            return !(openOnly && states[i].ejectedUntilNs > now) && (tried.isEmpty()
+        /** Whether a backend may be picked; {@code notEjected} leaves out ejected ones. */
+        boolean isEligible(int i, Set<Backend> tried, long now, boolean notEjected) {
+            return !(notEjected && states[i].ejectedUntilNs > now) && (tried.isEmpty()
                     || !tried.contains(backends[i]));
         }
     }
 
     private Candidates candidates(int cls) {
         if (candidatesByClass[cls] == null) {
-            List<Backend> open = boundTables[cls].weights.keySet().stream().filter(b -> !withdrawn.contains(b))
-                    .toList();
-            Candidates made = new Candidates(open.size());
-            for (int i = 0; i < open.size(); i++) {
-                made.backends[i] = open.get(i);
-                made.weights[i] = boundTables[cls].weights.get(open.get(i));
-                made.states[i] = backendState(open.get(i));
+            List<Backend> available = boundTables[cls].weights.keySet().stream()
+                    .filter(b -> !withdrawn.contains(b)).toList();
+            Candidates created = new Candidates(available.size());
+            for (int i = 0; i < available.size(); i++) {
+                created.backends[i] = available.get(i);
+                created.weights[i] = boundTables[cls].weights.get(available.get(i));
+                created.states[i] = backendState(available.get(i));
             }
-            made.buildAliasTable();
-            candidatesByClass[cls] = made;
+            created.buildAliasTable();
+            candidatesByClass[cls] = created;
         }
         return candidatesByClass[cls];
     }
 
-    /** The backend for a try, or null if the table has none that was not tried; shunned ones come last. */
+    /**
+     * The backend for a try, or null if the table has no backend that is not in {@code tried}. Ejected
+     * backends are used only if there is no other.
+     */
     public Backend pick(int cls, Set<Backend> tried, long now) {
         Candidates all = candidates(cls);
         if (site.choice() == Site.Choice.ROUND) {
             return pickRoundRobin(all, tried, now);
         }
-        int one = drawCandidate(all, tried, now);
-        if (one >= 0 && site.choice() == Site.Choice.TWO) {
+        int picked = drawCandidate(all, tried, now);
+        if (picked >= 0 && site.choice() == Site.Choice.TWO) {
             int other = drawCandidate(all, tried, now);
-            one = all.states[other].triesInFlight < all.states[one].triesInFlight ? other : one;
+            picked = all.states[other].triesInFlight < all.states[picked].triesInFlight ? other : picked;
         }
-        return one < 0 ? null : all.backends[one];
+        return picked < 0 ? null : all.backends[picked];
     }
 
-    /** A line by weight: at once where most lines fit, else by looking through all. -1 if none fits. */
+    /**
+     * Index of a backend drawn by weight: by a few random draws, which suffice where most backends are
+     * eligible, else by a scan of all. -1 if none is eligible.
+     */
     private int drawCandidate(Candidates all, Set<Backend> tried, long now) {
         for (int i = 0; i < MAX_RANDOM_DRAWS && all.backends.length > 0; i++) {
             int drawn = all.draw(random);
@@ -406,36 +433,37 @@
                 return drawn;
             }
         }
-        double open = eligibleWeight(all, tried, now, true);
-        if (open > 0) {
-            return drawCandidate(all, tried, now, true, open);
+        double notEjectedWeight = eligibleWeight(all, tried, now, true);
+        if (notEjectedWeight > 0) {
+            return drawCandidate(all, tried, now, true, notEjectedWeight);
         }
-        double any = eligibleWeight(all, tried, now, false);
-        return any > 0 ? drawCandidate(all, tried, now, false, any) : -1;
+        double weight = eligibleWeight(all, tried, now, false);
+        return weight > 0 ? drawCandidate(all, tried, now, false, weight) : -1;
     }
 
     private Backend pickRoundRobin(Candidates all, Set<Backend> tried, long now) {
-        double open = eligibleWeight(all, tried, now, true);
-        double any = open > 0 ? open : eligibleWeight(all, tried, now, false);
-        return any > 0 ? all.backends[nextRoundRobin(all, tried, now, open > 0, any)] : null;
+        double notEjectedWeight = eligibleWeight(all, tried, now, true);
+        double weight = notEjectedWeight > 0 ? notEjectedWeight : eligibleWeight(all, tried, now, false);
+        return weight > 0 ? all.backends[nextRoundRobin(all, tried, now, notEjectedWeight > 0, weight)]
+                : null;
     }
 
-    private static double eligibleWeight(Candidates all, Set<Backend> tried, long now, boolean openOnly) {
+    private static double eligibleWeight(Candidates all, Set<Backend> tried, long now, boolean notEjected) {
         double sum = 0;
         for (int i = 0; i < all.backends.length; i++) {
-            sum += all.isEligible(i, tried, now, openOnly) ? all.weights[i] : 0;
+            sum += all.isEligible(i, tried, now, notEjected) ? all.weights[i] : 0;
         }
         return sum;
     }
 
-    private int drawCandidate(Candidates all, Set<Backend> tried, long now, boolean openOnly, double sum) {
-        double at = random.nextDouble() * sum;
+    private int drawCandidate(Candidates all, Set<Backend> tried, long now, boolean notEjected, double sum) {
+        double remaining = random.nextDouble() * sum;
         int last = -1;
         for (int i = 0; i < all.backends.length; i++) {
-            if (all.isEligible(i, tried, now, openOnly)) {
+            if (all.isEligible(i, tried, now, notEjected)) {
                 last = i;
-                at -= all.weights[i];
-                if (at < 0) {
+                remaining -= all.weights[i];
+                if (remaining < 0) {
                     return i;
                 }
             }
@@ -443,11 +471,12 @@
         return last;
     }
 
-    /** Smooth weighted turns: each gains its weight, the richest is picked and pays the sum. */
-    private static int nextRoundRobin(Candidates all, Set<Backend> tried, long now, boolean openOnly, double sum) {
+    /** Smooth weighted round robin: all gain their weight, the richest pays the sum. */
+    private static int nextRoundRobin(Candidates all, Set<Backend> tried, long now, boolean notEjected,
+            double sum) {
         int best = -1;
         for (int i = 0; i < all.backends.length; i++) {
-            if (all.isEligible(i, tried, now, openOnly)) {
+            if (all.isEligible(i, tried, now, notEjected)) {
                 all.roundRobinCredits[i] += all.weights[i];
                 best = best < 0 || all.roundRobinCredits[i] > all.roundRobinCredits[best] ? i : best;
             }
@@ -460,55 +489,63 @@
         return backendStates.computeIfAbsent(backend, b -> new BackendState());
     }
 
-    /** A try has gone out. */
+    /** A try was sent to a backend. */
     public void onTrySent(Backend backend) {
         backendState(backend).triesInFlight++;
     }
 
-    /** A try is over. After so many failures in a row the backend is shunned for some seconds. */
+    /** A try ended. A backend with as many consecutive failures as the site states is ejected for a time. */
     public void onTryEnded(Backend backend, boolean good, long now) {
-        BackendState path = backendState(backend);
-        path.triesInFlight--;
-        path.consecutiveFailures = good ? 0 : path.consecutiveFailures + 1;
-        if (site.ejects() > 0 && path.consecutiveFailures >= site.ejects()) {
-            path.consecutiveFailures = 0;
-            path.ejectedUntilNs = now + site.ejectFor();
+        BackendState state = backendState(backend);
+        state.triesInFlight--;
+        state.consecutiveFailures = good ? 0 : state.consecutiveFailures + 1;
+        if (site.ejects() > 0 && state.consecutiveFailures >= site.ejects()) {
+            state.consecutiveFailures = 0;
+            state.ejectedUntilNs = now + site.ejectFor();
         }
     }
 
-    /** A try was given up by its client, or never left this proxy: it says nothing of the backend. */
+    /** A try was cancelled by its client or never left this proxy: the backend's failures do not change. */
     public void onTryAbandoned(Backend backend) {
         backendState(backend).triesInFlight--;
     }
 
-    /** Whether a class has a backend that was not tried. */
+    /** Whether a class has an available backend that is not in {@code tried}. */
     public boolean hasUntriedBackend(int cls, Set<Backend> tried) {
         return Arrays.stream(candidates(cls).backends).anyMatch(b -> !tried.contains(b));
     }
 
-    /** Tries out to all backends. */
+    /** Tries in flight to all backends. */
     public int triesInFlight() {
         return backendStates.values().stream().mapToInt(p -> p.triesInFlight).sum();
     }
 
     /**
-     * Whether another try may follow a failed one: as the controller orders, or as usual where it has not,
-     * and only with proof that the failed one never ran, unless the class is safe to repeat.
+     * Whether a failed try may be retried, which uses up a retry credit if so. Follows the controller's
+     * order, or the site's default without one; a class that is not safe to repeat also needs proof that the
+     * failed try never ran.
+     *
+     * @param tries tries so far
+     * @param neverRan whether the failed try is proven not to have run
+     * @param left nanoseconds to the deadline
      */
     public boolean mayRetry(int cls, int tries, boolean neverRan, long left) {
-        Frame.Level level = boundTables[cls].levels[cls] == null ? overallLevels[cls] : boundTables[cls].levels[cls];
-        Retry how = level == null ? site.usualRetry() : level.retry();
+        Frame.Level level = boundTables[cls].levels[cls] == null ? overallLevels[cls]
+                : boundTables[cls].levels[cls];
+        Retry order = level == null ? site.usualRetry() : level.retry();
         boolean safe = neverRan || isSafeToRepeat(cls);
-        boolean ordered = switch (how) {
+        boolean ordered = switch (order) {
             case NEVER -> false;
             case ONCE_UNRUN -> tries == 1 && neverRan;
             case ONCE -> tries == 1;
             case TWICE -> tries <= 2;
         };
-        return ordered && safe && left > MIN_REMAINING_DEADLINE_FRACTION * site.classes().get(cls).deadline() && spendRetryCredit();
+        return ordered && safe
+                && left > MIN_REMAINING_DEADLINE_FRACTION * site.classes().get(cls).deadline()
+                && spendRetryCredit();
     }
 
-    /** The budget can only lower what is ordered. */
+    /** Uses up a retry credit; the budget can only reduce the retries that are ordered. */
     private boolean spendRetryCredit() {
         if (policy.retryBudget() >= 1) {
             return true;
@@ -520,16 +557,17 @@
         return true;
     }
 
-    /** Whether a request that may have run may be sent again. */
+    /** Whether a request that may have run already may be sent again. */
     protected boolean isSafeToRepeat(int cls) {
         return site.classes().get(cls).effect() == Effect.SAFE;
     }
 
-    /** Nanoseconds a try may take when another might follow; 0 for no such bound. */
+    /** Nanoseconds that a try may take if it can be retried; 0 for no limit. */
     public long tryTimeoutNs(int cls) {
-        Frame.Level level = boundTables[cls].levels[cls] == null ? overallLevels[cls] : boundTables[cls].levels[cls];
-        Retry how = level == null ? site.usualRetry() : level.retry();
-        boolean bounded = (how == Retry.ONCE || how == Retry.TWICE) && isSafeToRepeat(cls);
+        Frame.Level level = boundTables[cls].levels[cls] == null ? overallLevels[cls]
+                : boundTables[cls].levels[cls];
+        Retry order = level == null ? site.usualRetry() : level.retry();
+        boolean bounded = (order == Retry.ONCE || order == Retry.TWICE) && isSafeToRepeat(cls);
         return bounded ? (long) (site.tryAims() * site.classes().get(cls).aim()) : 0;
     }
 
--- a/src/main/java/rowanmoor/proxy/Tallies.java
+++ b/src/main/java/rowanmoor/proxy/Tallies.java
@@ -6,9 +6,10 @@
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.channel.Frame;
 
-/** Counts what a proxy meets, from one report to the next. */
+/** Counts the requests and tries of a proxy between two reports. */
 public final class Tallies {
 
+    /** Counts of one backend or one class. */
     private static final class Counts {
         private long count;
         private long failed;
@@ -20,44 +21,51 @@
     private final TreeMap<Integer, Counts> byClass = new TreeMap<>();
     private long sinceNs;
 
+    /** Starts the first report's span at {@code now}. */
     public Tallies(long now) {
         sinceNs = now;
     }
 
-    /** A try is over; {@code load} is what its answer said of the backend's load, or empty. */
-    public void onTryEnded(Backend backend, boolean good, long latency, List<Double> load) {
-        Counts sum = byBackend.computeIfAbsent(backend, b -> new Counts());
-        sum.count++;
-        sum.failed += good ? 0 : 1;
-        sum.latencyNs += good ? latency : 0;
-        sum.load = load.isEmpty() ? sum.load : load;
+    /**
+     * A try ended.
+     *
+     * @param latencyNs counted for good tries only
+     * @param load the backend's load as its response reported it, or empty
+     */
+    public void onTryEnded(Backend backend, boolean good, long latencyNs, List<Double> load) {
+        Counts counts = byBackend.computeIfAbsent(backend, b -> new Counts());
+        counts.count++;
+        counts.failed += good ? 0 : 1;
+        counts.latencyNs += good ? latencyNs : 0;
+        counts.load = load.isEmpty() ? counts.load : load;
     }
 
+    /** A request arrived. */
     public void onRequest(int cls) {
         byClass.computeIfAbsent(cls, c -> new Counts()).count++;
     }
 
-    /** A request that was let in got no answer. */
+    /** A request that was admitted got no answer, or an error answer, from a backend. */
     public void onUnanswered(int cls) {
         byClass.computeIfAbsent(cls, c -> new Counts()).failed++;
     }
 
-    /** Whether nothing was counted since the last report. */
+    /** Whether nothing has been counted since the last report. */
     boolean isEmpty() {
         return byBackend.isEmpty() && byClass.isEmpty();
     }
 
-    /** All since the last report, which this ends; without entries if nothing came. */
+    /** Returns the counts since the last report and resets them; has no entries if nothing was counted. */
     public Frame.Report takeReport(long now) {
-        long span = now - sinceNs;
+        long spanNs = now - sinceNs;
         sinceNs = now;
         List<Frame.Tally> tallies = new ArrayList<>();
-        byBackend.forEach((backend, sum) -> tallies.add(new Frame.Tally(backend, sum.count, sum.failed,
-                sum.latencyNs, span, sum.load)));
-        List<Frame.Use> used = new ArrayList<>();
-        byClass.forEach((cls, sum) -> used.add(new Frame.Use(cls, sum.count, sum.failed, span)));
+        byBackend.forEach((backend, counts) -> tallies.add(new Frame.Tally(backend, counts.count,
+                counts.failed, counts.latencyNs, spanNs, counts.load)));
+        List<Frame.Use> uses = new ArrayList<>();
+        byClass.forEach((cls, counts) -> uses.add(new Frame.Use(cls, counts.count, counts.failed, spanNs)));
         byBackend.clear();
         byClass.clear();
-        return new Frame.Report(tallies, used);
+        return new Frame.Report(tallies, uses);
     }
 }
--- a/src/main/java/rowanmoor/proxy/Tap.java
+++ b/src/main/java/rowanmoor/proxy/Tap.java
@@ -2,16 +2,21 @@
 
 import java.nio.ByteBuffer;
 
-/** Sees what crosses a proxy's stream, on the proxy's loop; for auditing. Times are the loop's. */
+/**
+ * Observes the bytes that a proxy receives on its stream, for audits. Called on the proxy's loop; times are
+ * those of the loop, ns.
+ */
 public interface Tap {
 
+    /** Ignores everything. */
     Tap NONE = new Tap() { };
 
-    /** A stream to a controller is made; {@code stream} tells it from those before and after it. */
+    /** A stream to a controller was opened; {@code stream} is its number within the proxy. */
     default void opened(int proxy, int stream, long now) { }
 
-    /** Bytes as they were read. The buffer may not be kept. */
+    /** Bytes were read. The buffer is valid during the call only. */
     default void read(int proxy, int stream, long now, ByteBuffer bytes) { }
 
+    /** The stream has closed. */
     default void closed(int proxy, int stream, long now) { }
 }
--- a/src/main/java/rowanmoor/proxy/TapFile.java
+++ b/src/main/java/rowanmoor/proxy/TapFile.java
@@ -12,9 +12,9 @@
 import java.nio.file.Path;
 
 /**
- * A tap that writes to a file, for audits of processes of their own. What cannot be written ends the file,
- * not the stream that it taps: closing tells why. Records, big end first: what (1 opened,
- * 2 read, 3 closed), proxy (u16), stream (u32), time (u64, ns), count (u32) and that many bytes.
+ * A tap that writes to a file, for audits of proxies in processes of their own. A write error ends the file
+ * but not the observed stream; {@link #close} throws it. Records are big-endian: kind (1 opened, 2 read,
+ * 3 closed), proxy (u16), stream (u32), time (u64, ns), count (u32) and that many bytes.
  */
 public final class TapFile implements Tap, Closeable {
 
@@ -26,6 +26,7 @@
     private final DataOutputStream out;
     private IOException writeError;
 
+    /** Creates or truncates a file. */
     public TapFile(Path file) throws IOException {
         out = new DataOutputStream(new BufferedOutputStream(Files.newOutputStream(file), 1 << 16));
     }
@@ -45,14 +46,14 @@
         write(CLOSED, proxy, stream, now, ByteBuffer.allocate(0));
     }
 
-    private void write(int what, int proxy, int stream, long now, ByteBuffer bytes) {
+    private void write(int kind, int proxy, int stream, long now, ByteBuffer bytes) {
         if (writeError != null) {
             return;
         }
         try {
             byte[] copy = new byte[bytes.remaining()];
             bytes.get(copy);
-            out.writeByte(what);
+            out.writeByte(kind);
             out.writeShort(proxy);
             out.writeInt(stream);
             out.writeLong(now);
@@ -71,24 +72,30 @@
         }
     }
 
-    /** Passes a file's records to another tap; answers false if the last one is cut off. */
+    /**
+     * Passes a file's records to another tap.
+     *
+     * @return false if the last record is truncated
+     * @throws IOException if the file cannot be read or a record is invalid
+     */
     public static boolean read(Path file, Tap to) throws IOException {
         try (DataInputStream in = new DataInputStream(new BufferedInputStream(Files.newInputStream(file)))) {
-            for (int what = in.read(); what >= 0; what = in.read()) {
+            for (int kind = in.read(); kind >= 0; kind = in.read()) {
                 int proxy = in.readUnsignedShort();
                 int stream = in.readInt();
                 long at = in.readLong();
                 int count = in.readInt();
                 if (count < 0 || count > MAX_RECORD_BYTES) {
-                    throw new IOException(file + ": a record of " + count + " bytes");
+                    throw new IOException(file + ": record of " + count + " bytes, allowed are 0 to "
+                            + MAX_RECORD_BYTES);
                 }
                 byte[] bytes = new byte[count];
                 in.readFully(bytes);
-                switch (what) {
+                switch (kind) {
                     case OPENED -> to.opened(proxy, stream, at);
                     case READ -> to.read(proxy, stream, at, ByteBuffer.wrap(bytes));
                     case CLOSED -> to.closed(proxy, stream, at);
-                    default -> throw new IOException(file + ": a record of unknown kind " + what);
+                    default -> throw new IOException(file + ": record of unknown kind " + kind);
                 }
             }
             return true;
