--- a/src/test/java/rowanmoor/proxy/ConnectionPoolTest.java
+++ b/src/test/java/rowanmoor/proxy/ConnectionPoolTest.java
@@ -14,71 +14,73 @@
 import net.jqwik.api.constraints.Size;
 import rowanmoor.ControlApi.Backend;
 
-/** The pool against a model of it, over random steps: take, keep, break, grow old, withdraw. */
+/** Compares the pool with a model over random steps: take, release, break, idle time-out, withdrawal. */
 class ConnectionPoolTest {
 
     private static final int MAX_OPEN = 3;
     private static final int MAX_IDLE = 2;
 
-    /** A connection that only knows its state. */
+    /** A connection reduced to its state. */
     private static final class ModelConnection {
         private final Backend backend;
         private boolean broken;
         private boolean closed;
         private long idleSince;
 
-        ModelConnection(Backend to) {
-            this.backend = to;
+        ModelConnection(Backend backend) {
+            this.backend = backend;
         }
     }
 
-    private final Map<ModelConnection, Boolean> inUseByOpenConnection = new LinkedHashMap<>(); // true while in use
+    /** The open connections, with true for those in use. */
+    private final Map<ModelConnection, Boolean> inUseByOpenConnection = new LinkedHashMap<>();
     private ConnectionPool<ModelConnection> pool;
     private long now;
 
-    private void close(ModelConnection line) {
-        if (!line.closed) {
-            line.closed = true;
-            inUseByOpenConnection.remove(line);
-            pool.onClosed(line.backend, line);
+    private void close(ModelConnection connection) {
+        if (!connection.closed) {
+            connection.closed = true;
+            inUseByOpenConnection.remove(connection);
+            pool.onClosed(connection.backend, connection);
         }
     }
 
-    private void applyStep(int what, Backend to) {
+    private void applyStep(int action, Backend backend) {
         now++;
-        List<ModelConnection> used = inUseByOpenConnection.entrySet().stream().filter(e -> e.getValue() && e.getKey().backend.equals(to))
+        List<ModelConnection> used = inUseByOpenConnection.entrySet().stream()
+                .filter(e -> e.getValue() && e.getKey().backend.equals(backend))
                 .map(Map.Entry::getKey).toList();
-        switch (what) {
-            case 0, 1 -> take(to);
-            case 2 -> used.stream().findFirst().ifPresent(l -> {
-                inUseByOpenConnection.put(l, false);
-                l.idleSince = now;
-                pool.release(to, l);
+        switch (action) {
+            case 0, 1 -> take(backend);
+            case 2 -> used.stream().findFirst().ifPresent(c -> {
+                inUseByOpenConnection.put(c, false);
+                c.idleSince = now;
+                pool.release(backend, c);
             });
-            case 3 -> used.stream().findFirst().ifPresent(l -> {
-                l.broken = true;
-                close(l);
+            case 3 -> used.stream().findFirst().ifPresent(c -> {
+                c.broken = true;
+                close(c);
             });
-            case 4 -> inUseByOpenConnection.keySet().stream().filter(l -> l.backend.equals(to)).findFirst().ifPresent(l ->
-                    l.broken = true); // its end has not been heard yet
+            case 4 -> inUseByOpenConnection.keySet().stream().filter(c -> c.backend.equals(backend)).findFirst()
+                    .ifPresent(c -> c.broken = true); // its close has not been noticed yet
             case 5 -> pool.closeIdleBefore(now - 3);
-            default -> pool.closeIdleExcept(b -> !b.equals(to));
+            default -> pool.closeIdleExcept(b -> !b.equals(backend));
         }
     }
 
-    private void take(Backend to) {
+    private void take(Backend backend) {
         boolean anyIdle = inUseByOpenConnection.entrySet().stream().anyMatch(e -> !e.getValue() && !e.getKey().broken
-                && e.getKey().backend.equals(to));
-        ModelConnection line = pool.take(to);
-        assertEquals(anyIdle, line != null, "a usable one is used");
-        if (line == null && pool.canOpen(to)) {
-            line = new ModelConnection(to);
-            pool.onOpened(to);
+                && e.getKey().backend.equals(backend));
+        ModelConnection connection = pool.take(backend);
+        assertEquals(anyIdle, connection != null, "a usable idle connection is reused");
+        if (connection == null && pool.canOpen(backend)) {
+            connection = new ModelConnection(backend);
+            pool.onOpened(backend);
         }
-        if (line != null) {
-            assertFalse(line.broken || line.closed, "one that is over is not given out");
-            assertFalse(inUseByOpenConnection.getOrDefault(line, false), "nobody else uses it");
-            inUseByOpenConnection.put(line, true);
+        if (connection != null) {
+            assertFalse(connection.broken || connection.closed, "a closed or broken connection is not handed out");
+            assertFalse(inUseByOpenConnection.getOrDefault(connection, false), "the connection is not in use already");
+            inUseByOpenConnection.put(connection, true);
         }
     }
 
@@ -89,29 +91,29 @@
         now = 100;
         pool = new ConnectionPool<>(new ConnectionPool.Operations<>() {
             @Override
-            public boolean isUsable(ModelConnection line) {
-                return !line.broken && !line.closed;
+            public boolean isUsable(ModelConnection connection) {
+                return !connection.broken && !connection.closed;
             }
 
             @Override
-            public long idleSince(ModelConnection line) {
-                return line.idleSince;
+            public long idleSince(ModelConnection connection) {
+                return connection.idleSince;
             }
 
             @Override
-            public void close(ModelConnection line) {
-                ConnectionPoolTest.this.close(line);
+            public void close(ModelConnection connection) {
+                ConnectionPoolTest.this.close(connection);
             }
         }, MAX_OPEN, MAX_IDLE);
         for (int step : steps) {
             applyStep(step % 7, new Backend(1 + step / 7));
             for (long b = 1; b <= 3; b++) {
-                Backend of = new Backend(b);
-                List<ModelConnection> its = new ArrayList<>(inUseByOpenConnection.keySet());
-                its.removeIf(l -> !l.backend.equals(of));
-                assertEquals(its.size(), pool.openCount(of), "open ones are counted");
-                assertTrue(pool.openCount(of) <= MAX_OPEN && pool.idleCount(of) <= MAX_IDLE);
-                assertEquals(its.stream().filter(l -> !inUseByOpenConnection.get(l)).count(), pool.idleCount(of));
+                Backend backend = new Backend(b);
+                List<ModelConnection> open = new ArrayList<>(inUseByOpenConnection.keySet());
+                open.removeIf(c -> !c.backend.equals(backend));
+                assertEquals(open.size(), pool.openCount(backend), "open connections are counted");
+                assertTrue(pool.openCount(backend) <= MAX_OPEN && pool.idleCount(backend) <= MAX_IDLE);
+                assertEquals(open.stream().filter(c -> !inUseByOpenConnection.get(c)).count(), pool.idleCount(backend));
             }
         }
     }
--- a/src/test/java/rowanmoor/proxy/ProxyFixture.java
+++ b/src/test/java/rowanmoor/proxy/ProxyFixture.java
@@ -18,7 +18,7 @@
 import rowanmoor.net.Loop;
 import rowanmoor.net.MemoryNet;
 
-/** A proxy between clients and backends that are written out byte by byte, on a network in memory. */
+/** A proxy between scripted clients and backends that send literal bytes, on an in-memory network. */
 abstract class ProxyFixture {
 
     static final long MS = 1_000_000;
@@ -30,7 +30,7 @@
     });
     final List<BackendConnection> backendConnections = new ArrayList<>();
 
-    /** One connection that a backend has taken. */
+    /** The backend's end of one accepted connection. */
     final class BackendConnection implements Handler {
         private final int backend;
         final StringBuilder received = new StringBuilder();
@@ -44,12 +44,12 @@
         }
 
         @Override
-        public void received(Connection its, ByteBuffer bytes) {
+        public void received(Connection from, ByteBuffer bytes) {
             received.append(StandardCharsets.ISO_8859_1.decode(bytes));
         }
 
         @Override
-        public void closed(Connection its, Close why, String detail) {
+        public void closed(Connection from, Close why, String detail) {
             closed = true;
         }
 
@@ -59,7 +59,7 @@
         }
     }
 
-    /** One client. */
+    /** One client with its connection to the proxy. */
     final class ClientConnection implements Handler {
         final StringBuilder received = new StringBuilder();
         final Connection connection;
@@ -70,23 +70,24 @@
         }
 
         @Override
-        public void received(Connection its, ByteBuffer bytes) {
+        public void received(Connection from, ByteBuffer bytes) {
             received.append(StandardCharsets.ISO_8859_1.decode(bytes));
         }
 
         @Override
-        public void closed(Connection its, Close why, String detail) {
+        public void closed(Connection from, Close why, String detail) {
             closed = true;
         }
 
         /**
-         * What it heard but for a last word that its connection ends: one 408 that says that nothing ran, after which
-         * nothing may come.
+         * The received responses without a final 408 that only announces the close of the connection, with the
+         * field that says that nothing ran. Nothing may follow it.
          */
         String responsesBeforeTimeout() {
             String all = received.toString();
             int last = all.lastIndexOf("HTTP/1.1 408 ");
-            return closed && last > 0 && all.substring(last).toLowerCase().contains(Proxy.NEVER_RAN_FIELD) ? all.substring(0, last) : all;
+            return closed && last > 0 && all.substring(last).toLowerCase().contains(Proxy.NEVER_RAN_FIELD)
+                    ? all.substring(0, last) : all;
         }
 
         ClientConnection send(String text) {
@@ -100,10 +101,12 @@
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
+    /** Starts a backend and returns its address. */
     InetSocketAddress startBackend(int number) throws IOException {
         return loop.listen(ANY, Connection.Options.usual(), c -> new BackendConnection(number, c)).address();
     }
 
+    /** An address that refuses connections. */
     InetSocketAddress refusingAddress() throws IOException {
         Loop.Listener listener = loop.listen(ANY, Connection.Options.usual(), c -> null);
         listener.close();
@@ -130,11 +133,11 @@
                 """));
     }
 
-    Proxy startProxy(UnaryOperator<ForwardingPolicy> conduct, InetSocketAddress... standing)
+    Proxy startProxy(UnaryOperator<ForwardingPolicy> policy, InetSocketAddress... standing)
             throws IOException, ConfigError {
         return Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(refusingAddress()), 0,
                 300 * MS, 3 * SECOND, List.of(standing), 15 * SECOND, 250 * MS, 1000,
-                conduct.apply(ForwardingPolicy.defaults())), loop, new SplittableRandom(1), Tap.NONE);
+                policy.apply(ForwardingPolicy.defaults())), loop, new SplittableRandom(1), Tap.NONE);
     }
 
     Proxy startProxy(InetSocketAddress... standing) throws IOException, ConfigError {
--- a/src/test/java/rowanmoor/proxy/ProxyStopTest.java
+++ b/src/test/java/rowanmoor/proxy/ProxyStopTest.java
@@ -15,12 +15,12 @@
 import rowanmoor.net.Loop;
 
 /**
- * No request is lost because one side ends a connection on which the other may be writing.
+ * Closing a connection must not lose a request that the other side is writing.
  *
- * <p>What happened: 24 clients with kept connections, a proxy told to stop. In 7 of 8 seeds one to four requests, 12 of 4,620,
- * got no answer. All had been written 2 to 7 ms after the signal, none had run at a backend, and each client read the end of
- * its connection where its answer should have been. Why: a stopping proxy ended its idle connections at once, and what came on
- * them afterwards was read and dropped. Idle time-outs and refusals for want of room ended connections in the same way.
+ * <p>Guards against this failure: a proxy with 24 keep-alive clients was told to stop, and in 7 of 8 seeds one to four
+ * requests, 12 of 4,620, got no answer. They were written 2 to 7 ms after the signal and none ran at a backend; each client
+ * read the end of its connection instead. The stopping proxy closed idle connections at once and discarded what arrived on
+ * them afterwards. Idle time-outs and rejections over the connection limit closed connections in the same way.
  */
 class ProxyStopTest extends ProxyFixture {
 
@@ -29,28 +29,32 @@
     });
     private boolean stopped;
 
-    /** A proxy on a loop of its own, which can stand still while clients and backends go on. */
-    private Proxy startProxyOnOwnLoop(ForwardingPolicy conduct, InetSocketAddress... standing) throws IOException, ConfigError {
-        return Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(refusingAddress()), 0, 300 * MS, 3 * SECOND,
-                List.of(standing), 15 * SECOND, 250 * MS, 1000, conduct), proxyLoop, new SplittableRandom(1), Tap.NONE);
+    /** A proxy on its own loop, which can be frozen while clients and backends go on. */
+    private Proxy startProxyOnOwnLoop(ForwardingPolicy policy, InetSocketAddress... standing)
+            throws IOException, ConfigError {
+        return Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(refusingAddress()), 0, 300 * MS,
+                3 * SECOND, List.of(standing), 15 * SECOND, 250 * MS, 1000, policy), proxyLoop,
+                new SplittableRandom(1), Tap.NONE);
     }
 
     private Proxy startProxyOnOwnLoop(InetSocketAddress... standing) throws IOException, ConfigError {
         return startProxyOnOwnLoop(ForwardingPolicy.defaults(), standing);
     }
 
-    private static ForwardingPolicy policyWithStopTimeout(long nanos) {
-        ForwardingPolicy u = ForwardingPolicy.defaults();
-        return new ForwardingPolicy(u.headTimeoutNs(), u.stallTimeoutNs(), u.responseTimeoutNs(), u.maxReplayBytes(), u.maxConnectionsPerBackend(), u.maxIdlePerBackend(),
-                u.maxRequestsInFlight(), u.maxConnectionsPerClient(), u.retryBudget(), u.refusalStatus(), u.retryAfterSeconds(), u.leaseNs(), u.safeLevel(),
-                u.deadlineField(), nanos, u.rehomeIntervalNs());
+    private static ForwardingPolicy policyWithStopTimeout(long stopTimeoutNs) {
+        ForwardingPolicy defaults = ForwardingPolicy.defaults();
+        return new ForwardingPolicy(defaults.headTimeoutNs(), defaults.stallTimeoutNs(), defaults.responseTimeoutNs(),
+                defaults.maxReplayBytes(), defaults.maxConnectionsPerBackend(), defaults.maxIdlePerBackend(),
+                defaults.maxRequestsInFlight(), defaults.maxConnectionsPerClient(), defaults.retryBudget(),
+                defaults.refusalStatus(), defaults.retryAfterSeconds(), defaults.leaseNs(), defaults.safeLevel(),
+                defaults.deadlineField(), stopTimeoutNs, defaults.rehomeIntervalNs());
     }
 
     private void stop(Proxy proxy) {
         proxy.stop(() -> stopped = true);
     }
 
-    /** A client that has had one answer on a connection that is kept. */
+    /** A client that has received one response on a keep-alive connection. */
     private ClientConnection keepAliveClient(Proxy proxy) {
         ClientConnection client = new ClientConnection(proxy).send(getRequest("/p/1"));
         backendConnections.get(backendConnections.size() - 1).send(OK);
@@ -74,7 +78,7 @@
         backendConnections.get(0).send(OK);
         assertAnsweredAndClosing(client);
         net.runFor(100 * MS);
-        assertTrue(stopped, "nobody is left");
+        assertTrue(stopped, "the proxy has stopped, as no client is left");
     }
 
     @Test
@@ -86,7 +90,7 @@
         }
         stop(proxy);
         for (ClientConnection client : clients) {
-            net.runFor(20 * MS); // and as much for each request and answer: the last one comes 0.4 s after the signal
+            net.runFor(20 * MS); // as much again per request and response: the last request comes 0.4 s after the signal
             client.send(getRequest("/p/2"));
             backendConnections.get(backendConnections.size() - 1).send(OK);
             assertAnsweredAndClosing(client);
@@ -113,7 +117,8 @@
         Proxy proxy = startProxyOnOwnLoop(startBackend(1));
         ClientConnection client = new ClientConnection(proxy).send(getRequest("/p/1"));
         backendConnections.get(0).send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\no");
-        assertFalse(client.received.toString().contains("Connection: close"), "its head says that the connection stays");
+        assertFalse(client.received.toString().contains("Connection: close"),
+                "the response head keeps the connection alive");
         stop(proxy);
         backendConnections.get(0).send("k");
         client.received.setLength(0);
@@ -130,9 +135,10 @@
         stop(proxy);
         long until = net.now() + 3 * SECOND;
         net.runUntil(until, () -> idle.received.length() > 0);
-        crossing.connection.send(bytes(getRequest("/p/crossing"))); // its end is on its way: the client has not read it yet
+        // The close is in transit: the client has not read it yet.
+        crossing.connection.send(bytes(getRequest("/p/crossing")));
         net.runFor(100 * MS);
-        assertTrue(net.now() < until, "an idle connection ends within its bound");
+        assertTrue(net.now() < until, "an idle connection is closed within its time-out");
         for (ClientConnection client : List.of(idle, crossing)) {
             assertTrue(client.received.toString().startsWith("HTTP/1.1 408"), client.received.toString());
             assertTrue(client.received.toString().toLowerCase().contains(Proxy.NEVER_RAN_FIELD), client.received.toString());
@@ -149,7 +155,7 @@
         ClientConnection slowHead = new ClientConnection(proxy).send("GET /p/2 HTTP/1.1\r\nHost");
         stop(proxy);
         net.runFor(SECOND);
-        assertTrue(stopped, "within its bound");
+        assertTrue(stopped, "stopped within the stop time-out");
         assertTrue(client.received.toString().startsWith("HTTP/1.1 503"), client.received.toString());
         assertTrue(slowHead.received.toString().startsWith("HTTP/1.1 408"), slowHead.received.toString());
     }
@@ -168,13 +174,13 @@
         assertEquals(1, times[0]);
     }
 
-    /** The idle bound of a client's connection is four times {@code idle-for}. */
+    /** The idle time-out of a client connection is four times {@code idle-for}. */
     @Test
     void requestCrossingIdleTimeoutGetsNeverRan() throws IOException, ConfigError {
         Proxy proxy = startProxyOnOwnLoop(startBackend(1));
         ClientConnection idle = keepAliveClient(proxy);
         ClientConnection crossing = keepAliveClient(proxy);
-        crossing.connection.pause(); // it has not read its end yet when it writes
+        crossing.connection.pause(); // it writes before it reads the close
         net.runUntil(net.now() + 70 * SECOND, () -> idle.received.length() > 0 || idle.closed);
         net.runFor(100 * MS);
         crossing.connection.send(bytes(getRequest("/p/crossing")));
@@ -185,7 +191,7 @@
         assertFalse(backendConnections.stream().anyMatch(b -> b.received.toString().contains("crossing")));
     }
 
-    /** A client says nothing while it reads a long answer: that is not idle. */
+    /** A client that sends nothing while it receives a long response is not idle. */
     @Test
     void responseLongerThanIdleTimeoutIsNotCutOff() throws IOException, ConfigError {
         Proxy proxy = startProxyOnOwnLoop(startBackend(1));
@@ -202,21 +208,23 @@
     @Test
     void clientWithholdingRestOfRejectedRequestIsDisconnected() throws IOException, ConfigError {
         Proxy proxy = startProxyOnOwnLoop();
-        ClientConnection client = new ClientConnection(proxy).send("POST /p/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nabc");
+        ClientConnection client = new ClientConnection(proxy)
+                .send("POST /p/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nabc");
         assertTrue(client.received.toString().startsWith("HTTP/1.1 503"), client.received.toString());
         net.runFor(15 * SECOND);
         assertTrue(client.closed);
         assertEquals(0, proxy.clientConnections());
     }
 
-    /** The same where the answer comes later than what there is of the request. */
+    /** Same where the response comes from a backend after the received part of the request. */
     @Test
     void clientWithholdingRestAfterEarlyResponseIsDisconnected() throws IOException, ConfigError {
         Proxy proxy = startProxyOnOwnLoop(startBackend(1));
-        ClientConnection client = new ClientConnection(proxy).send("POST /p/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nabc");
+        ClientConnection client = new ClientConnection(proxy)
+                .send("POST /p/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nabc");
         backendConnections.get(0).send(OK);
         assertTrue(client.received.toString().endsWith("ok"), client.received.toString());
-        assertFalse(client.closed, "it may send the rest and go on");
+        assertFalse(client.closed, "the client may still send the rest and reuse the connection");
         net.runFor(15 * SECOND);
         assertTrue(client.closed);
         assertEquals(0, proxy.clientConnections());
@@ -224,9 +232,10 @@
 
     @Test
     void clientOverConnectionLimitGets503() throws IOException, ConfigError {
-        ForwardingPolicy u = ForwardingPolicy.defaults();
-        Proxy proxy = startProxyOnOwnLoop(new ForwardingPolicy(u.headTimeoutNs(), u.stallTimeoutNs(), u.responseTimeoutNs(), u.maxReplayBytes(), 9, 9, 99, 2, 1, 503, 1,
-                u.leaseNs(), -1, u.deadlineField(), u.stopTimeoutNs(), 0), startBackend(1));
+        ForwardingPolicy defaults = ForwardingPolicy.defaults();
+        Proxy proxy = startProxyOnOwnLoop(new ForwardingPolicy(defaults.headTimeoutNs(), defaults.stallTimeoutNs(),
+                defaults.responseTimeoutNs(), defaults.maxReplayBytes(), 9, 9, 99, 2, 1, 503, 1, defaults.leaseNs(), -1,
+                defaults.deadlineField(), defaults.stopTimeoutNs(), 0), startBackend(1));
         ClientConnection first = new ClientConnection(proxy);
         ClientConnection second = new ClientConnection(proxy);
         net.runFor(10 * MS);
@@ -236,16 +245,17 @@
         assertTrue(third.closed);
         assertEquals(2, proxy.clientConnections());
         assertFalse(first.closed || second.closed);
-        List<ClientConnection> crowd = new ArrayList<>();
+        List<ClientConnection> excess = new ArrayList<>();
         for (int i = 0; i < 500; i++) {
-            crowd.add(new ClientConnection(proxy));
-            crowd.get(i).connection.pause(); // they read nothing: what refuses them must not hold more than it may
+            excess.add(new ClientConnection(proxy));
+            // Clients that read nothing keep rejected connections open, so that their number must be limited.
+            excess.get(i).connection.pause();
         }
         net.runFor(10 * MS);
-        assertTrue(net.connectionsOf(proxyLoop) < 100, net.connectionsOf(proxyLoop) + " connections held");
+        assertTrue(net.connectionsOf(proxyLoop) < 100, net.connectionsOf(proxyLoop) + " connections open");
     }
 
-    /** The end of a kept connection lies unread behind a request that needs a connection. */
+    /** The close of a pooled connection has arrived but is unread when a request needs a connection. */
     @Test
     void pooledConnectionWithUnreadCloseIsNotUsedForUnsafeRequest() throws IOException, ConfigError {
         Proxy proxy = startProxyOnOwnLoop(startBackend(1));
@@ -262,12 +272,13 @@
         assertTrue(client.received.toString().endsWith("ok"), client.received.toString());
     }
 
-    /** A backend that ends an idle connection as this proxy does says that a crossing request never ran: another may have it. */
+    /** A backend that closes an idle connection may state that a crossing request never ran, so that it can be retried. */
     @Test
     void neverRanTimeoutFromBackendIsRetried() throws IOException, ConfigError {
         Proxy proxy = startProxyOnOwnLoop(startBackend(1), startBackend(2));
         ClientConnection client = new ClientConnection(proxy).send(getRequest("/p/1"));
-        backendConnections.get(0).send("HTTP/1.1 408 Request Timeout\r\nX-Never-Ran: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+        backendConnections.get(0).send("HTTP/1.1 408 Request Timeout\r\nX-Never-Ran: 1\r\nConnection: close\r\n"
+                + "Content-Length: 0\r\n\r\n");
         assertEquals(2, backendConnections.size(), client.received.toString());
         backendConnections.get(1).send(OK);
         assertTrue(client.received.toString().endsWith("ok"), client.received.toString());
--- a/src/test/java/rowanmoor/proxy/ReportQueueTest.java
+++ b/src/test/java/rowanmoor/proxy/ReportQueueTest.java
@@ -21,10 +21,10 @@
 import rowanmoor.net.Connection;
 import rowanmoor.net.Handler;
 
-/** Reports and their acknowledgement between a proxy and scripted controllers that use the product's receiver. */
+/** Tests report acknowledgement between a proxy and scripted controllers that use the product's report receiver. */
 class ReportQueueTest extends ProxyFixture {
 
-    /** A controller's end: what it is to do with a hello and a numbered report, the test says. */
+    /** A controller whose reaction to hellos and numbered reports is set by the test. */
     private final class ScriptedController {
         private final List<Connection> streams = new ArrayList<>();
         private final List<Long> receivedNumbers = new ArrayList<>();
@@ -45,12 +45,12 @@
             private int proxy;
 
             @Override
-            public void received(Connection its, ByteBuffer bytes) {
+            public void received(Connection from, ByteBuffer bytes) {
                 try {
-                    while (bytes.hasRemaining() && its.isOpen()) {
+                    while (bytes.hasRemaining() && from.isOpen()) {
                         Frame frame = reader.next(bytes);
                         if (frame != null) {
-                            handle(its, frame);
+                            handle(from, frame);
                         }
                     }
                 } catch (ChannelError e) {
@@ -58,16 +58,16 @@
                 }
             }
 
-            private void handle(Connection its, Frame frame) {
+            private void handle(Connection from, Frame frame) {
                 if (frame instanceof Frame.Hello hello) {
-                    join(its, hello);
+                    join(from, hello);
                 } else if (frame instanceof Frame.NumberedReport numbered) {
-                    assertEquals(Frame.PROTOCOL, supportedProtocol, "an old controller must not get what it cannot read");
+                    assertEquals(Frame.PROTOCOL, supportedProtocol, "an old controller must not receive numbered reports");
                     receivedNumbers.add(numbered.number());
                     if (acknowledges) {
                         reportedRequests += receiver.hear(proxy, numbered.number()) == ReportReceiver.Verdict.TAKEN
                                 ? countRequests(numbered.report()) : 0;
-                        acknowledge(its, receiver.takenUpTo(proxy));
+                        acknowledge(from, receiver.takenUpTo(proxy));
                     }
                 } else if (frame instanceof Frame.Report report) {
                     reportedRequests += countRequests(report);
@@ -76,21 +76,21 @@
                 }
             }
 
-            private void join(Connection its, Frame.Hello hello) {
+            private void join(Connection from, Frame.Hello hello) {
                 if (hello.protocol() > supportedProtocol) {
-                    its.send(Codec.encode(new Frame.Goodbye(Frame.Reason.VERSION, "too new")));
-                    its.end();
+                    from.send(Codec.encode(new Frame.Goodbye(Frame.Reason.VERSION, "too new")));
+                    from.end();
                     return;
                 }
                 proxy = hello.proxy();
                 receiver.streamBegins(proxy, hello.incarnation());
-                streams.add(its);
-                its.send(Codec.encode(new Frame.Snapshot(1, 0, 0, 0, List.of(), List.of(), List.of(), List.of())));
+                streams.add(from);
+                from.send(Codec.encode(new Frame.Snapshot(1, 0, 0, 0, List.of(), List.of(), List.of(), List.of())));
             }
         }
 
-        private void acknowledge(Connection its, long upTo) {
-            its.send(Codec.encode(new Frame.ReportsTaken(upTo)));
+        private void acknowledge(Connection stream, long upTo) {
+            stream.send(Codec.encode(new Frame.ReportsTaken(upTo)));
         }
 
         private Connection newest() {
@@ -108,13 +108,14 @@
             addresses.add(controller.address);
         }
         Proxy proxy = Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, addresses, 0, 300 * MS, 60 * SECOND,
-                List.of(), 15 * SECOND, 250 * MS, 5000, ForwardingPolicy.defaults()), loop, new SplittableRandom(4), Tap.NONE);
+                List.of(), 15 * SECOND, 250 * MS, 5000, ForwardingPolicy.defaults()), loop,
+                new SplittableRandom(4), Tap.NONE);
         net.runFor(SECOND);
         assertTrue(proxy.isJoined());
         return proxy;
     }
 
-    /** Requests that are answered at once, since there is no backend; each counts. */
+    /** Sends requests that are answered at once, as there is no backend; each is counted. */
     private void sendRequests(Proxy proxy, int times) {
         for (int i = 0; i < times; i++) {
             new ClientConnection(proxy).send(getRequest("/r/" + i));
@@ -127,7 +128,7 @@
         Proxy proxy = startJoinedProxy(controller);
         for (int round = 0; round < 10; round++) {
             sendRequests(proxy, 5);
-            controller.acknowledges = round % 2 == 0; // every other report is read and its answer never comes
+            controller.acknowledges = round % 2 == 0; // every other report is read and never acknowledged
             net.runFor(1100 * MS);
             controller.newest().reset("test");
             controller.acknowledges = true;
@@ -138,22 +139,22 @@
         assertTrue(controller.streams.size() >= 10);
     }
 
-    /** The answer is lost, not the report: it is sent again and must not count again. */
+    /** The acknowledgement is lost, not the report, which is sent again and must not be counted again. */
     @Test
     void reportWithLostAcknowledgementIsResentAndCountsOnce() throws IOException, ConfigError {
         ScriptedController controller = new ScriptedController();
         Proxy proxy = startJoinedProxy(controller);
         sendRequests(proxy, 3);
         net.runUntil(net.now() + 3 * SECOND, () -> controller.reportedRequests > 0);
-        controller.newest().reset("its answer is dropped with it");
+        controller.newest().reset("the acknowledgement is lost with the stream");
         net.runFor(3 * SECOND);
         assertEquals(3, controller.reportedRequests);
-        assertEquals(List.of(1L, 1L), controller.receivedNumbers, "told twice");
+        assertEquals(List.of(1L, 1L), controller.receivedNumbers, "the report is sent twice");
     }
 
     /**
-     * Which of two controllers took a report is not known once a stream breaks. It is told to the next one too: a count
-     * in two books is taken for a little more load by each for one period, a count in none hides load.
+     * Once a stream breaks, the proxy cannot know whether the controller took a report, so it sends it to the next one too.
+     * A count at both controllers looks like a little more load for one period; a count at neither would hide load.
      */
     @Test
     void proxyResendsUnacknowledgedReportsToNextController() throws IOException, ConfigError {
@@ -166,11 +167,11 @@
         first.acknowledges = false;
         sendRequests(proxy, 6);
         net.runFor(2 * SECOND);
-        first.supportedProtocol = 0; // it takes nobody in from now on
+        first.supportedProtocol = 0; // it refuses all proxies from now on
         first.newest().reset("test");
         net.runFor(5 * SECOND);
         assertEquals(4, first.reportedRequests);
-        assertEquals(6, second.reportedRequests, "what was answered is not told again");
+        assertEquals(6, second.reportedRequests, "acknowledged reports are not sent again");
     }
 
     @Test
@@ -182,7 +183,7 @@
         controller.acknowledges = false;
         sendRequests(proxy, 6);
         net.runFor(2 * SECOND);
-        controller.receiver = new ReportReceiver(); // it remembers nobody
+        controller.receiver = new ReportReceiver(); // a restarted controller knows no proxy
         controller.acknowledges = true;
         controller.newest().reset("restarted");
         net.runFor(3 * SECOND);
@@ -210,9 +211,10 @@
         ScriptedController old = new ScriptedController();
         old.supportedProtocol = Frame.OLDEST_PROTOCOL;
         Proxy proxy = Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(old.address), 0, 300 * MS,
-                60 * SECOND, List.of(), 15 * SECOND, 250 * MS, 5000, ForwardingPolicy.defaults()), loop, new SplittableRandom(4), Tap.NONE);
+                60 * SECOND, List.of(), 15 * SECOND, 250 * MS, 5000, ForwardingPolicy.defaults()), loop,
+                new SplittableRandom(4), Tap.NONE);
         net.runFor(2 * SECOND);
-        assertTrue(proxy.isJoined(), "it calls again in the version that is spoken there");
+        assertTrue(proxy.isJoined(), "the proxy reconnects with the old protocol version");
         sendRequests(proxy, 7);
         net.runFor(2 * SECOND);
         assertEquals(7, old.reportedRequests);
@@ -222,7 +224,7 @@
         sendRequests(proxy, 2);
         net.runFor(2 * SECOND);
         assertEquals(9, old.reportedRequests);
-        assertFalse(old.receivedNumbers.isEmpty(), "the newer version is tried again");
+        assertFalse(old.receivedNumbers.isEmpty(), "the newer protocol version is tried again");
     }
 
     @Test
@@ -249,7 +251,10 @@
         }
     }
 
-    /** Chance drives both halves: reports, lost answers, breaks, two controllers. Each book must hold each report once. */
+    /**
+     * Random reports, lost acknowledgements and stream breaks between a proxy and two controllers. Each report must reach
+     * at least one controller, and none may be counted twice by the same one.
+     */
     @Test
     void randomStreamBreaksLoseNoReportAndDuplicateNonePerController() {
         for (long seed = 1; seed <= 200; seed++) {
@@ -257,9 +262,9 @@
             Tallies tallies = new Tallies(0);
             ReportQueue queue = new ReportQueue(tallies);
             List<ReportReceiver> receivers = List.of(new ReportReceiver(), new ReportReceiver());
-            List<List<Long>> books = List.of(new ArrayList<>(), new ArrayList<>());
-            int at = 0;
-            receivers.get(at).streamBegins(0, 1);
+            List<List<Long>> takenByController = List.of(new ArrayList<>(), new ArrayList<>());
+            int current = 0;
+            receivers.get(current).streamBegins(0, 1);
             queue.onStreamOpened();
             long counted = 0;
             for (int step = 0; step < 300; step++) {
@@ -269,40 +274,44 @@
                     queue.enqueueReport(step);
                 }
                 boolean lost = random.nextInt(4) == 0;
-                int its = at;
-                queue.sendPending(frame -> lost || deliver((Frame.NumberedReport) frame, receivers.get(its), books.get(its)));
+                int target = current;
+                queue.sendPending(frame -> lost || deliver((Frame.NumberedReport) frame, receivers.get(target),
+                        takenByController.get(target)));
                 if (random.nextInt(2) == 0 && !lost) {
-                    assertTrue(queue.acknowledge(receivers.get(at).takenUpTo(0)), "seed " + seed);
+                    assertTrue(queue.acknowledge(receivers.get(current).takenUpTo(0)), "seed " + seed);
                 }
-                if (lost || random.nextInt(5) == 0) { // what was lost is lost with its stream
-                    at = random.nextInt(2);
-                    receivers.get(at).streamBegins(0, 1);
+                if (lost || random.nextInt(5) == 0) { // a lost report means that the stream broke
+                    current = random.nextInt(2);
+                    receivers.get(current).streamBegins(0, 1);
                     queue.onStreamOpened();
                 }
                 assertTrue(queue.unacknowledgedCount() <= ReportQueue.MAX_UNACKNOWLEDGED);
             }
-            int last = at;
+            int last = current;
             for (int i = 0; i < 300 && !queue.isSettled(); i++) {
                 queue.enqueueReport(1000 + i);
-                queue.sendPending(frame -> deliver((Frame.NumberedReport) frame, receivers.get(last), books.get(last)));
+                queue.sendPending(frame -> deliver((Frame.NumberedReport) frame, receivers.get(last),
+                        takenByController.get(last)));
                 queue.acknowledge(receivers.get(last).takenUpTo(0));
             }
             assertTrue(queue.isSettled(), "seed " + seed);
-            java.util.TreeSet<Long> told = new java.util.TreeSet<>(books.get(0));
-            told.addAll(books.get(1));
-            assertEquals(told.size(), told.isEmpty() ? 0 : told.last(), "none is in no book, seed " + seed);
-            for (List<Long> book : books) {
-                assertEquals(book.size(), new java.util.TreeSet<>(book).size(), "once in each book, seed " + seed);
+            java.util.TreeSet<Long> taken = new java.util.TreeSet<>(takenByController.get(0));
+            taken.addAll(takenByController.get(1));
+            assertEquals(taken.size(), taken.isEmpty() ? 0 : taken.last(),
+                    "every report reached a controller, seed " + seed);
+            for (List<Long> numbers : takenByController) {
+                assertEquals(numbers.size(), new java.util.TreeSet<>(numbers).size(),
+                        "no report counted twice by a controller, seed " + seed);
             }
-            assertTrue(counted >= told.size());
+            assertTrue(counted >= taken.size());
         }
     }
 
-    private static boolean deliver(Frame.NumberedReport report, ReportReceiver receiver, List<Long> book) {
+    private static boolean deliver(Frame.NumberedReport report, ReportReceiver receiver, List<Long> taken) {
         ReportReceiver.Verdict verdict = receiver.hear(0, report.number());
         assertTrue(verdict != ReportReceiver.Verdict.GAP, "report " + report.number());
         if (verdict == ReportReceiver.Verdict.TAKEN) {
-            book.add(report.number());
+            taken.add(report.number());
         }
         return true;
     }
--- a/src/test/java/rowanmoor/proxy/RouterTest.java
+++ b/src/test/java/rowanmoor/proxy/RouterTest.java
@@ -17,7 +17,7 @@
 import rowanmoor.config.ConfigError;
 import rowanmoor.config.Site;
 
-/** What a proxy holds and picks; class 0 is safe to repeat, class 1 is not. */
+/** Tests routing state and decisions of a proxy. Class 0 is safe to repeat, class 1 is not. */
 class RouterTest {
 
     private static final long SECOND = 1_000_000_000L;
@@ -94,7 +94,7 @@
         router.apply(emptySnapshot(10));
         assertEquals(Set.of(A), picks(0));
         update(10, 1, new Frame.Bind(2, table(0, null, C), List.of()));
-        assertEquals(Set.of(A), picks(0), "class 0 still has the table of the stream before");
+        assertEquals(Set.of(A), picks(0), "class 0 still uses the table of the previous stream");
         assertEquals(Set.of(C), picks(1));
     }
 
@@ -123,11 +123,11 @@
     void levelAdmitsItsRateAndZeroAdmitsNothing() {
         joinStream();
         update(9, 1, new Frame.Bind(0, table(0, new Frame.Level(3, 10, Retry.NEVER), A), List.of()));
-        int in = 0;
+        int admitted = 0;
         for (long now = 0; now < 10 * SECOND; now += SECOND / 100) {
-            in += router.tryAdmit(0, now) ? 1 : 0;
+            admitted += router.tryAdmit(0, now) ? 1 : 0;
         }
-        assertTrue(in >= 99 && in <= 103, in + " of about 100");
+        assertTrue(admitted >= 99 && admitted <= 103, admitted + " admitted of about 100");
         update(9, 2, new Frame.Admit(0, new Frame.Level(1, 0, Retry.NEVER)));
         assertFalse(router.tryAdmit(0, 100 * SECOND) && router.tryAdmit(0, 100 * SECOND));
     }
@@ -135,14 +135,14 @@
     @Test
     void retriesFollowOrdersAndUnsafeClassesNeedProof() {
         long left = site.classes().get(0).deadline();
-        assertTrue(router.mayRetry(1, 1, true, left), "usual: once, with proof");
+        assertTrue(router.mayRetry(1, 1, true, left), "default: one retry, with proof that the try never ran");
         assertFalse(router.mayRetry(1, 1, false, left));
         assertFalse(router.mayRetry(1, 2, true, left));
-        assertFalse(router.mayRetry(1, 1, true, left / 20), "too little time is left");
+        assertFalse(router.mayRetry(1, 1, true, left / 20), "too little of the deadline remains");
         joinStream();
         update(9, 1, new Frame.Bind(0, table(0, new Frame.Level(3, 1e6, Retry.TWICE), A, B), List.of()));
         assertTrue(router.mayRetry(0, 2, false, left));
-        assertFalse(router.mayRetry(1, 1, false, left), "unsafe, whatever is ordered");
+        assertFalse(router.mayRetry(1, 1, false, left), "an unsafe class needs proof, whatever is ordered");
         assertTrue(router.tryTimeoutNs(0) > 0);
         assertEquals(0, router.tryTimeoutNs(1));
         update(9, 2, new Frame.Admit(0, new Frame.Level(3, 1e6, Retry.NEVER)));
@@ -156,7 +156,7 @@
             router.onTryEnded(A, false, SECOND);
         }
         assertEquals(Set.of(B), picks(0));
-        assertEquals(A, router.pick(0, Set.of(B), SECOND), "better a shunned one than none");
+        assertEquals(A, router.pick(0, Set.of(B), SECOND), "an ejected backend is used if there is no other");
         assertTrue(router.pick(0, Set.of(B), SECOND + site.ejectFor()) == A);
     }
 
@@ -164,11 +164,11 @@
     void twoChoicesPreferBackendWithFewerTriesInFlight() {
         router.onTrySent(A);
         router.onTrySent(A);
-        int b = 0;
+        int picksOfB = 0;
         for (int i = 0; i < 1000; i++) {
-            b += router.pick(0, Set.of(), SECOND) == B ? 1 : 0;
+            picksOfB += router.pick(0, Set.of(), SECOND) == B ? 1 : 0;
         }
-        assertTrue(b > 680 && b < 820, b + " of about 750");
+        assertTrue(picksOfB > 680 && picksOfB < 820, picksOfB + " picks of about 750");
     }
 
     @Test
@@ -176,7 +176,7 @@
         Redial redial = new Redial(2, 1, SECOND, new SplittableRandom(1));
         assertEquals(1, redial.currentController());
         long first = redial.onStreamEnded(true);
-        assertEquals(1, redial.currentController(), "one whose stream was up is called again first");
+        assertEquals(1, redial.currentController(), "a controller whose stream was up is tried first");
         assertTrue(first >= SECOND / 2 && first <= SECOND * 3 / 2);
         redial.onStreamEnded(false);
         assertEquals(0, redial.currentController());
@@ -189,18 +189,19 @@
         assertTrue(redial.onStreamEnded(true) <= SECOND * 3 / 2);
     }
 
-    private Router routerWith(double budget, double safe) {
-        ForwardingPolicy u = ForwardingPolicy.defaults();
-        return new Router(site, new ForwardingPolicy(u.headTimeoutNs(), u.stallTimeoutNs(), u.responseTimeoutNs(), u.maxReplayBytes(), 9, 9, 9, 9,
-                budget, 503, 1, 10 * SECOND, safe, u.deadlineField(), 0, 0), List.of(A, B), new SplittableRandom(1), 0);
+    private Router routerWith(double retryBudget, double safeLevel) {
+        ForwardingPolicy defaults = ForwardingPolicy.defaults();
+        return new Router(site, new ForwardingPolicy(defaults.headTimeoutNs(), defaults.stallTimeoutNs(),
+                defaults.responseTimeoutNs(), defaults.maxReplayBytes(), 9, 9, 9, 9, retryBudget, 503, 1, 10 * SECOND,
+                safeLevel, defaults.deadlineField(), 0, 0), List.of(A, B), new SplittableRandom(1), 0);
     }
 
-    private static int countAdmitted(Router its, long from, long to, int times) {
-        int in = 0;
+    private static int countAdmitted(Router router, long from, long to, int times) {
+        int admitted = 0;
         for (int i = 0; i < times; i++) {
-            in += its.tryAdmit(0, from + i * (to - from) / times) ? 1 : 0;
+            admitted += router.tryAdmit(0, from + i * (to - from) / times) ? 1 : 0;
         }
-        return in;
+        return admitted;
     }
 
     @Test
@@ -216,7 +217,7 @@
             sums[(int) (router.pick(0, Set.of(), SECOND).id() % 10) + 1]++;
         }
         for (int w = 1; w <= 10; w++) {
-            // Best of two prefers the less used, and here all are alike: weights alone decide.
+            // Two choices prefer fewer tries in flight; here there are none, so that weights alone decide.
             assertEquals(w / 55.0, sums[w] / 200_000, 0.004, "weight " + w);
         }
     }
@@ -228,7 +229,7 @@
         countAdmitted(router, SECOND, 2 * SECOND, 50);
         update(9, 2, new Frame.Admit(rowanmoor.ControlApi.ALL_TABLES, new Frame.Level(0, 100, Retry.NEVER)));
         int atOnce = countAdmitted(router, 10 * SECOND, 10 * SECOND + 1000, 50);
-        assertTrue(atOnce <= 9, atOnce + " at once after eight quiet seconds at one a second");
+        assertTrue(atOnce <= 9, atOnce + " admitted at once after eight idle seconds at one a second");
         int after = countAdmitted(router, 11 * SECOND, 21 * SECOND, 5000);
         assertTrue(after > 950 && after < 1060, after + " in ten seconds at a hundred");
     }
@@ -236,26 +237,28 @@
     @Test
     void retryBudgetReducesOrderedRetriesAndNeverAddsAny() {
         Router bounded = routerWith(0.1, -1);
-        int followed = 0;
+        int retries = 0;
         for (int i = 0; i < 1000; i++) {
             bounded.tryAdmit(0, i);
-            followed += bounded.mayRetry(0, 1, true, 2 * SECOND) ? 1 : 0;
+            retries += bounded.mayRetry(0, 1, true, 2 * SECOND) ? 1 : 0;
         }
-        assertTrue(followed > 95 && followed < 120, followed + " of a tenth of a thousand");
-        assertFalse(bounded.mayRetry(1, 1, false, 2 * SECOND), "no proof, unsafe");
+        assertTrue(retries > 95 && retries < 120, retries + " retries of about 100");
+        assertFalse(bounded.mayRetry(1, 1, false, 2 * SECOND), "an unsafe class needs proof");
         assertTrue(routerWith(1, -1).mayRetry(0, 1, true, 2 * SECOND));
     }
 
     @Test
     void levelsHoldForLeaseWithoutControllerThenDropToSafeLevel() {
-        Router safe = routerWith(1, 20);
-        safe.onControllerMessage(SECOND);
-        assertEquals(500, countAdmitted(safe, 2 * SECOND, 10 * SECOND, 500), "within the lease");
-        int after = countAdmitted(safe, 12 * SECOND, 22 * SECOND, 5000);
+        Router withSafeLevel = routerWith(1, 20);
+        withSafeLevel.onControllerMessage(SECOND);
+        assertEquals(500, countAdmitted(withSafeLevel, 2 * SECOND, 10 * SECOND, 500), "all are admitted within the lease");
+        int after = countAdmitted(withSafeLevel, 12 * SECOND, 22 * SECOND, 5000);
         assertTrue(after > 190 && after < 215, after + " in ten seconds at twenty");
-        safe.onControllerMessage(23 * SECOND);
-        assertEquals(500, countAdmitted(safe, 24 * SECOND, 25 * SECOND, 500), "a controller is back");
-        assertEquals(500, countAdmitted(routerWith(1, -1), 90 * SECOND, 91 * SECOND, 500), "kept where so set");
+        withSafeLevel.onControllerMessage(23 * SECOND);
+        assertEquals(500, countAdmitted(withSafeLevel, 24 * SECOND, 25 * SECOND, 500),
+                "all are admitted once a controller is back");
+        assertEquals(500, countAdmitted(routerWith(1, -1), 90 * SECOND, 91 * SECOND, 500),
+                "without a safe level, levels are kept");
     }
 
     @Test
@@ -263,8 +266,8 @@
         joinStream();
         update(9, 1, new Frame.Bind(0, table(4, null, A), List.of()));
         for (int i = 0; i < 20_000; i++) {
-            Backend fresh = new Backend(1000 + i);
-            update(9, 2 + i, new Frame.SetLine(4, new Frame.Line(fresh, 1)), new Frame.Withdraw(
+            Backend added = new Backend(1000 + i);
+            update(9, 2 + i, new Frame.SetLine(4, new Frame.Line(added, 1)), new Frame.Withdraw(
                     new Backend(999 + i), true), new Frame.SetLine(4, new Frame.Line(new Backend(999 + i), 0)));
             assertTrue(picks(0).size() > 0);
         }
@@ -281,10 +284,10 @@
         router.onTrySent(B);
         router.onTryAbandoned(B);
         assertEquals(0, router.triesInFlight());
-        assertEquals(Set.of(A, B), picks(0), "four failures shun nobody");
+        assertEquals(Set.of(A, B), picks(0), "four failures eject no backend");
         router.onTrySent(B);
         router.onTryEnded(B, false, SECOND);
-        assertEquals(Set.of(A), picks(0), "the fifth in a row does");
+        assertEquals(Set.of(A), picks(0), "the fifth consecutive failure does");
     }
 
     @Test
@@ -294,11 +297,11 @@
         update(9, 1, new Frame.Admit(rowanmoor.ControlApi.ALL_TABLES, new Frame.Level(0, 20, Retry.NEVER)));
         countAdmitted(router, SECOND, 2 * SECOND, 50);
         int atOnce = countAdmitted(router, years, years + 1000, 500);
-        assertTrue(atOnce <= 6, atOnce + " at once, a quarter of a second's");
+        assertTrue(atOnce <= 6, atOnce + " admitted at once, a quarter of a second's");
         int after = countAdmitted(router, years + SECOND, years + 11 * SECOND, 5000);
         assertTrue(after > 190 && after < 215, after + " in ten seconds at twenty");
-        Router safe = routerWith(1, 5);
-        int fallen = countAdmitted(safe, years, years + 10 * SECOND, 5000);
-        assertTrue(fallen > 45 && fallen < 56, fallen + " in ten seconds at the safe level of five");
+        Router withSafeLevel = routerWith(1, 5);
+        int atSafeLevel = countAdmitted(withSafeLevel, years, years + 10 * SECOND, 5000);
+        assertTrue(atSafeLevel > 45 && atSafeLevel < 56, atSafeLevel + " in ten seconds at the safe level of five");
     }
 }
--- a/src/test/java/rowanmoor/proxy/SwapExplorerTest.java
+++ b/src/test/java/rowanmoor/proxy/SwapExplorerTest.java
@@ -20,10 +20,10 @@
 import rowanmoor.config.Site;
 
 /**
- * All interleavings, to a depth, of what may happen to a proxy while tables change and a backend drains: the
- * next update comes, a request picks, its try fails before it ran and picks again, it ends. After each step
- * every pick must be a line of the table as it is at that moment, not withdrawn and not tried before; and
- * there must be one whenever the table has one. Each path is played anew from the start on the real router.
+ * Explores all interleavings up to a depth of the events at a proxy while tables change and a backend drains:
+ * the next update arrives, a request picks a backend, its try fails before it ran and it picks again, it ends.
+ * Every pick must be in the table in force at that moment, not withdrawn and not tried before, and there must
+ * be a pick whenever such a backend exists. Each path is replayed from the start on the product's router.
  */
 class SwapExplorerTest {
 
@@ -44,18 +44,18 @@
         return new Frame.Line(backend, weight);
     }
 
-    /** What the controller sends, in order: a table, a drain, a swap to another table, the drain's end. */
+    /** The controller's updates in order: a table, a drain, a swap to another table, the end of the drain. */
     private static final List<List<Frame.Order>> UPDATES = List.of(
             List.of(new Frame.Bind(0, new Frame.Table(1, List.of(line(A, 5), line(B, 1)), List.of()), List.of())),
             List.of(new Frame.Withdraw(A, true)),
             List.of(new Frame.Bind(0, new Frame.Table(2, List.of(line(B, 1), line(C, 3)), List.of()), List.of(A))),
             List.of(new Frame.Withdraw(A, false), new Frame.SetLine(2, line(A, 9)), new Frame.SetLine(2, line(C, 0))));
 
-    /** What may be picked after so many updates, told without the router. */
+    /** Backends that may be picked after 0, 1, ... updates, stated independently of the router. */
     private static final List<Set<Backend>> ELIGIBLE = List.of(Set.of(A, B), Set.of(A, B), Set.of(B), Set.of(B, C),
             Set.of(A, B));
 
-    /** One run: the router, and what its requests have done. */
+    /** One run: a router and the state of its requests. */
     private final class Run {
         private final Router router;
         private final List<Set<Backend>> tried = new ArrayList<>();
@@ -72,23 +72,23 @@
             }
         }
 
-        /** Plays a step; false if it cannot happen now. */
-        boolean step(int what) {
-            if (what == 0) {
+        /** Performs a step; false if it is impossible in the current state. */
+        boolean step(int event) {
+            if (event == 0) {
                 if (updates == UPDATES.size()) {
                     return false;
                 }
                 router.apply(new Frame.Update(1, updates + 1, 0, 0, UPDATES.get(updates++)));
                 return true;
             }
-            int request = (what - 1) / 2;
-            boolean fails = (what - 1) % 2 == 1;
+            int request = (event - 1) / 2;
+            boolean fails = (event - 1) % 2 == 1;
             if (current[request] == null) {
                 return !fails && pick(request);
             }
-            Backend left = current[request];
+            Backend ended = current[request];
             current[request] = null;
-            router.onTryEnded(left, !fails, 1);
+            router.onTryEnded(ended, !fails, 1);
             if (fails) {
                 return pick(request);
             }
@@ -97,11 +97,11 @@
         }
 
         private boolean pick(int request) {
-            Set<Backend> may = new TreeSet<>(ELIGIBLE.get(updates));
-            may.removeAll(tried.get(request));
+            Set<Backend> eligible = new TreeSet<>(ELIGIBLE.get(updates));
+            eligible.removeAll(tried.get(request));
             Backend picked = router.pick(0, tried.get(request), 1);
-            if (picked == null ? !may.isEmpty() : !may.contains(picked)) {
-                violation = "after " + updates + " updates picked " + picked + " of " + may;
+            if (picked == null ? !eligible.isEmpty() : !eligible.contains(picked)) {
+                violation = "after " + updates + " updates picked " + picked + " of " + eligible;
             }
             if (picked != null) {
                 router.onTrySent(picked);
@@ -114,7 +114,7 @@
         }
     }
 
-    /** The shortest path at whose end something is wrong, or null; depths grow so that it is the shortest. */
+    /** The shortest path that ends in a violation, or null; depths increase so that it is the shortest. */
     private String explore(Function<RandomGenerator, Router> make) {
         for (int depth = 1; depth <= DEPTH; depth++) {
             String found = explore(make, new int[depth], 0);
@@ -139,9 +139,9 @@
             }
             return null;
         }
-        for (int what = 0; what <= 2 * REQUESTS; what++) {
-            if (path.length < 7 || !isImpossible(path, at, what)) {
-                path[at] = what;
+        for (int event = 0; event <= 2 * REQUESTS; event++) {
+            if (path.length < 7 || !isImpossible(path, at, event)) {
+                path[at] = event;
                 String found = explore(make, path, at + 1);
                 if (found != null) {
                     return found;
@@ -151,8 +151,8 @@
         return null;
     }
 
-    /** Leaves out what cannot happen: a fifth update, a failure first, the second request before the first. */
-    private static boolean isImpossible(int[] path, int at, int what) {
+    /** Prunes impossible steps: a fifth update, a failure before a pick, the second request before the first. */
+    private static boolean isImpossible(int[] path, int at, int event) {
         int updates = 0;
         boolean firstSeen = false;
         boolean[] out = new boolean[REQUESTS];
@@ -164,11 +164,11 @@
                 out[request] = (path[i] - 1) % 2 == 1 || !out[request];
             }
         }
-        if (what == 0) {
+        if (event == 0) {
             return updates == UPDATES.size();
         }
-        int request = (what - 1) / 2;
-        return (what - 1) % 2 == 1 && !out[request] || request == 1 && !firstSeen;
+        int request = (event - 1) / 2;
+        return (event - 1) % 2 == 1 && !out[request] || request == 1 && !firstSeen;
     }
 
     @Test
