--- a/src/main/java/rowanmoor/proxy/ChannelClient.java
+++ b/src/main/java/rowanmoor/proxy/ChannelClient.java
@@ -214,9 +214,8 @@
         InetSocketAddress first = config.controllers().get(config.firstController()
                 % config.controllers().size());
         int probedStream = streamNumber;
-        Connection.Options options = Connection.Options.usual().connectWithin(config.controllerTimeoutNs());
-        loop.connect(config.localAddress(), first, options,
-                new Handler() {
+        loop.connect(config.localAddress(), first,
+                Connection.Options.usual().connectWithin(config.controllerTimeoutNs()), new Handler() {
                     @Override
                     public void opened(Connection probe) {
                         probe.close(Close.LOCAL, "the first controller is reachable");
--- a/src/main/java/rowanmoor/proxy/ConnectionPool.java
+++ b/src/main/java/rowanmoor/proxy/ConnectionPool.java
@@ -34,6 +34,7 @@
         void close(C connection);
     }
 
+    /** Connections to one backend; {@code open} counts idle ones and those in use. */
     private static final class BackendConnections<C> {
         private final ArrayDeque<C> idle = new ArrayDeque<>();
         private int open;
--- a/src/main/java/rowanmoor/proxy/ForwardedRequest.java
+++ b/src/main/java/rowanmoor/proxy/ForwardedRequest.java
@@ -207,9 +207,9 @@
     }
 
     /** Ends a response that has stalled or takes too long; called periodically. */
-    void checkTimeouts(long now) {
-        boolean stalled = now - lastProgressNs > proxy.policy().stallTimeoutNs();
-        if (responseBegun && (stalled || now - responseBegunNs > proxy.policy().responseTimeoutNs())) {
+    void checkTimeouts(long nowNs) {
+        boolean stalled = nowNs - lastProgressNs > proxy.policy().stallTimeoutNs();
+        if (responseBegun && (stalled || nowNs - responseBegunNs > proxy.policy().responseTimeoutNs())) {
             endTry(false, true);
             fail(504, "stands still");
         }
--- a/src/main/java/rowanmoor/proxy/Proxy.java
+++ b/src/main/java/rowanmoor/proxy/Proxy.java
@@ -280,8 +280,8 @@
         exchange.answer(status, why + "\n", REASON_FIELD, why, "Content-Type", "text/plain");
     }
 
-    /** The head to send to a backend; {@code left} is the time to the deadline, ns. */
-    Part.RequestHead backendRequestHead(Part.RequestHead head, Backend backend, long left) {
+    /** The head to send to a backend; {@code remainingNs} is the time to the deadline. */
+    Part.RequestHead backendRequestHead(Part.RequestHead head, Backend backend, long remainingNs) {
         Fields fields = endToEndFields(head.fields());
         fields.set("Host", backend.toString());
         fields.set(PROXY_NUMBER_FIELD, Integer.toString(config.number()));
@@ -289,7 +289,7 @@
         if (fields.get(REQUEST_ID_FIELD) == null) {
             fields.set(REQUEST_ID_FIELD, requestIdPrefix + ++lastRequestId);
         }
-        fields.set(policy().deadlineField(), Long.toString(Math.max(1, left / NS_PER_MS)));
+        fields.set(policy().deadlineField(), Long.toString(Math.max(1, remainingNs / NS_PER_MS)));
         return new Part.RequestHead(head.method(), head.target(), 1, fields, head.length());
     }
 
@@ -414,8 +414,8 @@
     // ---- periodic work -------------------------------------------------------------------------------
 
     private void checkTimeouts() {
-        long now = loop.now();
-        List.copyOf(activeRequests).forEach(f -> f.checkTimeouts(now));
+        long nowNs = loop.now();
+        List.copyOf(activeRequests).forEach(f -> f.checkTimeouts(nowNs));
         loop.after(TIMEOUT_CHECK_INTERVAL_NS, this::checkTimeouts);
     }
 
--- a/src/main/java/rowanmoor/proxy/ReportQueue.java
+++ b/src/main/java/rowanmoor/proxy/ReportQueue.java
@@ -27,9 +27,9 @@
     }
 
     /** Queues a report of the counts since the last one, if there are any and the queue has room. */
-    void enqueueReport(long now) {
+    void enqueueReport(long nowNs) {
         if (unacknowledged.size() < MAX_UNACKNOWLEDGED) {
-            Frame.Report report = tallies.takeReport(now);
+            Frame.Report report = tallies.takeReport(nowNs);
             if (!report.tallies().isEmpty() || !report.uses().isEmpty()) {
                 unacknowledged.add(new Frame.NumberedReport(++lastReportNumber, report));
             }
--- a/src/main/java/rowanmoor/proxy/Router.java
+++ b/src/main/java/rowanmoor/proxy/Router.java
@@ -48,6 +48,7 @@
     /** Random draws that may hit an ejected or already tried backend before all backends are scanned. */
     private static final int MAX_RANDOM_DRAWS = 8;
 
+    /** Weights of backends and, per class, the level; null where there is none. */
     private static final class Table {
         private final TreeMap<Backend, Double> weights = new TreeMap<>();
         private final Frame.Level[] levels;
@@ -89,8 +90,8 @@
      *
      * @param standingTable backends used with equal weights for every class until a controller binds a table
      */
-    public Router(Site site, Collection<Backend> standingTable, RandomGenerator random, long now) {
-        this(site, ForwardingPolicy.defaults(), standingTable, random, now);
+    public Router(Site site, Collection<Backend> standingTable, RandomGenerator random, long nowNs) {
+        this(site, ForwardingPolicy.defaults(), standingTable, random, nowNs);
     }
 
     /**
@@ -100,10 +101,10 @@
      * @param standingTable backends used with equal weights for every class until a controller binds a table
      */
     public Router(Site site, ForwardingPolicy policy, Collection<Backend> standingTable,
-            RandomGenerator random, long now) {
+            RandomGenerator random, long nowNs) {
         this.policy = policy;
         this.retryCredits = MAX_RETRY_CREDITS;
-        this.controllerHeardNs = now;
+        this.controllerHeardNs = nowNs;
         this.previousLevels = new double[site.classes().size()];
         Arrays.fill(previousLevels, Double.POSITIVE_INFINITY);
         int classes = site.classes().size();
@@ -117,7 +118,7 @@
         this.candidatesByClass = new Candidates[classes];
         this.admissionTokens = new double[classes];
         this.tokensRefilledNs = new long[classes];
-        Arrays.fill(tokensRefilledNs, now);
+        Arrays.fill(tokensRefilledNs, nowNs);
         Arrays.fill(admissionTokens, 1);
     }
 
@@ -270,13 +271,13 @@
     // ---- routing decisions ---------------------------------------------------------------------------
 
     /** Whether a request of a class is admitted now; if not, it must be refused at once. May use a token. */
-    public boolean tryAdmit(int cls, long now) {
+    public boolean tryAdmit(int cls, long nowNs) {
         double level = Double.POSITIVE_INFINITY;
         level = overallLevels[cls] == null ? level : Math.min(level, overallLevels[cls].level());
         level = boundTables[cls].levels[cls] == null ? level
                 : Math.min(level, boundTables[cls].levels[cls].level());
-        if (policy.safeLevel() >= 0 && now - controllerHeardNs > policy.leaseNs()) {
-            return creditRetryBudget(takeToken(cls, Math.min(rateLimit(level), policy.safeLevel()), now));
+        if (policy.safeLevel() >= 0 && nowNs - controllerHeardNs > policy.leaseNs()) {
+            return creditRetryBudget(takeToken(cls, Math.min(rateLimit(level), policy.safeLevel()), nowNs));
         }
         if (site.admission() == Admission.OFF || Double.isInfinite(level)) {
             previousLevels[cls] = Double.POSITIVE_INFINITY;
@@ -285,7 +286,7 @@
         if (site.admission() == Admission.SHARE) {
             return creditRetryBudget(level >= 1 || random.nextDouble() < level);
         }
-        return creditRetryBudget(takeToken(cls, level, now));
+        return creditRetryBudget(takeToken(cls, level, nowNs));
     }
 
     /** The level as a rate limit; infinite if levels are shares or switched off. */
@@ -297,13 +298,13 @@
      * Token bucket of a class. Time since the last call is credited at the lower of the previous and the
      * current level, so that a raised level grants no burst.
      */
-    private boolean takeToken(int cls, double level, long now) {
+    private boolean takeToken(int cls, double level, long nowNs) {
         double capacity = Math.max(1, level * BURST_SECONDS);
         double fillRate = Math.min(level, previousLevels[cls]);
         previousLevels[cls] = level;
         admissionTokens[cls] = Math.min(capacity, admissionTokens[cls]
-                + fillRate * (now - tokensRefilledNs[cls]) / NS_PER_SECOND);
-        tokensRefilledNs[cls] = now;
+                + fillRate * (nowNs - tokensRefilledNs[cls]) / NS_PER_SECOND);
+        tokensRefilledNs[cls] = nowNs;
         if (admissionTokens[cls] < 1) {
             return false;
         }
@@ -318,9 +319,9 @@
         return admitted;
     }
 
-    /** Renews the lease of levels and tables: a controller was heard at {@code now}. */
-    public void onControllerMessage(long now) {
-        controllerHeardNs = now;
+    /** Renews the lease of levels and tables: a controller was heard at {@code nowNs}. */
+    public void onControllerMessage(long nowNs) {
+        controllerHeardNs = nowNs;
     }
 
     /** Backends of a class's table that are not withdrawn, in arrays so that a pick allocates nothing. */
@@ -383,8 +384,8 @@
         }
 
         /** Whether a backend may be picked; {@code notEjected} leaves out ejected ones. */
-        boolean isEligible(int i, Set<Backend> tried, long now, boolean notEjected) {
-            return !(notEjected && states[i].ejectedUntilNs > now) && (tried.isEmpty()
+        boolean isEligible(int i, Set<Backend> tried, long nowNs, boolean notEjected) {
+            return !(notEjected && states[i].ejectedUntilNs > nowNs) && (tried.isEmpty()
                     || !tried.contains(backends[i]));
         }
     }
@@ -409,14 +410,14 @@
      * The backend for a try, or null if the table has no backend that is not in {@code tried}. Ejected
      * backends are used only if there is no other.
      */
-    public Backend pick(int cls, Set<Backend> tried, long now) {
+    public Backend pick(int cls, Set<Backend> tried, long nowNs) {
         Candidates all = candidates(cls);
         if (site.choice() == Site.Choice.ROUND) {
-            return pickRoundRobin(all, tried, now);
+            return pickRoundRobin(all, tried, nowNs);
         }
-        int picked = drawCandidate(all, tried, now);
+        int picked = drawCandidate(all, tried, nowNs);
         if (picked >= 0 && site.choice() == Site.Choice.TWO) {
-            int other = drawCandidate(all, tried, now);
+            int other = drawCandidate(all, tried, nowNs);
             picked = all.states[other].triesInFlight < all.states[picked].triesInFlight ? other : picked;
         }
         return picked < 0 ? null : all.backends[picked];
@@ -426,41 +427,42 @@
      * Index of a backend drawn by weight: by a few random draws, which suffice where most backends are
      * eligible, else by a scan of all. -1 if none is eligible.
      */
-    private int drawCandidate(Candidates all, Set<Backend> tried, long now) {
+    private int drawCandidate(Candidates all, Set<Backend> tried, long nowNs) {
         for (int i = 0; i < MAX_RANDOM_DRAWS && all.backends.length > 0; i++) {
             int drawn = all.draw(random);
-            if (all.isEligible(drawn, tried, now, true)) {
+            if (all.isEligible(drawn, tried, nowNs, true)) {
                 return drawn;
             }
         }
-        double notEjectedWeight = eligibleWeight(all, tried, now, true);
+        double notEjectedWeight = eligibleWeight(all, tried, nowNs, true);
         if (notEjectedWeight > 0) {
-            return drawCandidate(all, tried, now, true, notEjectedWeight);
+            return drawCandidate(all, tried, nowNs, true, notEjectedWeight);
         }
-        double weight = eligibleWeight(all, tried, now, false);
-        return weight > 0 ? drawCandidate(all, tried, now, false, weight) : -1;
+        double weight = eligibleWeight(all, tried, nowNs, false);
+        return weight > 0 ? drawCandidate(all, tried, nowNs, false, weight) : -1;
     }
 
-    private Backend pickRoundRobin(Candidates all, Set<Backend> tried, long now) {
-        double notEjectedWeight = eligibleWeight(all, tried, now, true);
-        double weight = notEjectedWeight > 0 ? notEjectedWeight : eligibleWeight(all, tried, now, false);
-        return weight > 0 ? all.backends[nextRoundRobin(all, tried, now, notEjectedWeight > 0, weight)]
+    private Backend pickRoundRobin(Candidates all, Set<Backend> tried, long nowNs) {
+        double notEjectedWeight = eligibleWeight(all, tried, nowNs, true);
+        double weight = notEjectedWeight > 0 ? notEjectedWeight : eligibleWeight(all, tried, nowNs, false);
+        return weight > 0 ? all.backends[nextRoundRobin(all, tried, nowNs, notEjectedWeight > 0, weight)]
                 : null;
     }
 
-    private static double eligibleWeight(Candidates all, Set<Backend> tried, long now, boolean notEjected) {
+    private static double eligibleWeight(Candidates all, Set<Backend> tried, long nowNs, boolean notEjected) {
         double sum = 0;
         for (int i = 0; i < all.backends.length; i++) {
-            sum += all.isEligible(i, tried, now, notEjected) ? all.weights[i] : 0;
+            sum += all.isEligible(i, tried, nowNs, notEjected) ? all.weights[i] : 0;
         }
         return sum;
     }
 
-    private int drawCandidate(Candidates all, Set<Backend> tried, long now, boolean notEjected, double sum) {
+    private int drawCandidate(Candidates all, Set<Backend> tried, long nowNs, boolean notEjected,
+            double sum) {
         double remaining = random.nextDouble() * sum;
         int last = -1;
         for (int i = 0; i < all.backends.length; i++) {
-            if (all.isEligible(i, tried, now, notEjected)) {
+            if (all.isEligible(i, tried, nowNs, notEjected)) {
                 last = i;
                 remaining -= all.weights[i];
                 if (remaining < 0) {
@@ -472,11 +474,11 @@
     }
 
     /** Smooth weighted round robin: all gain their weight, the richest pays the sum. */
-    private static int nextRoundRobin(Candidates all, Set<Backend> tried, long now, boolean notEjected,
+    private static int nextRoundRobin(Candidates all, Set<Backend> tried, long nowNs, boolean notEjected,
             double sum) {
         int best = -1;
         for (int i = 0; i < all.backends.length; i++) {
-            if (all.isEligible(i, tried, now, notEjected)) {
+            if (all.isEligible(i, tried, nowNs, notEjected)) {
                 all.roundRobinCredits[i] += all.weights[i];
                 best = best < 0 || all.roundRobinCredits[i] > all.roundRobinCredits[best] ? i : best;
             }
@@ -495,13 +497,13 @@
     }
 
     /** A try ended. A backend with as many consecutive failures as the site states is ejected for a time. */
-    public void onTryEnded(Backend backend, boolean good, long now) {
+    public void onTryEnded(Backend backend, boolean good, long nowNs) {
         BackendState state = backendState(backend);
         state.triesInFlight--;
         state.consecutiveFailures = good ? 0 : state.consecutiveFailures + 1;
         if (site.ejects() > 0 && state.consecutiveFailures >= site.ejects()) {
             state.consecutiveFailures = 0;
-            state.ejectedUntilNs = now + site.ejectFor();
+            state.ejectedUntilNs = nowNs + site.ejectFor();
         }
     }
 
@@ -527,9 +529,9 @@
      *
      * @param tries tries so far
      * @param neverRan whether the failed try is proven not to have run
-     * @param left nanoseconds to the deadline
+     * @param remainingNs time to the deadline
      */
-    public boolean mayRetry(int cls, int tries, boolean neverRan, long left) {
+    public boolean mayRetry(int cls, int tries, boolean neverRan, long remainingNs) {
         Frame.Level level = boundTables[cls].levels[cls] == null ? overallLevels[cls]
                 : boundTables[cls].levels[cls];
         Retry order = level == null ? site.usualRetry() : level.retry();
@@ -541,7 +543,7 @@
             case TWICE -> tries <= 2;
         };
         return ordered && safe
-                && left > MIN_REMAINING_DEADLINE_FRACTION * site.classes().get(cls).deadline()
+                && remainingNs > MIN_REMAINING_DEADLINE_FRACTION * site.classes().get(cls).deadline()
                 && spendRetryCredit();
     }
 
--- a/src/main/java/rowanmoor/proxy/Tallies.java
+++ b/src/main/java/rowanmoor/proxy/Tallies.java
@@ -21,9 +21,9 @@
     private final TreeMap<Integer, Counts> byClass = new TreeMap<>();
     private long sinceNs;
 
-    /** Starts the first report's span at {@code now}. */
-    public Tallies(long now) {
-        sinceNs = now;
+    /** Starts the first report's span at {@code nowNs}. */
+    public Tallies(long nowNs) {
+        sinceNs = nowNs;
     }
 
     /**
@@ -56,9 +56,9 @@
     }
 
     /** Returns the counts since the last report and resets them; has no entries if nothing was counted. */
-    public Frame.Report takeReport(long now) {
-        long spanNs = now - sinceNs;
-        sinceNs = now;
+    public Frame.Report takeReport(long nowNs) {
+        long spanNs = nowNs - sinceNs;
+        sinceNs = nowNs;
         List<Frame.Tally> tallies = new ArrayList<>();
         byBackend.forEach((backend, counts) -> tallies.add(new Frame.Tally(backend, counts.count,
                 counts.failed, counts.latencyNs, spanNs, counts.load)));
--- a/src/main/java/rowanmoor/proxy/Tap.java
+++ b/src/main/java/rowanmoor/proxy/Tap.java
@@ -12,11 +12,11 @@
     Tap NONE = new Tap() { };
 
     /** A stream to a controller was opened; {@code stream} is its number within the proxy. */
-    default void opened(int proxy, int stream, long now) { }
+    default void opened(int proxy, int stream, long nowNs) { }
 
     /** Bytes were read. The buffer is valid during the call only. */
-    default void read(int proxy, int stream, long now, ByteBuffer bytes) { }
+    default void read(int proxy, int stream, long nowNs, ByteBuffer bytes) { }
 
     /** The stream has closed. */
-    default void closed(int proxy, int stream, long now) { }
+    default void closed(int proxy, int stream, long nowNs) { }
 }
--- a/src/main/java/rowanmoor/proxy/TapFile.java
+++ b/src/main/java/rowanmoor/proxy/TapFile.java
@@ -32,21 +32,21 @@
     }
 
     @Override
-    public void opened(int proxy, int stream, long now) {
-        write(OPENED, proxy, stream, now, ByteBuffer.allocate(0));
+    public void opened(int proxy, int stream, long nowNs) {
+        write(OPENED, proxy, stream, nowNs, ByteBuffer.allocate(0));
     }
 
     @Override
-    public void read(int proxy, int stream, long now, ByteBuffer bytes) {
-        write(READ, proxy, stream, now, bytes);
+    public void read(int proxy, int stream, long nowNs, ByteBuffer bytes) {
+        write(READ, proxy, stream, nowNs, bytes);
     }
 
     @Override
-    public void closed(int proxy, int stream, long now) {
-        write(CLOSED, proxy, stream, now, ByteBuffer.allocate(0));
+    public void closed(int proxy, int stream, long nowNs) {
+        write(CLOSED, proxy, stream, nowNs, ByteBuffer.allocate(0));
     }
 
-    private void write(int kind, int proxy, int stream, long now, ByteBuffer bytes) {
+    private void write(int kind, int proxy, int stream, long nowNs, ByteBuffer bytes) {
         if (writeError != null) {
             return;
         }
@@ -56,7 +56,7 @@
             out.writeByte(kind);
             out.writeShort(proxy);
             out.writeInt(stream);
-            out.writeLong(now);
+            out.writeLong(nowNs);
             out.writeInt(copy.length);
             out.write(copy);
         } catch (IOException e) {
@@ -83,7 +83,7 @@
             for (int kind = in.read(); kind >= 0; kind = in.read()) {
                 int proxy = in.readUnsignedShort();
                 int stream = in.readInt();
-                long at = in.readLong();
+                long timeNs = in.readLong();
                 int count = in.readInt();
                 if (count < 0 || count > MAX_RECORD_BYTES) {
                     throw new IOException(file + ": record of " + count + " bytes, allowed are 0 to "
@@ -92,9 +92,9 @@
                 byte[] bytes = new byte[count];
                 in.readFully(bytes);
                 switch (kind) {
-                    case OPENED -> to.opened(proxy, stream, at);
-                    case READ -> to.read(proxy, stream, at, ByteBuffer.wrap(bytes));
-                    case CLOSED -> to.closed(proxy, stream, at);
+                    case OPENED -> to.opened(proxy, stream, timeNs);
+                    case READ -> to.read(proxy, stream, timeNs, ByteBuffer.wrap(bytes));
+                    case CLOSED -> to.closed(proxy, stream, timeNs);
                     default -> throw new IOException(file + ": record of unknown kind " + kind);
                 }
             }
