--- a/src/main/java/rowanmoor/controller/Driver.java
+++ b/src/main/java/rowanmoor/controller/Driver.java
@@ -21,19 +21,19 @@
 import rowanmoor.ControlApi.Watch;
 import rowanmoor.channel.Frame;
 import rowanmoor.host.Fanout;
-import rowanmoor.host.Turns;
+import rowanmoor.host.TickRunner;
 
 /**
  * One {@link RoutingPolicy} and all that stands between it and the sockets, without any I/O: feeds it what was
  * heard, in one order; turns what it orders into one message for each proxy concerned; paces the channel.
- * Its caller passes the time and carries out what {@link Outside} asks.
+ * Its caller passes the time and carries out what {@link Environment} asks.
  *
- * <p>The order within a tick is that of {@link Turns}.
+ * <p>The order within a tick is that of {@link TickRunner}.
  */
 public final class Driver {
 
     /** What a tick asks of the world outside. */
-    public interface Outside {
+    public interface Environment {
 
         void watch(boolean on);
 
@@ -45,7 +45,7 @@
         void log(String text);
 
         /** What was fed and what was ordered in one tick. */
-        default void decided(long now, List<Event> events, List<Action> actions, long took) { }
+        default void onDecision(long now, List<Event> events, List<Action> actions, long took) { }
     }
 
     /** A message before it has a version: an update's orders, or null for a snapshot. */
@@ -64,8 +64,8 @@
 
     private final Settings settings;
     private final long epoch;
-    private final Outside outside;
-    private final Turns turns;
+    private final Environment outside;
+    private final TickRunner turns;
     private final Fanout fanout;
     private final Intake intake;
     private final Outbox<Draft> outbox;
@@ -77,74 +77,74 @@
      * @param epoch names this start of this controller; never the same twice
      * @param stopwatch a clock for measuring how long the module takes, and for nothing else
      */
-    public Driver(Settings settings, long seed, long epoch, long now, Outside outside,
+    public Driver(Settings settings, long seed, long epoch, long now, Environment outside,
             LongSupplier stopwatch) {
         this.settings = settings;
-        this.turns = new Turns(settings, seed, stopwatch);
+        this.turns = new TickRunner(settings, seed, stopwatch);
         this.fanout = new Fanout(settings.classes().size());
         this.epoch = epoch;
         this.outside = outside;
-        this.intake = new Intake(settings.hearsPerSecond(), settings.period(), now);
+        this.intake = new Intake(settings.reportLinesPerSecond(), settings.reportInterval(), now);
         this.outbox = new Outbox<>(settings.channel().linesPerSecond(), now);
     }
 
     // ---- what is heard -------------------------------------------------------------------------------
 
-    public void hearList(Members members) {
-        fanout.hearList(members);
-        turns.hearList(members);
+    public void onMembers(Members members) {
+        fanout.onCatalog(members);
+        turns.onCatalog(members);
     }
 
-    public void hearProbe(ControlApi.Probed probed) {
-        turns.hearProbe(probed);
+    public void onProbeResult(ControlApi.Probed probed) {
+        turns.onProbeResult(probed);
     }
 
     /** A proxy's stream is up. It gets a snapshot without bindings, which it answers by keeping its own. */
-    public void joined(long now, Frame.Hello hello) {
+    public void onProxyJoined(long now, Frame.Hello hello) {
         fanout.join(hello.proxy());
         Peer peer = new Peer(hello.zone());
         peers.put(hello.proxy(), peer);
-        turns.hearStream(new ProxyJoined(hello.proxy(), hello.zone(), hello.rate(), hello.fresh()));
+        turns.onStreamEvent(new ProxyJoined(hello.proxy(), hello.zone(), hello.requestsPerSecond(), hello.fresh()));
         outside.send(hello.proxy(), snapshot(hello.proxy(), peer, now));
     }
 
-    public void left(int proxy) {
+    public void onProxyLeft(int proxy) {
         if (peers.remove(proxy) != null) {
             fanout.leave(proxy);
-            turns.hearStream(new ProxyLeft(proxy));
+            turns.onStreamEvent(new ProxyLeft(proxy));
             outbox.drop(proxy);
         }
     }
 
     /** A mark was answered; one of another epoch, or one never set, is not passed on. */
-    public void applied(long now, int proxy, Frame.Applied applied) {
+    public void onApplied(long now, int proxy, Frame.Applied applied) {
         Long since = applied.epoch() == epoch ? markedAt.get(applied.mark()) : null;
         if (since != null && peers.containsKey(proxy)) {
-            turns.hearStream(new Applied(proxy, applied.mark(), now - since));
+            turns.onStreamEvent(new Applied(proxy, applied.mark(), now - since));
         }
     }
 
     /** Takes a report in; what it says of backends never listed is counted and left out. */
-    public void report(int proxy, Frame.Report report) {
+    public void onReport(int proxy, Frame.Report report) {
         Peer peer = peers.get(proxy);
         if (peer == null) {
             return;
         }
-        List<Frame.Tally> known = report.tallies().stream().filter(t -> fanout.knows(t.backend()))
+        List<Frame.Tally> known = report.tallies().stream().filter(t -> fanout.isKnown(t.backend()))
                 .toList();
-        List<Frame.Use> uses = report.uses().stream().filter(u -> u.cls() < settings.classes().size())
+        List<Frame.Use> uses = report.usages().stream().filter(u -> u.cls() < settings.classes().size())
                 .toList();
-        unlisted += report.tallies().size() - known.size() + report.uses().size() - uses.size();
+        unlisted += report.tallies().size() - known.size() + report.usages().size() - uses.size();
         intake.hear(proxy, peer.zone, new Frame.Report(known, uses));
     }
 
     /** A proxy has lost the thread: all that is ordered for it is sent anew, through the channel. */
-    public void resync(long now, int proxy) {
+    public void onResync(long now, int proxy) {
         Peer peer = peers.get(proxy);
         if (peer != null && !peer.snapshotWaits) {
             peer.snapshotWaits = true; // however often it asks, one at a time waits in the channel
             Frame.Snapshot whole = snapshot(proxy, peer, now);
-            double lines = settings.channel().head() + whole.withdrawn().size() + whole.tables().stream()
+            double lines = settings.channel().messageOverhead() + whole.withdrawn().size() + whole.tables().stream()
                     .mapToInt(t -> 1 + t.lines().size() + t.levels().size()).sum();
             outbox.add(now, proxy, new Draft(null, whole), lines);
         }
@@ -155,35 +155,35 @@
         List<Frame.Binding> bound = new ArrayList<>();
         bindings.forEach((table, classes) -> bound.add(new Frame.Binding(table, classes)));
         return new Frame.Snapshot(epoch, peer.version, now, Math.round(outbox.waiting()),
-                bindings.keySet().stream().map(fanout.store()::whole).toList(), bound,
-                List.copyOf(fanout.withdrawnOf(bindings.keySet())), List.of());
+                bindings.keySet().stream().map(fanout.store()::snapshot).toList(), bound,
+                List.copyOf(fanout.withdrawnIn(bindings.keySet())), List.of());
     }
 
     // ---- a tick --------------------------------------------------------------------------------------
 
     /** Feeds what was heard, lets the module decide if there was anything, sends what may leave. */
     public void tick(long now) {
-        if (turns.knowsBackends()) {
-            intake.release(now, turns::hearReport);
+        if (turns.hasSeenBackends()) {
+            intake.release(now, turns::onReport);
         }
-        Turns.Turn turn = turns.turn(now);
+        TickRunner.TickResult turn = turns.runTick(now);
         if (turn != null) {
             carryOut(now, turn.actions());
-            outside.decided(now, turn.events(), turn.actions(), turn.took());
+            outside.onDecision(now, turn.events(), turn.actions(), turn.decisionTime());
         }
         depart(now);
     }
 
     /** When a tick is next due, if nothing more is heard. */
-    public long nextAt() {
-        long told = turns.knowsBackends() ? intake.nextAt() : Long.MAX_VALUE;
-        return Math.min(turns.nextAt(), Math.min(told, outbox.nextAt()));
+    public long nextTickAt() {
+        long told = turns.hasSeenBackends() ? intake.nextAt() : Long.MAX_VALUE;
+        return Math.min(turns.nextTickAt(), Math.min(told, outbox.nextAt()));
     }
 
     private void carryOut(long now, List<Action> actions) {
-        fanout.messages(actions).forEach((proxy, orders) -> outbox.add(now, proxy,
+        fanout.ordersByProxy(actions).forEach((proxy, orders) -> outbox.add(now, proxy,
                 new Draft(List.copyOf(orders), null),
-                settings.channel().head() + orders.stream().mapToInt(Frame::lines).sum()));
+                settings.channel().messageOverhead() + orders.stream().mapToInt(Frame::lineCount).sum()));
         for (Action action : actions) {
             if (action instanceof Mark a) {
                 markedAt.put(a.number(), now);
@@ -216,7 +216,7 @@
                 Frame.Snapshot s = draft.snapshot();
                 peer.snapshotWaits = false;
                 outside.send(entry.proxy(), new Frame.Snapshot(epoch, ++peer.version, entry.orderedAt(),
-                        waiting, s.tables(), s.bindings(), s.withdrawn(), s.overall()));
+                        waiting, s.tables(), s.bindings(), s.withdrawn(), s.globalLevels()));
             }
         }
     }
@@ -227,7 +227,7 @@
         return epoch;
     }
 
-    public int joinedCount() {
+    public int joinedProxyCount() {
         return peers.size();
     }
 
@@ -236,29 +236,29 @@
     }
 
     /** Lines that wait in the channel, heads among them. */
-    public double waitingLines() {
+    public double queuedLines() {
         return outbox.waiting();
     }
 
-    public double mostWaitingLines() {
+    public double maxQueuedLines() {
         return outbox.mostWaiting();
     }
 
-    public double totalLines() {
+    public double totalQueuedLines() {
         return outbox.totalLines();
     }
 
-    public int mostWaitingReports() {
+    public int maxPendingReportLines() {
         return intake.mostWaiting();
     }
 
     /** Backends that reports are taken of: listed, or gone but not yet let go by the module. */
     int backendsKnown() {
-        return fanout.backendsKnown();
+        return fanout.knownBackendCount();
     }
 
     /** Report lines of backends never listed, or of classes that do not exist. */
-    public long unlistedReports() {
+    public long ignoredReportLines() {
         return unlisted;
     }
 }
--- a/src/main/java/rowanmoor/controller/Trace.java
+++ b/src/main/java/rowanmoor/controller/Trace.java
@@ -21,7 +21,7 @@
 /**
  * What a module was told and what it ordered, tick by tick, as JSON lines: enough to feed another instance
  * the same and compare. The first line has the settings and the seed. It is written beside the loop
- * ({@link LineFile}): a disk that stalls or is full ends the trace, and nothing else.
+ * ({@link AsyncLineWriter}): a disk that stalls or is full ends the trace, and nothing else.
  */
 public final class Trace implements Closeable {
 
@@ -30,7 +30,7 @@
 
     private static final ObjectMapper JSON = mapper();
     private static final long CHARS_MOST = 1 << 25;
-    private final LineFile out;
+    private final AsyncLineWriter out;
 
     private static ObjectMapper mapper() {
         ObjectMapper mapper = new ObjectMapper();
@@ -47,7 +47,7 @@
 
     /** @param lost hears once, on any thread, why the trace has ended before its time */
     Trace(Path file, Settings settings, long seed, Consumer<String> lost) throws IOException {
-        out = new LineFile(Files.newBufferedWriter(file), CHARS_MOST, lost);
+        out = new AsyncLineWriter(Files.newBufferedWriter(file), CHARS_MOST, lost);
         ObjectNode head = JSON.createObjectNode();
         head.put("seed", seed);
         head.set("settings", JSON.valueToTree(settings));
@@ -55,7 +55,7 @@
     }
 
     void write(long now, List<Event> events, List<Action> actions) {
-        if (!out.open()) {
+        if (!out.isOpen()) {
             return;
         }
         ObjectNode tick = JSON.createObjectNode();
@@ -90,10 +90,10 @@
      * What a replay found. {@code difference} is null if all orders are the same; a cut last line is
      * told.
      */
-    public record Replay(int ticks, int events, int actions, boolean cut, String difference) { }
+    public record ReplayResult(int ticks, int events, int actions, boolean truncated, String difference) { }
 
     /** Feeds a trace's events to a new instance and compares what it orders with what was ordered. */
-    public static Replay replay(Path file) throws IOException {
+    public static ReplayResult replay(Path file) throws IOException {
         int ticks = 0;
         int events = 0;
         int actions = 0;
@@ -106,7 +106,7 @@
                 try {
                     tick = JSON.readTree(line);
                 } catch (IOException e) {
-                    return new Replay(ticks, events, actions, true, null);
+                    return new ReplayResult(ticks, events, actions, true, null);
                 }
                 long now = tick.get("at").asLong();
                 List<Event> heard = JSON.readerFor(new TypeReference<List<Event>>() { })
@@ -117,11 +117,11 @@
                 events += heard.size();
                 actions += ordered.size();
                 if (!ordered.equals(tick.get("actions"))) {
-                    return new Replay(ticks, events, actions, false, "tick " + ticks + " at " + now
+                    return new ReplayResult(ticks, events, actions, false, "tick " + ticks + " at " + now
                             + ": ordered " + tick.get("actions") + ", replayed " + ordered);
                 }
             }
         }
-        return new Replay(ticks, events, actions, false, null);
+        return new ReplayResult(ticks, events, actions, false, null);
     }
 }
--- a/src/main/java/rowanmoor/emulator/Emulator.java
+++ b/src/main/java/rowanmoor/emulator/Emulator.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.Effect;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.Idempotency;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
 import rowanmoor.ControlApi.Probed;
@@ -66,7 +66,7 @@
     private final SplittableRandom ways;
     private final Station[] stations;
     private final Backend[] backends;
-    private final Listed[] listed;
+    private final Availability[] listed;
     private final long[] startedAt;
     private final Router[] routers;
     private final Tallies[] tallies;
@@ -149,12 +149,12 @@
         int proxies = model.proxyZones().length;
         this.stations = new Station[count];
         this.backends = new Backend[count];
-        this.listed = new Listed[count];
+        this.listed = new Availability[count];
         this.startedAt = new long[count];
         for (int b = 0; b < count; b++) {
             stations[b] = new Station(model.machines().get(b), START);
             backends[b] = new Backend(0x0a0000000000L + ((long) b << 16) + 80);
-            listed[b] = Listed.READY;
+            listed[b] = Availability.READY;
         }
         this.busyAt = new long[count];
         Arrays.fill(busyAt, START);
@@ -466,7 +466,7 @@
         stamp[request]++;
         tryStamp[request]++;
         var spec = model.site().classes().get(cls[request]);
-        boolean may = refused || spec.effect() == Effect.SAFE;
+        boolean may = refused || spec.idempotency() == Idempotency.SAFE;
         if (may && clientTries[request] <= model.retries()
                 && now + model.backoff() < arrivedAt[request] + spec.deadline()) {
             agenda.add(now + model.backoff(), RETRY, request, 0);
@@ -644,7 +644,7 @@
         int c = joinedTo[p];
         if (c >= 0 && !cut[p]) {
             Frame.Report report = tallies[p].takeReport(now);
-            if (!report.tallies().isEmpty() || !report.uses().isEmpty()) {
+            if (!report.tallies().isEmpty() || !report.usages().isEmpty()) {
                 agenda.add(now + model.sameZone(), HEARD, p, parcel(withLoad(report)));
             }
         }
@@ -663,7 +663,7 @@
         }
         return new Frame.Report(report.tallies().stream().map(t -> new Frame.Tally(t.backend(), t.tries(),
                 t.failed(), t.latencySum(), t.span(), t.tries() == t.failed() ? List.of()
-                        : load((int) (t.backend().id() >> 16 & 0xffffff)))).toList(), report.uses());
+                        : load((int) (t.backend().id() >> 16 & 0xffffff)))).toList(), report.usages());
     }
 
     private void dropIdle(int p) {
@@ -823,7 +823,7 @@
     /** A message under way to a proxy's stream. */
     private record Sent(int stream, Frame frame) { }
 
-    private final class Surroundings implements Driver.Outside {
+    private final class Surroundings implements Driver.Environment {
         private final int rank;
 
         Surroundings(int rank) {
@@ -843,7 +843,7 @@
 
         @Override
         public void send(int p, Frame frame) {
-            long late = (long) (model.site().channel().late() * (0.5 + ways.nextDouble()));
+            long late = (long) (model.site().channel().typicalDelay() * (0.5 + ways.nextDouble()));
             lastMessage[p] = Math.max(lastMessage[p], now + late);
             agenda.add(lastMessage[p], MESSAGE, p, parcel(new Sent(stream[p], frame)));
         }
@@ -852,7 +852,7 @@
         public void log(String text) { }
 
         @Override
-        public void decided(long at, List<rowanmoor.ControlApi.Event> heard,
+        public void onDecision(long at, List<rowanmoor.ControlApi.Event> heard,
                 List<rowanmoor.ControlApi.Action> ordered, long took) {
             outcome.controllers().get(rank).decisions++;
         }
@@ -861,7 +861,7 @@
     private void startController(int rank, long seed) {
         drivers[rank] = new Driver(model.site().settings(drivers.length), seed, ++epochs, now,
                 new Surroundings(rank), () -> 0);
-        drivers[rank].hearList(new Members(ListKind.CACHED, version, List.of()));
+        drivers[rank].onMembers(new Members(CatalogUpdateKind.CACHED, version, List.of()));
         dead[rank] = false;
         tickAt[rank] = Long.MAX_VALUE;
         tickBy(rank, now);
@@ -869,9 +869,9 @@
 
     private void settle(int rank) {
         Outcome.ControllerMet met = outcome.controllers().get(rank);
-        met.mostLines = Math.max(met.mostLines, drivers[rank].mostWaitingLines());
-        met.lines += drivers[rank].totalLines();
-        met.mostReports = Math.max(met.mostReports, drivers[rank].mostWaitingReports());
+        met.mostLines = Math.max(met.mostLines, drivers[rank].maxQueuedLines());
+        met.lines += drivers[rank].totalQueuedLines();
+        met.mostReports = Math.max(met.mostReports, drivers[rank].maxPendingReportLines());
     }
 
     private void tickBy(int rank, long time) {
@@ -889,7 +889,7 @@
         tickAt[rank] = Long.MAX_VALUE;
         lastTick[rank] = now;
         drivers[rank].tick(now);
-        long next = drivers[rank].nextAt();
+        long next = drivers[rank].nextTickAt();
         if (next != Long.MAX_VALUE) {
             tickBy(rank, Math.max(next, now));
         }
@@ -911,7 +911,7 @@
         boolean fresh = routers[p].hasOnlyStandingTable();
         routers[p].onStreamOpened();
         double rate = model.rate() * model.proxyWeights()[p] / proxySums[proxySums.length - 1];
-        drivers[rank].joined(now, new Frame.Hello(Frame.PROTOCOL, p, p, model.proxyZones()[p], rate, fresh,
+        drivers[rank].onProxyJoined(now, new Frame.Hello(Frame.PROTOCOL_VERSION, p, p, model.proxyZones()[p], rate, fresh,
                 routers[p].epoch(), routers[p].version(), "p"));
         tickBy(rank, now);
     }
@@ -944,9 +944,9 @@
             return;
         }
         if (frame instanceof Frame.Applied applied) {
-            drivers[rank].applied(now, p, applied);
+            drivers[rank].onApplied(now, p, applied);
         } else if (frame instanceof Frame.Report report) {
-            drivers[rank].report(p, report);
+            drivers[rank].onReport(p, report);
         }
         tickBy(rank, now);
     }
@@ -957,7 +957,7 @@
             int most = model.machines().get(b).connections();
             boolean full = idle != null && most > 0 && connections[b] >= most; // a probe needs one of its own
             boolean up = !down && !full;
-            drivers[rank].hearProbe(new Probed(backends[b], up, up ? Prober.STATUS_OK : down ? Prober.STATUS_UNREACHABLE
+            drivers[rank].onProbeResult(new Probed(backends[b], up, up ? Prober.STATUS_OK : down ? Prober.STATUS_UNREACHABLE
                     : Prober.STATUS_CONNECTION_LOST, 2 * model.sameZone(), up ? load(b) : List.of()));
             tickBy(rank, now);
         }
@@ -969,17 +969,17 @@
             return;
         }
         if (rosterDown) {
-            drivers[rank].hearList(new Members(ListKind.FAILED, version, List.of()));
+            drivers[rank].onMembers(new Members(CatalogUpdateKind.FAILED, version, List.of()));
         } else {
             List<Member> members = new ArrayList<>();
             for (int b = 0; b < backends.length; b++) {
                 Model.Machine m = model.machines().get(b);
-                if (listed[b] != Listed.GONE) {
+                if (listed[b] != Availability.GONE) {
                     members.add(new Member(backends[b], m.zone(), m.kind(), 0, listed[b], m.weight(),
                             startedAt[b]));
                 }
             }
-            drivers[rank].hearList(new Members(ListKind.FULL, version, members));
+            drivers[rank].onMembers(new Members(CatalogUpdateKind.FULL, version, members));
         }
         tickBy(rank, now);
     }
@@ -994,14 +994,14 @@
                 for (int b : t.struck()) {
                     die(b);
                 }
-                tellAfter(model.notice(), number, Listed.GONE);
+                tellAfter(model.notice(), number, Availability.GONE);
             }
             case BACKENDS_FAIL -> {
                 for (int b : t.struck()) {
                     failing[b] = t.size();
                 }
             }
-            case BACKENDS_DRAIN -> tellAfter(0, number, Listed.DRAINING);
+            case BACKENDS_DRAIN -> tellAfter(0, number, Availability.DRAINING);
             case BACKENDS_SLOW -> {
                 for (int b : t.struck()) {
                     stations[b].slower(now, t.size());
@@ -1036,7 +1036,7 @@
         int rank = joinedTo[p];
         joinedTo[p] = -1;
         if (!dead[rank]) {
-            drivers[rank].left(p);
+            drivers[rank].onProxyLeft(p);
             tickBy(rank, now);
         }
         agenda.add(now + notice + (long) (REDIAL * (0.5 + ways.nextDouble())), JOIN, p, next);
@@ -1051,7 +1051,7 @@
         stations[b].restamp();
     }
 
-    private void tellAfter(long notice, int number, Listed state) {
+    private void tellAfter(long notice, int number, Availability state) {
         Model.Trouble t = model.troubles().get(number);
         for (int b : t.struck()) {
             listed[b] = state; // takes effect for controllers when they are told
@@ -1070,14 +1070,14 @@
                     stations[b].restart(now);
                     startedAt[b] = now;
                 }
-                tellAfter(model.notice(), number, Listed.READY);
+                tellAfter(model.notice(), number, Availability.READY);
             }
             case BACKENDS_FAIL -> {
                 for (int b : t.struck()) {
                     failing[b] = 0;
                 }
             }
-            case BACKENDS_DRAIN -> tellAfter(0, number, Listed.READY);
+            case BACKENDS_DRAIN -> tellAfter(0, number, Availability.READY);
             case BACKENDS_SLOW -> {
                 for (int b : t.struck()) {
                     stations[b].slower(now, 1);
--- a/src/main/java/rowanmoor/proxy/ChannelClient.java
+++ b/src/main/java/rowanmoor/proxy/ChannelClient.java
@@ -7,7 +7,7 @@
 import java.util.random.RandomGenerator;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import rowanmoor.channel.ChannelError;
+import rowanmoor.channel.ChannelException;
 import rowanmoor.channel.ChannelLimits;
 import rowanmoor.channel.Codec;
 import rowanmoor.channel.Frame;
@@ -77,8 +77,8 @@
             return;
         }
         controllerIndex = redial.currentController();
-        protocolVersion = oldProtocolControllers.contains(controllerIndex) ? Frame.OLDEST_PROTOCOL
-                : Frame.PROTOCOL;
+        protocolVersion = oldProtocolControllers.contains(controllerIndex) ? Frame.MIN_PROTOCOL_VERSION
+                : Frame.PROTOCOL_VERSION;
         InetSocketAddress address = config.controllers().get(controllerIndex);
         connection = loop.connect(config.localAddress(), address, Connection.Options.usual()
                 .connectWithin(config.controllerTimeoutNs()).idleAfter(config.controllerTimeoutNs()), this);
@@ -110,7 +110,7 @@
     }
 
     private void sendPendingReports() {
-        if (protocolVersion == Frame.OLDEST_PROTOCOL) {
+        if (protocolVersion == Frame.MIN_PROTOCOL_VERSION) {
             reports.sendUnnumbered(this::send);
         } else {
             reports.sendPending(this::send);
@@ -124,7 +124,7 @@
     @Override
     public void opened(Connection stream) {
         tap.opened(config.number(), ++streamNumber, loop.now());
-        reader = new FrameReader(ChannelLimits.usual());
+        reader = new FrameReader(ChannelLimits.defaults());
         boolean onlyStandingTable = router.hasOnlyStandingTable();
         router.onStreamOpened();
         resyncPending = false;
@@ -147,7 +147,7 @@
                     handle(frame);
                 }
             }
-        } catch (ChannelError e) {
+        } catch (ChannelException e) {
             send(new Frame.Goodbye(Frame.Reason.PROTOCOL, e.getMessage()));
             connection.end();
             LOG.warn("proxy {}: protocol error on the controller stream: {}", config.number(),
@@ -155,7 +155,7 @@
         }
     }
 
-    private void handle(Frame frame) throws ChannelError {
+    private void handle(Frame frame) throws ChannelException {
         if (frame instanceof Frame.Snapshot snapshot) {
             router.apply(snapshot);
             if (!up) {
@@ -182,14 +182,14 @@
                     goodbye.text());
             connection.close(Close.LOCAL, "goodbye: " + goodbye.reason());
         } else if (!(frame instanceof Frame.Pong)) {
-            throw new ChannelError("a frame that a controller may not send: "
+            throw new ChannelException("a frame that a controller may not send: "
                     + frame.getClass().getSimpleName());
         }
     }
 
-    private void handle(Frame.ReportsTaken taken) throws ChannelError {
+    private void handle(Frame.ReportsTaken taken) throws ChannelException {
         if (!reports.acknowledge(taken.upTo())) {
-            throw new ChannelError("an acknowledgement of report " + taken.upTo() + ", which was not sent");
+            throw new ChannelException("an acknowledgement of report " + taken.upTo() + ", which was not sent");
         }
         sendPendingReports();
         onReportsChanged.run();
--- a/src/main/java/rowanmoor/proxy/ForwardingPolicy.java
+++ b/src/main/java/rowanmoor/proxy/ForwardingPolicy.java
@@ -18,7 +18,7 @@
  * @param maxConnectionsPerClient limit of connections from one client address
  * @param retryBudget allowed retries as a fraction of first tries; 1 or more for as many as are ordered
  * @param refusalStatus status for a request over its level: 429 or 503
- * @param retryAfterSeconds value of {@code Retry-After} in a refusal
+ * @param retryAfterSeconds value of {@code RetryPolicy-After} in a refusal
  * @param leaseNs how long levels are kept after the last message from any controller
  * @param safeLevel requests per second and class that are admitted after the lease has expired (the paper's
  *     safe capacity); negative to keep the levels
--- a/src/main/java/rowanmoor/proxy/ReportQueue.java
+++ b/src/main/java/rowanmoor/proxy/ReportQueue.java
@@ -30,7 +30,7 @@
     void enqueueReport(long nowNs) {
         if (unacknowledged.size() < MAX_UNACKNOWLEDGED) {
             Frame.Report report = tallies.takeReport(nowNs);
-            if (!report.tallies().isEmpty() || !report.uses().isEmpty()) {
+            if (!report.tallies().isEmpty() || !report.usages().isEmpty()) {
                 unacknowledged.add(new Frame.NumberedReport(++lastReportNumber, report));
             }
         }
--- a/src/main/java/rowanmoor/proxy/Router.java
+++ b/src/main/java/rowanmoor/proxy/Router.java
@@ -8,10 +8,10 @@
 import java.util.TreeSet;
 import java.util.random.RandomGenerator;
 import rowanmoor.ControlApi;
-import rowanmoor.ControlApi.Admission;
+import rowanmoor.ControlApi.AdmissionMode;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.Effect;
-import rowanmoor.ControlApi.Retry;
+import rowanmoor.ControlApi.Idempotency;
+import rowanmoor.ControlApi.RetryPolicy;
 import rowanmoor.channel.Frame;
 import rowanmoor.config.Site;
 
@@ -160,9 +160,9 @@
         withdrawn.clear();
         withdrawn.addAll(snapshot.withdrawn());
         Arrays.fill(overallLevels, null);
-        snapshot.overall().forEach(level -> setLevels(overallLevels, level));
+        snapshot.globalLevels().forEach(level -> setLevels(overallLevels, level));
         snapshot.tables().forEach(this::replaceTable);
-        snapshot.bindings().forEach(b -> bindClasses(b.classes(), tables.computeIfAbsent(b.table(),
+        snapshot.bindings().forEach(b -> bindClasses(b.classMask(), tables.computeIfAbsent(b.table(),
                 n -> new Table(boundTables.length))));
     }
 
@@ -211,7 +211,7 @@
             table.weights.clear();
             Arrays.fill(table.levels, null);
         } else if (order instanceof Frame.Withdraw o) {
-            setWithdrawn(o.backend(), o.out());
+            setWithdrawn(o.backend(), o.withdrawn());
         } else if (order instanceof Frame.Admit o) {
             setLevels(o.table() == ControlApi.ALL_TABLES ? overallLevels : tables.computeIfAbsent(o.table(),
                     n -> new Table(boundTables.length)).levels, o.level());
@@ -223,7 +223,7 @@
             }
             o.table().lines().forEach(line -> setWithdrawn(line.backend(), false));
             o.withdrawn().forEach(backend -> setWithdrawn(backend, true));
-            bindClasses(o.classes(), replaceTable(o.table()));
+            bindClasses(o.classMask(), replaceTable(o.table()));
         }
     }
 
@@ -254,7 +254,7 @@
 
     private void setLevels(Frame.Level[] levels, Frame.Level level) {
         for (int c = 0; c < levels.length; c++) {
-            if (level.classes() == 0 || (level.classes() >> c & 1) == 1) {
+            if (level.classMask() == 0 || (level.classMask() >> c & 1) == 1) {
                 levels[c] = level;
             }
         }
@@ -279,11 +279,11 @@
         if (policy.safeLevel() >= 0 && nowNs - controllerHeardNs > policy.leaseNs()) {
             return creditRetryBudget(takeToken(cls, Math.min(rateLimit(level), policy.safeLevel()), nowNs));
         }
-        if (site.admission() == Admission.OFF || Double.isInfinite(level)) {
+        if (site.admission() == AdmissionMode.OFF || Double.isInfinite(level)) {
             previousLevels[cls] = Double.POSITIVE_INFINITY;
             return creditRetryBudget(true);
         }
-        if (site.admission() == Admission.SHARE) {
+        if (site.admission() == AdmissionMode.SHARE) {
             return creditRetryBudget(level >= 1 || random.nextDouble() < level);
         }
         return creditRetryBudget(takeToken(cls, level, nowNs));
@@ -291,7 +291,7 @@
 
     /** The level as a rate limit; infinite if levels are shares or switched off. */
     private double rateLimit(double level) {
-        return site.admission() == Admission.RATE ? level : Double.POSITIVE_INFINITY;
+        return site.admission() == AdmissionMode.RATE ? level : Double.POSITIVE_INFINITY;
     }
 
     /**
@@ -534,7 +534,7 @@
     public boolean mayRetry(int cls, int tries, boolean neverRan, long remainingNs) {
         Frame.Level level = boundTables[cls].levels[cls] == null ? overallLevels[cls]
                 : boundTables[cls].levels[cls];
-        Retry order = level == null ? site.usualRetry() : level.retry();
+        RetryPolicy order = level == null ? site.usualRetry() : level.retry();
         boolean safe = neverRan || isSafeToRepeat(cls);
         boolean ordered = switch (order) {
             case NEVER -> false;
@@ -561,15 +561,15 @@
 
     /** Whether a request that may have run already may be sent again. */
     protected boolean isSafeToRepeat(int cls) {
-        return site.classes().get(cls).effect() == Effect.SAFE;
+        return site.classes().get(cls).idempotency() == Idempotency.SAFE;
     }
 
     /** Nanoseconds that a try may take if it can be retried; 0 for no limit. */
     public long tryTimeoutNs(int cls) {
         Frame.Level level = boundTables[cls].levels[cls] == null ? overallLevels[cls]
                 : boundTables[cls].levels[cls];
-        Retry order = level == null ? site.usualRetry() : level.retry();
-        boolean bounded = (order == Retry.ONCE || order == Retry.TWICE) && isSafeToRepeat(cls);
+        RetryPolicy order = level == null ? site.usualRetry() : level.retry();
+        boolean bounded = (order == RetryPolicy.ONCE || order == RetryPolicy.TWICE) && isSafeToRepeat(cls);
         return bounded ? (long) (site.tryAims() * site.classes().get(cls).aim()) : 0;
     }
 
--- a/src/test/java/rowanmoor/perf/WireBenchmark.java
+++ b/src/test/java/rowanmoor/perf/WireBenchmark.java
@@ -15,8 +15,8 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.Retry;
-import rowanmoor.channel.ChannelError;
+import rowanmoor.ControlApi.RetryPolicy;
+import rowanmoor.channel.ChannelException;
 import rowanmoor.channel.ChannelLimits;
 import rowanmoor.channel.Codec;
 import rowanmoor.channel.Frame;
@@ -53,7 +53,7 @@
             table.add(new Frame.Line(new Backend(1000 + i), 1.5));
         }
         return new Frame.Update(1, 2, 3, 4, List.of(new Frame.Bind(3, new Frame.Table(7, table,
-                List.of(new Frame.Level(1, 10, Retry.ONCE_UNRUN))), List.of()), new Frame.Mark(7)));
+                List.of(new Frame.Level(1, 10, RetryPolicy.ONCE_UNRUN))), List.of()), new Frame.Mark(7)));
     }
 
     private static byte[] encoded(Frame frame) {
@@ -69,8 +69,8 @@
     }
 
     @Benchmark
-    public Object decodeBindOf25() throws ChannelError {
-        return new FrameReader(ChannelLimits.usual()).next(ByteBuffer.wrap(encodedBind));
+    public Object decodeBindOf25() throws ChannelException {
+        return new FrameReader(ChannelLimits.defaults()).next(ByteBuffer.wrap(encodedBind));
     }
 
     @Benchmark
@@ -79,8 +79,8 @@
     }
 
     @Benchmark
-    public Object decodeTwoLines() throws ChannelError {
-        return new FrameReader(ChannelLimits.usual()).next(ByteBuffer.wrap(encodedLines));
+    public Object decodeTwoLines() throws ChannelException {
+        return new FrameReader(ChannelLimits.defaults()).next(ByteBuffer.wrap(encodedLines));
     }
 
     @Benchmark
--- a/src/test/java/rowanmoor/proxy/ReportQueueTest.java
+++ b/src/test/java/rowanmoor/proxy/ReportQueueTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import rowanmoor.channel.ChannelError;
+import rowanmoor.channel.ChannelException;
 import rowanmoor.channel.ChannelLimits;
 import rowanmoor.channel.Codec;
 import rowanmoor.channel.Frame;
@@ -30,7 +30,7 @@
         private final List<Long> receivedNumbers = new ArrayList<>();
         private final InetSocketAddress address;
         private ReportReceiver receiver = new ReportReceiver();
-        private int supportedProtocol = Frame.PROTOCOL;
+        private int supportedProtocol = Frame.PROTOCOL_VERSION;
         private boolean acknowledges = true;
         private Frame.Goodbye refusal;
         private Frame.Goodbye receivedGoodbye;
@@ -41,7 +41,7 @@
         }
 
         private final class ControllerStream implements Handler {
-            private final FrameReader reader = new FrameReader(ChannelLimits.usual());
+            private final FrameReader reader = new FrameReader(ChannelLimits.defaults());
             private int proxy;
 
             @Override
@@ -53,7 +53,7 @@
                             handle(from, frame);
                         }
                     }
-                } catch (ChannelError e) {
+                } catch (ChannelException e) {
                     throw new AssertionError(e);
                 }
             }
@@ -62,12 +62,12 @@
                 if (frame instanceof Frame.Hello hello) {
                     join(from, hello);
                 } else if (frame instanceof Frame.NumberedReport numbered) {
-                    assertEquals(Frame.PROTOCOL, supportedProtocol, "an old controller must not receive numbered reports");
+                    assertEquals(Frame.PROTOCOL_VERSION, supportedProtocol, "an old controller must not receive numbered reports");
                     receivedNumbers.add(numbered.number());
                     if (acknowledges) {
-                        reportedRequests += receiver.hear(proxy, numbered.number()) == ReportReceiver.Verdict.TAKEN
+                        reportedRequests += receiver.receive(proxy, numbered.number()) == ReportReceiver.Verdict.ACCEPTED
                                 ? countRequests(numbered.report()) : 0;
-                        acknowledge(from, receiver.takenUpTo(proxy));
+                        acknowledge(from, receiver.lastAccepted(proxy));
                     }
                 } else if (frame instanceof Frame.Report report) {
                     reportedRequests += countRequests(report);
@@ -77,13 +77,13 @@
             }
 
             private void join(Connection from, Frame.Hello hello) {
-                if (hello.protocol() > supportedProtocol) {
+                if (hello.protocolVersion() > supportedProtocol) {
                     from.send(Codec.encode(new Frame.Goodbye(Frame.Reason.VERSION, "too new")));
                     from.end();
                     return;
                 }
                 proxy = hello.proxy();
-                receiver.streamBegins(proxy, hello.incarnation());
+                receiver.streamOpened(proxy, hello.incarnation());
                 streams.add(from);
                 from.send(Codec.encode(new Frame.Snapshot(1, 0, 0, 0, List.of(), List.of(), List.of(), List.of())));
             }
@@ -99,7 +99,7 @@
     }
 
     private static long countRequests(Frame.Report report) {
-        return report.uses().stream().mapToLong(Frame.Use::requests).sum();
+        return report.usages().stream().mapToLong(Frame.Use::requests).sum();
     }
 
     private Proxy startJoinedProxy(ScriptedController... controllers) throws IOException, ConfigError {
@@ -209,7 +209,7 @@
     @Test
     void oldProtocolControllerGetsUnnumberedReports() throws IOException, ConfigError {
         ScriptedController old = new ScriptedController();
-        old.supportedProtocol = Frame.OLDEST_PROTOCOL;
+        old.supportedProtocol = Frame.MIN_PROTOCOL_VERSION;
         Proxy proxy = Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(old.address), 0, 300 * MS,
                 60 * SECOND, List.of(), 15 * SECOND, 250 * MS, 5000, ForwardingPolicy.defaults()), loop,
                 new SplittableRandom(4), Tap.NONE);
@@ -218,7 +218,7 @@
         sendRequests(proxy, 7);
         net.runFor(2 * SECOND);
         assertEquals(7, old.reportedRequests);
-        old.supportedProtocol = Frame.PROTOCOL; // upgraded
+        old.supportedProtocol = Frame.PROTOCOL_VERSION; // upgraded
         old.newest().reset("restarted");
         net.runFor(2 * SECOND);
         sendRequests(proxy, 2);
@@ -264,7 +264,7 @@
             List<ReportReceiver> receivers = List.of(new ReportReceiver(), new ReportReceiver());
             List<List<Long>> takenByController = List.of(new ArrayList<>(), new ArrayList<>());
             int current = 0;
-            receivers.get(current).streamBegins(0, 1);
+            receivers.get(current).streamOpened(0, 1);
             queue.onStreamOpened();
             long counted = 0;
             for (int step = 0; step < 300; step++) {
@@ -278,11 +278,11 @@
                 queue.sendPending(frame -> lost || deliver((Frame.NumberedReport) frame, receivers.get(target),
                         takenByController.get(target)));
                 if (random.nextInt(2) == 0 && !lost) {
-                    assertTrue(queue.acknowledge(receivers.get(current).takenUpTo(0)), "seed " + seed);
+                    assertTrue(queue.acknowledge(receivers.get(current).lastAccepted(0)), "seed " + seed);
                 }
                 if (lost || random.nextInt(5) == 0) { // a lost report means that the stream broke
                     current = random.nextInt(2);
-                    receivers.get(current).streamBegins(0, 1);
+                    receivers.get(current).streamOpened(0, 1);
                     queue.onStreamOpened();
                 }
                 assertTrue(queue.unacknowledgedCount() <= ReportQueue.MAX_UNACKNOWLEDGED);
@@ -292,7 +292,7 @@
                 queue.enqueueReport(1000 + i);
                 queue.sendPending(frame -> deliver((Frame.NumberedReport) frame, receivers.get(last),
                         takenByController.get(last)));
-                queue.acknowledge(receivers.get(last).takenUpTo(0));
+                queue.acknowledge(receivers.get(last).lastAccepted(0));
             }
             assertTrue(queue.isSettled(), "seed " + seed);
             java.util.TreeSet<Long> taken = new java.util.TreeSet<>(takenByController.get(0));
@@ -308,9 +308,9 @@
     }
 
     private static boolean deliver(Frame.NumberedReport report, ReportReceiver receiver, List<Long> taken) {
-        ReportReceiver.Verdict verdict = receiver.hear(0, report.number());
+        ReportReceiver.Verdict verdict = receiver.receive(0, report.number());
         assertTrue(verdict != ReportReceiver.Verdict.GAP, "report " + report.number());
-        if (verdict == ReportReceiver.Verdict.TAKEN) {
+        if (verdict == ReportReceiver.Verdict.ACCEPTED) {
             taken.add(report.number());
         }
         return true;
