--- a/src/main/java/rowanmoor/proxy/ChannelClient.java
+++ b/src/main/java/rowanmoor/proxy/ChannelClient.java
@@ -189,7 +189,8 @@
 
     private void handle(Frame.ReportsTaken taken) throws ChannelException {
         if (!reports.acknowledge(taken.upTo())) {
-            throw new ChannelException("an acknowledgement of report " + taken.upTo() + ", which was not sent");
+            throw new ChannelException("an acknowledgement of report " + taken.upTo()
+                    + ", which was not sent");
         }
         sendPendingReports();
         onReportsChanged.run();
