--- a/src/main/java/rowanmoor/capture/Capture.java
+++ b/src/main/java/rowanmoor/capture/Capture.java
@@ -23,7 +23,7 @@
 public record Capture(List<LoadRecord> records, List<String> problems) {
 
     /** What a capture holds, in figures. */
-    public record Info(int records, long from, long to, int controllers, long requests, long tries,
+    public record Info(int records, long startNs, long endNs, int controllers, long requests, long tries,
             int proxies,
             int backends, long dropped, Map<String, Long> requestsByClass) { }
 
--- a/src/main/java/rowanmoor/capture/CaptureWriter.java
+++ b/src/main/java/rowanmoor/capture/CaptureWriter.java
@@ -61,7 +61,7 @@
     }
 
     /** Records that were never written. */
-    public long dropped() {
+    public long droppedRecords() {
         return totalDropped.get();
     }
 
--- a/src/main/java/rowanmoor/cli/CaptureCommands.java
+++ b/src/main/java/rowanmoor/cli/CaptureCommands.java
@@ -38,7 +38,7 @@
     @Command(name = "info", description = "Tells what a capture holds, and what of it cannot be read.")
     int info(@Parameters(paramLabel = "CAPTURE") Path path) throws IOException {
         Capture.Info info = read(path).info();
-        double seconds = (info.to() - info.from()) / 1e9;
+        double seconds = (info.endNs() - info.startNs()) / 1e9;
         return said("%d records of %d controllers over %.1f s: %d requests (%.1f/s), %d tries, %d proxies,"
                 + " %d backends, %d records dropped%nrequests by class: %s%n", info.records(),
                         info.controllers(),
--- a/src/main/java/rowanmoor/cli/Commands.java
+++ b/src/main/java/rowanmoor/cli/Commands.java
@@ -325,22 +325,22 @@
         Models.Modelled modelled = Models.of(DayFile.read(file), seed);
         modelled.leftOut().forEach(l -> out().println("left out: " + l));
         long before = System.nanoTime();
-        Outcome outcome = Emulator.play(modelled.model(), seed);
+        Outcome outcome = Emulator.run(modelled.model(), seed);
         double seconds = (System.nanoTime() - before) / 1e9;
-        double simulated = (modelled.model().settle() + modelled.model().length()) / 1e9;
+        double simulated = (modelled.model().settleNs() + modelled.model().durationNs()) / 1e9;
         for (int c = 0; c < outcome.classes().size(); c++) {
-            Outcome.ClassMet met = outcome.classes().get(c);
+            Outcome.ClassStats met = outcome.classes().get(c);
             out().printf("%-16s offered %d, good %d, late %d, failed %d; by level %d, no line %d;"
                     + " p50 %.1f ms, p99 %.1f ms%n", modelled.model().site().classNames().get(c),
                             met.offered, met.good,
-                    met.late, met.failed, met.byLevel, met.noLine,
+                    met.late, met.failed, met.rejectedByLevel, met.noBackend,
                     met.latency.getValueAtPercentile(50) / 1000.0,
                             met.latency.getValueAtPercentile(99) / 1000.0);
         }
         out().printf("service by worth %.3f, worst 10 s %.3f; most lines waiting %.0f;"
                 + " held time off by %.1e%n",
-                outcome.service(), outcome.worst(10), outcome.controllers().stream().mapToDouble(m ->
-                        m.mostLines).max().orElse(0), outcome.littleOff());
+                outcome.service(), outcome.worstService(10), outcome.controllers().stream().mapToDouble(m ->
+                        m.maxQueuedLines).max().orElse(0), outcome.littlesLawError());
         out().printf("%d events, %.1f times as fast as the day%n", outcome.events(), simulated / seconds);
         out().flush();
         return 0;
--- a/src/main/java/rowanmoor/cli/PlanCommand.java
+++ b/src/main/java/rowanmoor/cli/PlanCommand.java
@@ -28,7 +28,7 @@
 import rowanmoor.plan.Finding;
 import rowanmoor.plan.Goal;
 import rowanmoor.plan.Planner;
-import rowanmoor.plan.Runs;
+import rowanmoor.plan.SimulationRunner;
 import rowanmoor.plan.Trial;
 
 /** {@code rowanmoor plan}: asks the planner about a fleet, in the emulator. */
@@ -105,7 +105,7 @@
         Path fleet = fleets.get(0);
         DayFile day = DayFile.read(fleet);
         Model model = Models.of(day, 1).model().troubles(List.of()).length(seconds * SECOND);
-        Runs runs = (m, which) -> which.parallelStream().map(s -> Emulator.play(m, s)).toList();
+        SimulationRunner runs = (m, which) -> which.parallelStream().map(s -> Emulator.run(m, s)).toList();
         say("goal: service %.3f%s", service, worst > 0 ? String.format(Locale.ROOT, ", worst 10 s %.3f",
                 worst) : "");
         List<Estimator.Estimate> estimates = new ArrayList<>();
@@ -113,7 +113,7 @@
         if (load != null) {
             Capture capture = Capture.read(load);
             capture.problems().forEach(p -> notes.add("capture: " + p));
-            Estimator.Estimated found = new Estimator(model, runs, 1).from(capture.records());
+            Estimator.Result found = new Estimator(model, runs, 1).estimate(capture.records());
             model = found.model();
             estimates.addAll(found.estimates());
             notes.addAll(found.notes());
@@ -122,31 +122,31 @@
             model = model.rate(rate);
         }
         List<String[]> given = given(model, fleet, estimates);
-        estimates.forEach(e -> say("%-34s %9.3f %-2s (%.3f to %.3f) from %s: %s", e.what(), e.value(),
+        estimates.forEach(e -> say("%-34s %9.3f %-2s (%.3f to %.3f) from %s: %s", e.name(), e.value(),
                 e.unit(),
-                e.low(), e.high(), load, e.from()));
+                e.low(), e.high(), load, e.source()));
         given.forEach(g -> say("%-34s %s, from %s", g[0], g[1], g[2]));
         notes.forEach(n -> say("note: %s", n));
         Planner planner = new Planner(new Goal(service, worst), runs, seeds);
-        Planner.Breaks breaks = breaks(planner, model);
-        boolean broken = breaks.rate().count() > 0 && breaks.rate().mean() > 0;
+        Planner.BreakingPoint breaks = breaks(planner, model);
+        boolean broken = breaks.rate().sampleCount() > 0 && breaks.rate().mean() > 0;
         List<Planner.Sensitivity> moves = (sensitivity || report != null) && broken
                 ? planner.sensitivity(model, breaks.rate().mean()) : List.of();
-        moves.forEach(s -> say("  the breaking rate moves by %+.0f%% with %s", 100 * s.change(), s.input()));
-        Planner.Enough enough = howMany(planner, model);
-        List<Planner.Loss> losses = planner.losses(model.length(50 * SECOND), 10 * SECOND, 15 * SECOND);
-        for (Planner.Loss l : losses) {
+        moves.forEach(s -> say("  the breaking rate moves by %+.0f%% with %s", 100 * s.relativeChange(), s.input()));
+        Planner.FleetSize enough = howMany(planner, model);
+        List<Planner.LossImpact> losses = planner.evaluateLosses(model.length(50 * SECOND), 10 * SECOND, 15 * SECOND);
+        for (Planner.LossImpact l : losses) {
             say("loss of %-32s before %.3f, during %.3f, worst 10 s %.3f, back after %s%s;"
                     + " queue at %.0f%% of limit",
-                    l.what(), l.before(), l.during(), l.worst(), l.recovery() < 0 ? "never"
-                            : Math.round(l.recovery()) + " s", l.jammed() ? ", STAYS JAMMED" : "",
-                    100 * l.queueOfLimit());
+                    l.name(), l.before(), l.during(), l.worstService(), l.recoverySeconds() < 0 ? "never"
+                            : Math.round(l.recoverySeconds()) + " s", l.metastable() ? ", STAYS JAMMED" : "",
+                    100 * l.queueFraction());
         }
         if (report != null) {
             System.setProperty("java.awt.headless", "true");
-            PlanReport.write(new PlanReport.Plan(day.name(), new Goal(service, worst), model.rate(),
-                    model.machines().size(), given, estimates, notes, breaks, broken
-                            ? planner.curve(model, breaks.rate().mean()) : List.of(), enough, zonesLost,
+            PlanReport.write(new PlanReport.Plan(day.name(), new Goal(service, worst), model.requestsPerSecond(),
+                    model.backends().size(), given, estimates, notes, breaks, broken
+                            ? planner.serviceCurve(model, breaks.rate().mean()) : List.of(), enough, zonesLost,
                     losses, moves), report);
             say("report: %s", report.resolve("plan.html"));
         }
@@ -158,17 +158,17 @@
         List<String[]> all = new ArrayList<>();
         String file = fleet.toString();
         if (rate != null || estimates.isEmpty()) {
-            all.add(new String[] {"rate", text("%.1f/s", model.rate()), rate != null ? "--rate" : file});
+            all.add(new String[] {"rate", text("%.1f/s", model.requestsPerSecond()), rate != null ? "--rate" : file});
         }
-        boolean worked = estimates.stream().anyMatch(e -> e.what().startsWith("work of"));
-        for (int c = 0; c < model.shares().length; c++) {
+        boolean worked = estimates.stream().anyMatch(e -> e.name().startsWith("work of"));
+        for (int c = 0; c < model.classShares().length; c++) {
             String name = model.site().classNames().get(c);
             if (!worked) {
-                all.add(new String[] {"work of " + name, text("%.1f ms, spread %.2f", 1000 * model.work()[c],
-                        model.cv()[c]), file});
+                all.add(new String[] {"work of " + name, text("%.1f ms, spread %.2f", 1000 * model.workSeconds()[c],
+                        model.workCv()[c]), file});
             }
             if (estimates.isEmpty()) {
-                all.add(new String[] {"share of " + name, text("%.3f", model.shares()[c]), file});
+                all.add(new String[] {"share of " + name, text("%.3f", model.classShares()[c]), file});
             }
             var its = model.site().classes().get(c);
             all.add(new String[] {name, text("worth %.1f, aim %d ms, deadline %d ms, %s", its.worth(),
@@ -176,13 +176,13 @@
         }
         all.add(new String[] {"clients",
                 text("up to %d repeats after %d ms, a try up to %.2f of the deadline",
-                model.retries(), model.backoff() / 1_000_000, model.tryShare()), file});
+                model.maxClientRetries(), model.retryBackoffNs() / 1_000_000, model.tryTimeoutFraction()), file});
         java.util.TreeMap<String, Integer> counts = new java.util.TreeMap<>();
-        for (Model.Machine m : model.machines()) {
+        for (Model.BackendSpec m : model.backends()) {
             counts.merge(text("%s in %s: %d cores of speed %.2f, %d slots, room for %d more, %s connections",
                     model.site().kinds().get(m.kind()), model.site().zones().get(m.zone()), m.cores(),
-                    m.speed(), m.slots(), m.queue(), m.connections() == 0 ? "any number of"
-                            : Integer.toString(m.connections())), 1, Integer::sum);
+                    m.speed(), m.slots(), m.queueCapacity(), m.maxConnections() == 0 ? "any number of"
+                            : Integer.toString(m.maxConnections())), 1, Integer::sum);
         }
         counts.forEach((what, n) -> all.add(new String[] {"backends", n + " " + what, file}));
         all.add(new String[] {"channel", text("%.0f lines a second, at most %.0f waiting",
@@ -222,40 +222,40 @@
         out.flush();
     }
 
-    private Planner.Breaks breaks(Planner planner, Model model) {
-        Planner.Breaks breaks = planner.whatBreaks(model);
-        if (breaks.rate().count() == 0) {
+    private Planner.BreakingPoint breaks(Planner planner, Model model) {
+        Planner.BreakingPoint breaks = planner.findBreakingPoint(model);
+        if (breaks.rate().sampleCount() == 0) {
             say("what breaks first: %s", breaks.note());
             return breaks;
         }
         say("breaks at %.0f requests a second (95%%: %.0f to %.0f over %d seeds; %d runs);"
                 + " the rate now is %.0f%s",
-                breaks.rate().mean(), breaks.rate().low(), breaks.rate().high(), breaks.rate().count(),
-                breaks.runs(), model.rate(), breaks.note().isEmpty() ? "" : "; " + breaks.note());
+                breaks.rate().mean(), breaks.rate().low(), breaks.rate().high(), breaks.rate().sampleCount(),
+                breaks.runs(), model.requestsPerSecond(), breaks.note().isEmpty() ? "" : "; " + breaks.note());
         for (int i = 0; i < Math.min(3, breaks.findings().size()); i++) {
             Finding f = breaks.findings().get(i);
-            say("  %d. %s, %s: %s (pressure %.2f)", i + 1, f.resource(), f.place(), f.evidence(),
+            say("  %d. %s, %s: %s (pressure %.2f)", i + 1, f.resource(), f.location(), f.evidence(),
                     f.pressure());
         }
         return breaks;
     }
 
-    private Planner.Enough howMany(Planner planner, Model model) {
-        List<Function<Model, List<Model.Trouble>>> lost = new ArrayList<>();
+    private Planner.FleetSize howMany(Planner planner, Model model) {
+        List<Function<Model, List<Model.Fault>>> lost = new ArrayList<>();
         for (int z = 0; zonesLost && z < model.site().zones().size(); z++) {
             int zone = z;
-            lost.add(m -> List.of(new Model.Trouble(Model.Kind.BACKENDS_DIE, 5 * SECOND, 15 * SECOND,
-                    Planner.zone(m, zone), 1)));
+            lost.add(m -> List.of(new Model.Fault(Model.FaultKind.BACKENDS_DIE, 5 * SECOND, 15 * SECOND,
+                    Planner.backendsInZone(m, zone), 1)));
         }
-        Planner.Enough enough = planner.howMany(model, lost);
+        Planner.FleetSize enough = planner.findFleetSize(model, lost);
         if (enough.count() < 0 || !enough.note().isEmpty()) {
             say("how many: %s (%d runs)", enough.note(), enough.runs());
         } else {
             say("how many: %d backends hold %.0f/s%s; service %.3f, on fresh seeds %.3f"
                     + " (%d runs; there are %d now)",
-                    enough.count(), model.rate(), zonesLost ? " with each zone lost in turn" : "",
+                    enough.count(), model.requestsPerSecond(), zonesLost ? " with each zone lost in turn" : "",
                             enough.service(),
-                    enough.freshService(), enough.runs(), model.machines().size());
+                    enough.validationService(), enough.runs(), model.backends().size());
         }
         return enough;
     }
--- a/src/main/java/rowanmoor/controller/Controller.java
+++ b/src/main/java/rowanmoor/controller/Controller.java
@@ -274,7 +274,7 @@
                 kv("mostWaiting", Math.round(driver.maxQueuedLines())),
                 kv("lines", Math.round(driver.totalQueuedLines())),
                 kv("mostReportsWaiting", driver.maxPendingReportLines()),
-                kv("captureDropped", capture == null ? 0 : capture.dropped()), kv("decides",
+                kv("captureDropped", capture == null ? 0 : capture.droppedRecords()), kv("decides",
                         decisionTimesNs.getTotalCount()),
                 kv("decideP50us", decisionTimesNs.getValueAtPercentile(50) / 1000),
                 kv("decideP99us", decisionTimesNs.getValueAtPercentile(99) / 1000),
--- a/src/main/java/rowanmoor/emulator/Emulator.java
+++ b/src/main/java/rowanmoor/emulator/Emulator.java
@@ -145,14 +145,14 @@
         this.works = root.split();
         this.ways = root.split();
         SplittableRandom choices = root.split();
-        int count = model.machines().size();
+        int count = model.backends().size();
         int proxies = model.proxyZones().length;
         this.stations = new Station[count];
         this.backends = new Backend[count];
         this.listed = new Availability[count];
         this.startedAt = new long[count];
         for (int b = 0; b < count; b++) {
-            stations[b] = new Station(model.machines().get(b), START);
+            stations[b] = new Station(model.backends().get(b), START);
             backends[b] = new Backend(0x0a0000000000L + ((long) b << 16) + 80);
             listed[b] = Availability.READY;
         }
@@ -164,7 +164,7 @@
         this.failing = new double[count];
         this.busyAtHeight = new double[count];
         this.connections = new int[count];
-        boolean bounded = model.machines().stream().anyMatch(m -> m.connections() > 0);
+        boolean bounded = model.backends().stream().anyMatch(m -> m.maxConnections() > 0);
         boolean counted = bounded && (long) proxies * count <= MATRIX_MOST;
         this.idle = counted ? new int[proxies * count] : null;
         if (counted) {
@@ -191,11 +191,11 @@
         this.dead = new boolean[controllers];
         this.tickAt = new long[controllers];
         this.lastTick = new long[controllers];
-        int seconds = (int) (model.length() / 1_000_000_000L) + 1;
+        int seconds = (int) (model.durationNs() / 1_000_000_000L) + 1;
         this.good = new double[seconds];
         this.asked = new double[seconds];
-        this.outcome = new Outcome(list(model.shares().length, Outcome.ClassMet::new),
-                list(count, Outcome.BackendMet::new), list(controllers, Outcome.ControllerMet::new), good,
+        this.outcome = new Outcome(list(model.classShares().length, Outcome.ClassStats::new),
+                list(count, Outcome.BackendStats::new), list(controllers, Outcome.ControllerStats::new), good,
                         asked,
                 0, 0);
         for (int c = 0; c < controllers; c++) {
@@ -207,12 +207,12 @@
             agenda.add(START + (long) (choices.nextDouble() * MILLI * 500), JOIN, p, first);
             agenda.add(START + (long) (choices.nextDouble() * model.site().reportIntervalNs()), REPORT, p, 0);
         }
-        for (int t = 0; t < model.troubles().size(); t++) {
-            agenda.add(loadFrom() + model.troubles().get(t).at(), TROUBLE, t, 0);
+        for (int t = 0; t < model.faults().size(); t++) {
+            agenda.add(loadFrom() + model.faults().get(t).startNs(), TROUBLE, t, 0);
         }
         agenda.add(loadFrom(), ARRIVAL, 0, 0);
-        agenda.add(loadFrom() + Math.min(model.rise(), model.length() / 2), MEASURE, 0, 0);
-        agenda.add(loadFrom() + model.length(), MEASURE, 1, 0);
+        agenda.add(loadFrom() + Math.min(model.rampNs(), model.durationNs() / 2), MEASURE, 0, 0);
+        agenda.add(loadFrom() + model.durationNs(), MEASURE, 1, 0);
     }
 
     private static <T> List<T> list(int count, java.util.function.Supplier<T> make) {
@@ -224,18 +224,18 @@
     }
 
     /** Plays a model to its end. The same model and seed give the same outcome. */
-    public static Outcome play(Model model, long seed) {
-        return new Emulator(model, seed).play();
+    public static Outcome run(Model model, long seed) {
+        return new Emulator(model, seed).run();
     }
 
     private long loadFrom() {
-        return START + model.settle();
+        return START + model.settleNs();
     }
 
     private List<Backend> standing(int zone, SplittableRandom random) {
         List<Backend> own = new ArrayList<>();
         for (int b = 0; b < backends.length; b++) {
-            if (model.machines().get(b).zone() == zone) {
+            if (model.backends().get(b).zone() == zone) {
                 own.add(backends[b]);
             }
         }
@@ -247,21 +247,21 @@
         return drawn;
     }
 
-    private Outcome play() {
-        long end = loadFrom() + model.length() + TAIL;
+    private Outcome run() {
+        long end = loadFrom() + model.durationNs() + TAIL;
         while (agenda.next() && agenda.time <= end) {
             now = Math.max(now, agenda.time);
             events++;
-            play(agenda.kind, agenda.a, agenda.b);
-            if (now > loadFrom() + model.length() && used == freeCount && usedJobs == freeJobCount
+            run(agenda.kind, agenda.a, agenda.b);
+            if (now > loadFrom() + model.durationNs() && used == freeCount && usedJobs == freeJobCount
                     && agenda.kind != REPORT) {
                 break; // all is answered
             }
         }
         double held = 0;
         for (int b = 0; b < stations.length; b++) {
-            Outcome.BackendMet met = outcome.backends().get(b);
-            met.mostWaiting = stations[b].mostWaiting();
+            Outcome.BackendStats met = outcome.backends().get(b);
+            met.maxQueued = stations[b].mostWaiting();
             held += stations[b].heldSeconds(now);
         }
         for (int c = 0; c < drivers.length; c++) {
@@ -277,7 +277,7 @@
         for (int b = 0; b < stations.length; b++) {
             double busy = stations[b].busySeconds(now);
             if (end) {
-                outcome.backends().get(b).busy = (busy - busyAtHeight[b]) / stations[b].machine().cores()
+                outcome.backends().get(b).utilization = (busy - busyAtHeight[b]) / stations[b].machine().cores()
                         / Math.max(1e-9, (now - heightFrom) / SECOND);
             } else {
                 busyAtHeight[b] = busy;
@@ -286,7 +286,7 @@
         heightFrom = end ? heightFrom : now;
     }
 
-    private void play(int kind, int a, int b) {
+    private void run(int kind, int a, int b) {
         switch (kind) {
             case ARRIVAL -> arrive();
             case AT_PROXY -> atProxy(a, b);
@@ -316,19 +316,19 @@
     // ---- clients -------------------------------------------------------------------------------------
 
     private void arrive() {
-        if (now >= loadFrom() + model.length() || model.rate() <= 0) {
+        if (now >= loadFrom() + model.durationNs() || model.requestsPerSecond() <= 0) {
             return;
         }
-        double rate = model.rate() * burst * model.risen(now - loadFrom());
+        double rate = model.requestsPerSecond() * burst * model.risen(now - loadFrom());
         double wait = -Math.log(1 - arrivals.nextDouble()) / rate * SECOND;
         if (now > loadFrom()) {
             int request = take();
-            cls[request] = pick(model.shares(), arrivals.nextDouble());
+            cls[request] = pick(model.classShares(), arrivals.nextDouble());
             proxy[request] = pickProxy(arrivals.nextDouble());
             work[request] = drawWork(cls[request]);
             arrivedAt[request] = now;
             clientTries[request] = 0;
-            Outcome.ClassMet met = outcome.classes().get(cls[request]);
+            Outcome.ClassStats met = outcome.classes().get(cls[request]);
             met.offered++;
             asked[second(now)] += model.site().classes().get(cls[request]).worth();
             ask(request);
@@ -362,8 +362,8 @@
     }
 
     private double drawWork(int its) {
-        double mean = model.work()[its];
-        double cv = model.cv()[its];
+        double mean = model.workSeconds()[its];
+        double cv = model.workCv()[its];
         if (cv == 0) {
             return mean;
         }
@@ -420,7 +420,7 @@
         outcome.classes().get(cls[request]).tries++;
         long deadline = model.site().classes().get(cls[request]).deadline();
         long left = arrivedAt[request] + deadline - now;
-        agenda.add(now + Math.max(1, Math.min(left, (long) (model.tryShare() * deadline))), GIVE_UP, request,
+        agenda.add(now + Math.max(1, Math.min(left, (long) (model.tryTimeoutFraction() * deadline))), GIVE_UP, request,
                 its);
         agenda.add(now, AT_PROXY, request, its);
     }
@@ -467,9 +467,9 @@
         tryStamp[request]++;
         var spec = model.site().classes().get(cls[request]);
         boolean may = refused || spec.idempotency() == Idempotency.SAFE;
-        if (may && clientTries[request] <= model.retries()
-                && now + model.backoff() < arrivedAt[request] + spec.deadline()) {
-            agenda.add(now + model.backoff(), RETRY, request, 0);
+        if (may && clientTries[request] <= model.maxClientRetries()
+                && now + model.retryBackoffNs() < arrivedAt[request] + spec.deadline()) {
+            agenda.add(now + model.retryBackoffNs(), RETRY, request, 0);
         } else {
             outcome.classes().get(cls[request]).failed++;
             release(request);
@@ -493,14 +493,14 @@
         if (proxyTries[request] == 0) {
             tallies[p].onRequest(c);
             if (!routers[p].tryAdmit(c, now)) {
-                outcome.classes().get(c).byLevel++;
+                outcome.classes().get(c).rejectedByLevel++;
                 tryFailed(request, true);
                 return;
             }
         }
         Backend picked = routers[p].pick(c, tried(request), now);
         if (picked == null) {
-            outcome.classes().get(c).noLine++;
+            outcome.classes().get(c).noBackend++;
             tallies[p].onUnanswered(c);
             tryFailed(request, true);
             return;
@@ -520,7 +520,7 @@
         connected[request] = connect(p, b);
         if (!connected[request]) {
             // The system takes the connection and the request; then the backend closes: no proof of anything.
-            outcome.backends().get(b).noConnection++;
+            outcome.backends().get(b).refusedConnections++;
             agenda.add(now + 2 * way(p, b), LOST, request, mine);
             return;
         }
@@ -535,8 +535,8 @@
     }
 
     private long way(int p, int b) {
-        boolean same = model.proxyZones()[p] == model.machines().get(b).zone();
-        long mean = same ? model.sameZone() : model.crossZone();
+        boolean same = model.proxyZones()[p] == model.backends().get(b).zone();
+        long mean = same ? model.sameZoneDelayNs() : model.crossZoneDelayNs();
         return (long) (mean * (0.75 + 0.5 * ways.nextDouble()));
     }
 
@@ -553,13 +553,13 @@
             freeIdle = taken;
             return true;
         }
-        int most = model.machines().get(b).connections();
+        int most = model.backends().get(b).maxConnections();
         if (most > 0 && connections[b] >= most) {
             return false;
         }
         connections[b]++;
-        Outcome.BackendMet met = outcome.backends().get(b);
-        met.mostConnections = Math.max(met.mostConnections, connections[b]);
+        Outcome.BackendStats met = outcome.backends().get(b);
+        met.maxConnections = Math.max(met.maxConnections, connections[b]);
         return true;
     }
 
@@ -601,7 +601,7 @@
         }
         endTry(request, true, true);
         var spec = model.site().classes().get(cls[request]);
-        Outcome.ClassMet met = outcome.classes().get(cls[request]);
+        Outcome.ClassStats met = outcome.classes().get(cls[request]);
         long took = now - arrivedAt[request];
         if (took <= spec.aim()) {
             met.good++;
@@ -645,13 +645,13 @@
         if (c >= 0 && !cut[p]) {
             Frame.Report report = tallies[p].takeReport(now);
             if (!report.tallies().isEmpty() || !report.usages().isEmpty()) {
-                agenda.add(now + model.sameZone(), HEARD, p, parcel(withLoad(report)));
+                agenda.add(now + model.sameZoneDelayNs(), HEARD, p, parcel(withLoad(report)));
             }
         }
         if (idle != null) {
             dropIdle(p);
         }
-        if (now < loadFrom() + model.length() + TAIL) {
+        if (now < loadFrom() + model.durationNs() + TAIL) {
             agenda.add(now + model.site().reportIntervalNs(), REPORT, p, 0);
         }
     }
@@ -718,7 +718,7 @@
         int job = takeJob(request, its);
         if (!station.offer(now, job, work[request])) {
             freeJobs[freeJobCount++] = job;
-            outcome.backends().get(b).full++;
+            outcome.backends().get(b).rejectedFull++;
             agenda.add(back, REFUSED, request, its);
             return;
         }
@@ -756,7 +756,7 @@
             return;
         }
         for (int job = station.ended(now); job >= 0; job = station.ended(now)) {
-            Outcome.BackendMet met = outcome.backends().get(b);
+            Outcome.BackendStats met = outcome.backends().get(b);
             met.served++;
             met.staySeconds += (now - jobReached[job]) / SECOND;
             met.workSeconds += jobWork[job];
@@ -775,9 +775,9 @@
     private void left(int job) {
         double stay = (now - jobReached[job]) / SECOND;
         stays += stay;
-        Outcome.ClassMet met = outcome.classes().get(cls[jobRequest[job]]);
-        met.stay += stay;
-        met.stays++;
+        Outcome.ClassStats met = outcome.classes().get(cls[jobRequest[job]]);
+        met.totalStaySeconds += stay;
+        met.stayCount++;
         freeJobs[freeJobCount++] = job;
     }
 
@@ -832,13 +832,13 @@
 
         @Override
         public void watch(boolean on) {
-            agenda.add(now + 2 * model.sameZone(), NOTICED, rank, 0);
+            agenda.add(now + 2 * model.sameZoneDelayNs(), NOTICED, rank, 0);
         }
 
         @Override
         public void probe(Backend its) {
             int b = (int) (its.id() >> 16 & 0xffffff);
-            agenda.add(now + 2 * model.sameZone(), PROBED, rank, b);
+            agenda.add(now + 2 * model.sameZoneDelayNs(), PROBED, rank, b);
         }
 
         @Override
@@ -868,10 +868,10 @@
     }
 
     private void settle(int rank) {
-        Outcome.ControllerMet met = outcome.controllers().get(rank);
-        met.mostLines = Math.max(met.mostLines, drivers[rank].maxQueuedLines());
-        met.lines += drivers[rank].totalQueuedLines();
-        met.mostReports = Math.max(met.mostReports, drivers[rank].maxPendingReportLines());
+        Outcome.ControllerStats met = outcome.controllers().get(rank);
+        met.maxQueuedLines = Math.max(met.maxQueuedLines, drivers[rank].maxQueuedLines());
+        met.totalQueuedLines += drivers[rank].totalQueuedLines();
+        met.maxPendingReportLines = Math.max(met.maxPendingReportLines, drivers[rank].maxPendingReportLines());
     }
 
     private void tickBy(int rank, long time) {
@@ -910,7 +910,7 @@
         lastMessage[p] = now;
         boolean fresh = routers[p].hasOnlyStandingTable();
         routers[p].onStreamOpened();
-        double rate = model.rate() * model.proxyWeights()[p] / proxySums[proxySums.length - 1];
+        double rate = model.requestsPerSecond() * model.proxyWeights()[p] / proxySums[proxySums.length - 1];
         drivers[rank].onProxyJoined(now, new Frame.Hello(Frame.PROTOCOL_VERSION, p, p, model.proxyZones()[p], rate, fresh,
                 routers[p].epoch(), routers[p].version(), "p"));
         tickBy(rank, now);
@@ -930,7 +930,7 @@
             }
             for (Frame.Order order : update.orders()) {
                 if (order instanceof Frame.Mark mark) {
-                    agenda.add(now + model.sameZone(), HEARD, p, parcel(new Frame.Applied(update.epoch(),
+                    agenda.add(now + model.sameZoneDelayNs(), HEARD, p, parcel(new Frame.Applied(update.epoch(),
                             update.version(), mark.number())));
                 }
             }
@@ -954,11 +954,11 @@
     private void probed(int rank, int b) {
         if (!dead[rank]) {
             boolean down = stations[b].isDown();
-            int most = model.machines().get(b).connections();
+            int most = model.backends().get(b).maxConnections();
             boolean full = idle != null && most > 0 && connections[b] >= most; // a probe needs one of its own
             boolean up = !down && !full;
             drivers[rank].onProbeResult(new Probed(backends[b], up, up ? Prober.STATUS_OK : down ? Prober.STATUS_UNREACHABLE
-                    : Prober.STATUS_CONNECTION_LOST, 2 * model.sameZone(), up ? load(b) : List.of()));
+                    : Prober.STATUS_CONNECTION_LOST, 2 * model.sameZoneDelayNs(), up ? load(b) : List.of()));
             tickBy(rank, now);
         }
     }
@@ -973,7 +973,7 @@
         } else {
             List<Member> members = new ArrayList<>();
             for (int b = 0; b < backends.length; b++) {
-                Model.Machine m = model.machines().get(b);
+                Model.BackendSpec m = model.backends().get(b);
                 if (listed[b] != Availability.GONE) {
                     members.add(new Member(backends[b], m.zone(), m.kind(), 0, listed[b], m.weight(),
                             startedAt[b]));
@@ -987,29 +987,29 @@
     // ---- troubles ------------------------------------------------------------------------------------
 
     private void begin(int number) {
-        Model.Trouble t = model.troubles().get(number);
-        agenda.add(now + t.length(), RELIEF, number, 0);
+        Model.Fault t = model.faults().get(number);
+        agenda.add(now + t.durationNs(), RELIEF, number, 0);
         switch (t.kind()) {
             case BACKENDS_DIE -> {
-                for (int b : t.struck()) {
+                for (int b : t.targets()) {
                     die(b);
                 }
-                tellAfter(model.notice(), number, Availability.GONE);
+                tellAfter(model.rosterDelayNs(), number, Availability.GONE);
             }
             case BACKENDS_FAIL -> {
-                for (int b : t.struck()) {
-                    failing[b] = t.size();
+                for (int b : t.targets()) {
+                    failing[b] = t.magnitude();
                 }
             }
             case BACKENDS_DRAIN -> tellAfter(0, number, Availability.DRAINING);
             case BACKENDS_SLOW -> {
-                for (int b : t.struck()) {
-                    stations[b].slower(now, t.size());
+                for (int b : t.targets()) {
+                    stations[b].slower(now, t.magnitude());
                     plan(b);
                 }
             }
             case CONTROLLER_DIES -> {
-                int rank = t.struck()[0];
+                int rank = t.targets()[0];
                 settle(rank);
                 dead[rank] = true;
                 for (int p = 0; p < joinedTo.length; p++) {
@@ -1020,14 +1020,14 @@
             }
             case ROSTER_DOWN -> rosterDown = true;
             case PROXIES_CUT -> {
-                for (int p : t.struck()) {
+                for (int p : t.targets()) {
                     cut[p] = true;
                     if (joinedTo[p] >= 0) {
                         breakStream(p, joinedTo[p], SILENCE);
                     }
                 }
             }
-            case BURST -> burst = t.size();
+            case BURST -> burst = t.magnitude();
             default -> throw new IllegalStateException("no way to play " + t.kind());
         }
     }
@@ -1052,8 +1052,8 @@
     }
 
     private void tellAfter(long notice, int number, Availability state) {
-        Model.Trouble t = model.troubles().get(number);
-        for (int b : t.struck()) {
+        Model.Fault t = model.faults().get(number);
+        for (int b : t.targets()) {
             listed[b] = state; // takes effect for controllers when they are told
         }
         version++;
@@ -1063,31 +1063,31 @@
     }
 
     private void relieve(int number) {
-        Model.Trouble t = model.troubles().get(number);
+        Model.Fault t = model.faults().get(number);
         switch (t.kind()) {
             case BACKENDS_DIE -> {
-                for (int b : t.struck()) {
+                for (int b : t.targets()) {
                     stations[b].restart(now);
                     startedAt[b] = now;
                 }
-                tellAfter(model.notice(), number, Availability.READY);
+                tellAfter(model.rosterDelayNs(), number, Availability.READY);
             }
             case BACKENDS_FAIL -> {
-                for (int b : t.struck()) {
+                for (int b : t.targets()) {
                     failing[b] = 0;
                 }
             }
             case BACKENDS_DRAIN -> tellAfter(0, number, Availability.READY);
             case BACKENDS_SLOW -> {
-                for (int b : t.struck()) {
+                for (int b : t.targets()) {
                     stations[b].slower(now, 1);
                     plan(b);
                 }
             }
-            case CONTROLLER_DIES -> startController(t.struck()[0], number);
+            case CONTROLLER_DIES -> startController(t.targets()[0], number);
             case ROSTER_DOWN -> rosterDown = false;
             case PROXIES_CUT -> {
-                for (int p : t.struck()) {
+                for (int p : t.targets()) {
                     cut[p] = false;
                 }
             }
--- a/src/main/java/rowanmoor/emulator/Station.java
+++ b/src/main/java/rowanmoor/emulator/Station.java
@@ -13,7 +13,7 @@
     private static final long RAMP_STEP = 100_000_000L;
     private static final double CLOSE = 1e-9;
 
-    private final Model.Machine machine;
+    private final Model.BackendSpec machine;
     private double[] ends = new double[16];
     private int[] running = new int[16];
     private int inWork;
@@ -32,15 +32,15 @@
     private double heldSeconds;
     private int mostWaiting;
 
-    Station(Model.Machine machine, long now) {
+    Station(Model.BackendSpec machine, long now) {
         this.machine = machine;
         this.at = now;
-        this.startedAt = now - machine.coldFor();
+        this.startedAt = now - machine.warmUpNs();
     }
 
     double warmth(long now) {
-        double age = machine.coldFor() == 0 ? 1 : (now - startedAt) / (double) machine.coldFor();
-        return Math.min(1, machine.coldFrom() + (1 - machine.coldFrom()) * Math.max(0, age));
+        double age = machine.warmUpNs() == 0 ? 1 : (now - startedAt) / (double) machine.warmUpNs();
+        return Math.min(1, machine.coldSpeedFraction() + (1 - machine.coldSpeedFraction()) * Math.max(0, age));
     }
 
     private double rateOfOne(long when) {
@@ -70,7 +70,7 @@
             begin(request, work);
             return true;
         }
-        if (waiting >= machine.queue()) {
+        if (waiting >= machine.queueCapacity()) {
             return false;
         }
         if (waiting == ring.length) {
@@ -229,7 +229,7 @@
         return mostWaiting;
     }
 
-    Model.Machine machine() {
+    Model.BackendSpec machine() {
         return machine;
     }
 }
--- a/src/main/java/rowanmoor/lab/Charts.java
+++ b/src/main/java/rowanmoor/lab/Charts.java
@@ -40,7 +40,7 @@
     void write() throws IOException {
         outcomes("load", "requests a second", o -> true);
         outcomes("served", "answered within the aim, a second", o -> o.answered()
-                && o.took() <= played.day().site().classes().get(o.cls()).aim());
+                && o.latencyNs() <= played.day().site().classes().get(o.cls()).aim());
         orders();
         waiting();
     }
@@ -49,9 +49,9 @@
         return (int) Math.floorDiv(at - played.evidence().start(), (long) SECOND);
     }
 
-    private void outcomes(String name, String axis, Predicate<Clients.Outcome> counts) throws IOException {
+    private void outcomes(String name, String axis, Predicate<Clients.RequestOutcome> counts) throws IOException {
         Map<String, double[]> series = new TreeMap<>();
-        for (Clients.Outcome o : played.outcomes()) {
+        for (Clients.RequestOutcome o : played.outcomes()) {
             int second = second(o.arrivedAt());
             if (counts.test(o) && second >= 0 && second < seconds) {
                 series.computeIfAbsent(played.day().site().classNames().get(o.cls()),
--- a/src/main/java/rowanmoor/lab/ControllerLoops.java
+++ b/src/main/java/rowanmoor/lab/ControllerLoops.java
@@ -64,15 +64,15 @@
     }
 
     @Override
-    public List<Outcome.ControllerMet> met() {
-        List<Outcome.ControllerMet> all = new ArrayList<>();
+    public List<Outcome.ControllerStats> met() {
+        List<Outcome.ControllerStats> all = new ArrayList<>();
         for (int rank = 0; rank < day.controllerZones().size(); rank++) {
-            Outcome.ControllerMet met = new Outcome.ControllerMet();
+            Outcome.ControllerStats met = new Outcome.ControllerStats();
             if (newest.containsKey(rank)) {
                 var driver = newest.get(rank).driver();
-                met.lines = driver.totalQueuedLines();
-                met.mostLines = driver.maxQueuedLines();
-                met.mostReports = driver.maxPendingReportLines();
+                met.totalQueuedLines = driver.totalQueuedLines();
+                met.maxQueuedLines = driver.maxQueuedLines();
+                met.maxPendingReportLines = driver.maxPendingReportLines();
             }
             all.add(met);
         }
--- a/src/main/java/rowanmoor/lab/ControllerProcesses.java
+++ b/src/main/java/rowanmoor/lab/ControllerProcesses.java
@@ -97,16 +97,16 @@
     }
 
     @Override
-    public List<Outcome.ControllerMet> met() {
-        List<Outcome.ControllerMet> all = new ArrayList<>();
+    public List<Outcome.ControllerStats> met() {
+        List<Outcome.ControllerStats> all = new ArrayList<>();
         for (int rank = 0; rank < day.controllerZones().size(); rank++) {
-            all.add(new Outcome.ControllerMet());
+            all.add(new Outcome.ControllerStats());
         }
         for (JsonNode line : stats()) { // in order: the newest of a rank stands
-            Outcome.ControllerMet met = all.get(line.get("rank").asInt());
-            met.lines = line.get("lines").asDouble();
-            met.mostLines = Math.max(met.mostLines, line.get("mostWaiting").asDouble());
-            met.mostReports = Math.max(met.mostReports, line.get("mostReportsWaiting").asInt());
+            Outcome.ControllerStats met = all.get(line.get("rank").asInt());
+            met.totalQueuedLines = line.get("lines").asDouble();
+            met.maxQueuedLines = Math.max(met.maxQueuedLines, line.get("mostWaiting").asDouble());
+            met.maxPendingReportLines = Math.max(met.maxPendingReportLines, line.get("mostReportsWaiting").asInt());
         }
         return all;
     }
--- a/src/main/java/rowanmoor/lab/Controllers.java
+++ b/src/main/java/rowanmoor/lab/Controllers.java
@@ -23,7 +23,7 @@
     void stall(int rank, boolean on) throws IOException;
 
     /** What each came to, by rank, so far as it has told. */
-    List<Outcome.ControllerMet> met();
+    List<Outcome.ControllerStats> met();
 
     /** Ends all. */
     void close();
--- a/src/main/java/rowanmoor/lab/DayFile.java
+++ b/src/main/java/rowanmoor/lab/DayFile.java
@@ -21,7 +21,7 @@
  * @param proxySkew spread of what proxies get: standard deviation of the logarithm
  * @param notice how long the roster takes to notice that a backend is gone or back
  * @param rate requests a second
- * @param rise over this load rises from {@link Model#RISE_FROM} of its rate to the rate; 0 for at once
+ * @param rise over this load rises from {@link Model#RAMP_START_FRACTION} of its rate to the rate; 0 for at once
  * @param swing part of the rate by which it rises and falls, over {@code swingOver}
  * @param shares by class: its part of the requests
  * @param work by class: mean work of a request, seconds on a core of speed 1
@@ -30,7 +30,7 @@
         List<Integer> controllerZones,
         int proxies, double proxySkew, List<Group> groups, long notice, long rosterWait, long emptyHold,
         double rate, long rise, double swing, long swingOver, double[] shares, double[] work,
-                Clients.Habits habits,
+                Clients.RetryPolicy habits,
         List<Trouble> troubles, Map<String, Double> expectations) {
 
     /** Backends of one kind, in one zone or (-1) spread over all. */
@@ -90,7 +90,7 @@
                 r.durationNs("empty-hold", "0s", "60s", "3s"), l.ratePerSecond("rate", 0.1, 100000),
                 l.durationNs("rise", "0s", "1h", "0s"),
                 l.number("swing", 0, 1, 0), l.durationNs("swing-over", "1s", "1h", "20s"), shares, work,
-                new Clients.Habits(c.integer("retries", 0, 10, 0), c.durationNs("backoff", "0s", "60s", "100ms"),
+                new Clients.RetryPolicy(c.integer("retries", 0, 10, 0), c.durationNs("backoff", "0s", "60s", "100ms"),
                         c.number("try-share", 0.05, 1, 1)),
                 troubles(root, site, controllers.size()), expectations(root, site));
         for (Section s : List.of(d, f, r, l, c)) {
@@ -234,14 +234,14 @@
     }
 
     /** Requests a second over the day, bursts in it. */
-    Clients.RateAt rateAt() {
+    Clients.ArrivalRate rateAt() {
         double most = troubles.stream().filter(t -> t.kind() == Trouble.Kind.BURST)
                 .mapToDouble(Trouble::size).reduce(1, (a, b) -> a * Math.max(1, b));
-        return new Clients.RateAt() {
+        return new Clients.ArrivalRate() {
             @Override
-            public double at(long time) {
+            public double perSecondAt(long time) {
                 double now = rate * (1 + swing * Math.sin(2 * Math.PI * time / swingOver));
-                now *= time >= rise ? 1 : Model.RISE_FROM + (1 - Model.RISE_FROM) * time / rise;
+                now *= time >= rise ? 1 : Model.RAMP_START_FRACTION + (1 - Model.RAMP_START_FRACTION) * time / rise;
                 for (Trouble t : troubles) {
                     if (t.kind() == Trouble.Kind.BURST && time >= t.at() && time < t.end()) {
                         now *= t.size();
@@ -251,7 +251,7 @@
             }
 
             @Override
-            public double most() {
+            public double maxPerSecond() {
                 return rate * (1 + swing) * most;
             }
         };
--- a/src/main/java/rowanmoor/lab/Evidence.java
+++ b/src/main/java/rowanmoor/lab/Evidence.java
@@ -20,7 +20,7 @@
  */
 public record Evidence(Site site, long start, long end, Map<Backend, Place> backends,
         List<List<Backend>> standing, List<Tapped> taps, Map<Long, Integer> ranks, Ledger ledger,
-        List<RosterServer.Answered> answers) {
+        List<RosterServer.SentAnswer> answers) {
 
     /** Where a backend stands and of which kind it is, by place in the site's lists. */
     public record Place(int zone, int kind) { }
--- a/src/main/java/rowanmoor/lab/Experiment.java
+++ b/src/main/java/rowanmoor/lab/Experiment.java
@@ -231,12 +231,12 @@
 
         private double search(Variant variant, List<Cell> cells) throws IOException {
             Bisection bisection = new Bisection(search.from(), search.to(), search.within());
-            for (double rate = bisection.next(); rate > 0; rate = bisection.next()) {
+            for (double rate = bisection.nextRate(); rate > 0; rate = bisection.nextRate()) {
                 Cell cell = new Cell(variant, rate, play(runs(variant, rate)));
                 cells.add(cell);
-                bisection.tried(rate, cell.interval(Result::service).mean() >= search.service());
+                bisection.recordResult(rate, cell.interval(Result::service).mean() >= search.service());
             }
-            return bisection.found();
+            return bisection.result();
         }
 
         private List<Run> runs(Variant v, double rate) {
@@ -280,7 +280,7 @@
 
         private Result emulated(Run run) {
             DayFile day = day(run.variant(), run.rate());
-            return result(Emulator.play(Models.of(day, run.seed()).model(), run.seed()));
+            return result(Emulator.run(Models.of(day, run.seed()).model(), run.seed()));
         }
 
         private Result live(Run run) {
@@ -302,9 +302,9 @@
     }
 
     private static Result result(Outcome o) {
-        return new Result(o.service(), o.worst(WINDOW),
-                o.backends().stream().mapToDouble(b -> b.busy).max().orElse(0),
-                o.controllers().stream().mapToDouble(c -> c.mostLines).max().orElse(0),
+        return new Result(o.service(), o.worstService(WINDOW),
+                o.backends().stream().mapToDouble(b -> b.utilization).max().orElse(0),
+                o.controllers().stream().mapToDouble(c -> c.maxQueuedLines).max().orElse(0),
                 o.classes().stream().mapToLong(c -> c.offered).sum(),
                 o.classes().stream().mapToLong(c -> c.good).sum());
     }
--- a/src/main/java/rowanmoor/lab/Ground.java
+++ b/src/main/java/rowanmoor/lab/Ground.java
@@ -58,7 +58,7 @@
     private final Map<Long, Integer> ranks = new ConcurrentHashMap<>();
     private final long[] proxyWeightsMilli;
     private final long start;
-    private final List<Outcome.BackendMet> met = new ArrayList<>();
+    private final List<Outcome.BackendStats> met = new ArrayList<>();
     private long heightFrom;
     private RosterServer roster;
     private Clients clients;
@@ -108,9 +108,9 @@
                 int spread = number++ % day.site().zones().size();
                 int zone = group.zone() >= 0 ? group.zone() : spread;
                 backends.add(server);
-                met.add(new Outcome.BackendMet());
+                met.add(new Outcome.BackendStats());
                 places.put(server.backend(), new Evidence.Place(zone, group.kind()));
-                roster.put(new RosterServer.Instance(server.backend(), day.site().zones().get(zone),
+                roster.update(new RosterServer.Instance(server.backend(), day.site().zones().get(zone),
                         day.site().kinds().get(group.kind()), group.weight(), Availability.READY, 0, 0));
             }
         }
@@ -170,7 +170,7 @@
 
     private void buildClients() {
         double[] weights = java.util.Arrays.stream(proxyWeightsMilli).asDoubleStream().toArray();
-        List<Clients.Arrival> arrivals = Clients.draw(random(5), day.length(), day.rateAt(), day.shares(),
+        List<Clients.Arrival> arrivals = Clients.drawArrivals(random(5), day.length(), day.rateAt(), day.shares(),
                 day.work(), weights);
         clients = new Clients(clientLoop, day.site(), proxyAddresses, arrivals,
                 day.habits(), start);
@@ -182,24 +182,24 @@
         for (int b = 0; b < backends.size(); b++) {
             BackendModel model = backends.get(b).model();
             double sum = model.busySeconds(now);
-            Outcome.BackendMet its = met.get(b);
-            its.busy = end ? (sum - its.busy) / model.spec().cores() / ((now - heightFrom) / 1e9) : sum;
+            Outcome.BackendStats its = met.get(b);
+            its.utilization = end ? (sum - its.utilization) / model.spec().cores() / ((now - heightFrom) / 1e9) : sum;
         }
         heightFrom = now;
     }
 
     /** What each backend came to, in the order of the day's groups; once the loops have ended. */
-    List<Outcome.BackendMet> backendsMet() {
-        Map<Backend, Outcome.BackendMet> by = new TreeMap<>();
+    List<Outcome.BackendStats> backendsMet() {
+        Map<Backend, Outcome.BackendStats> by = new TreeMap<>();
         for (int b = 0; b < backends.size(); b++) {
-            met.get(b).noConnection = backends.get(b).turnedAway();
+            met.get(b).refusedConnections = backends.get(b).refusedConnections();
             by.put(backends.get(b).backend(), met.get(b));
         }
         for (Ledger.Entry entry : ledger.entries()) {
             if (entry.end == Ledger.End.SERVED) {
                 by.get(entry.backend).served++;
             } else if (entry.end == Ledger.End.FULL) {
-                by.get(entry.backend).full++;
+                by.get(entry.backend).rejectedFull++;
             }
         }
         return met;
@@ -211,7 +211,7 @@
         try {
             controllers.start(rank, roster.address(), (its, at, epoch) -> {
                 ranks.put(epoch, its);
-                stage.post(() -> links.forEach(of -> of.get(its).to(at)));
+                stage.post(() -> links.forEach(of -> of.get(its).setTarget(at)));
             });
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -220,7 +220,7 @@
 
     private void killController(int rank) {
         controllers.kill(rank);
-        links.forEach(of -> of.get(rank).to(null));
+        links.forEach(of -> of.get(rank).setTarget(null));
     }
 
     private void stallController(int rank, boolean on) {
@@ -245,24 +245,24 @@
         switch (t.kind()) {
             case CRASH -> crash(t, struck(t));
             case ZONE_LOSS -> crash(t, inZone(t.zone()));
-            case SLOW -> each(t, b -> b.slower(t.size()), b -> b.slower(1));
-            case FAST_ERRORS -> each(t, b -> b.failing(t.size()), b -> b.failing(0));
-            case ANSWERS_LOST -> each(t, b -> b.losing(t.size()), b -> b.losing(0));
-            case FALSE_REPORTS -> each(t, b -> b.falseLoad(t.size()), b -> b.falseLoad(1));
+            case SLOW -> each(t, b -> b.setSlowdown(t.size()), b -> b.setSlowdown(1));
+            case FAST_ERRORS -> each(t, b -> b.setErrorFraction(t.size()), b -> b.setErrorFraction(0));
+            case ANSWERS_LOST -> each(t, b -> b.setLostAnswerFraction(t.size()), b -> b.setLostAnswerFraction(0));
+            case FALSE_REPORTS -> each(t, b -> b.setLoadReportFactor(t.size()), b -> b.setLoadReportFactor(1));
             case PAUSES -> struck(t).forEach(b -> pause(t, b));
             case BURST -> { } // its arrivals are drawn ahead
             case ZONE_CUT -> cutZone(t);
             case ROSTER_DOWN -> rosterDown(t);
-            case ROSTER_EMPTY -> roster.empty((int) t.size());
+            case ROSTER_EMPTY -> roster.setEmptyAnswers((int) t.size());
             case PROXIES_CUT -> {
                 List<List<Link>> cut = struckLinks(t);
-                cut.forEach(of -> of.forEach(l -> l.cut(true)));
-                until(t, () -> cut.forEach(of -> of.forEach(l -> l.cut(false))));
+                cut.forEach(of -> of.forEach(l -> l.setPartitioned(true)));
+                until(t, () -> cut.forEach(of -> of.forEach(l -> l.setPartitioned(false))));
             }
             case SLOW_READER -> {
                 List<List<Link>> slow = struckLinks(t);
-                slow.forEach(of -> of.forEach(l -> l.slow((long) t.size())));
-                until(t, () -> slow.forEach(of -> of.forEach(l -> l.slow(0))));
+                slow.forEach(of -> of.forEach(l -> l.limitReturnRate((long) t.size())));
+                until(t, () -> slow.forEach(of -> of.forEach(l -> l.limitReturnRate(0))));
             }
             case CONTROLLER_KILL -> {
                 killController(t.controller());
@@ -304,8 +304,8 @@
 
     private void pause(Trouble t, BackendServer backend) {
         if (stage.now() < start + t.end()) {
-            backend.stall(true);
-            stage.after((long) (t.size() * MILLI), () -> backend.stall(false));
+            backend.setStalled(true);
+            stage.after((long) (t.size() * MILLI), () -> backend.setStalled(false));
             stage.after(PAUSE_EVERY + (long) (t.size() * MILLI), () -> pause(t, backend));
         }
     }
@@ -317,7 +317,7 @@
             backend.crash();
             stage.after(day.notice(), () -> {
                 if (!backend.isRunning()) {
-                    roster.put(listed.with(Availability.GONE));
+                    roster.update(listed.withAvailability(Availability.GONE));
                 }
             });
             until(t, () -> {
@@ -327,7 +327,7 @@
                     throw new UncheckedIOException(e);
                 }
                 RosterServer.Instance anew = listed.started(wall.getAsLong(), stage.now());
-                stage.after(day.notice(), () -> roster.put(anew));
+                stage.after(day.notice(), () -> roster.update(anew));
             });
         }
     }
@@ -336,21 +336,21 @@
         for (BackendServer backend : sample(inZone(t.zone()), t.part())) {
             RosterServer.Instance listed = roster.instance(backend.backend());
             if (listed != null) {
-                roster.put(listed.with(Availability.DRAINING));
-                until(t, () -> roster.put(listed));
+                roster.update(listed.withAvailability(Availability.DRAINING));
+                until(t, () -> roster.update(listed));
             }
         }
     }
 
     private void rosterDown(Trouble t) {
         try {
-            roster.down(true);
+            roster.setDown(true);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
         until(t, () -> {
             try {
-                roster.down(false);
+                roster.setDown(false);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -366,13 +366,13 @@
     private void setCut(int zone, boolean on) {
         for (BackendServer backend : backends) {
             boolean inside = places.get(backend.backend()).zone() == zone;
-            backend.cut(on ? from -> zoneOf(from) >= 0 && zoneOf(from) < day.site().zones().size()
+            backend.partitionFrom(on ? from -> zoneOf(from) >= 0 && zoneOf(from) < day.site().zones().size()
                     && (zoneOf(from) == zone) != inside : null);
         }
         for (int p = 0; p < links.size(); p++) {
             for (int c = 0; c < links.get(p).size(); c++) {
                 if ((proxyZones.get(p) == zone) != (day.controllerZones().get(c) == zone)) {
-                    links.get(p).get(c).cut(on);
+                    links.get(p).get(c).setPartitioned(on);
                 }
             }
         }
@@ -386,7 +386,7 @@
 
     /** Whether the load is over and all is answered; read on the clients' loop. */
     boolean done() {
-        return clients.done();
+        return clients.isDone();
     }
 
     Clients clients() {
@@ -403,6 +403,6 @@
 
     /** The worst multiple of its capacity that was ever sent to a cold backend over a fall span. */
     double worstPush() {
-        return backends.stream().mapToDouble(b -> b.model().worstPush()).max().orElse(0);
+        return backends.stream().mapToDouble(b -> b.model().maxColdOverload()).max().orElse(0);
     }
 }
--- a/src/main/java/rowanmoor/lab/Judge.java
+++ b/src/main/java/rowanmoor/lab/Judge.java
@@ -79,7 +79,7 @@
     private final Channel channel;
     private final Map<Integer, List<Stay>> stays = new TreeMap<>();
     private final List<Message> messages = new ArrayList<>();
-    private final Map<Integer, List<RosterServer.Answered>> told = new TreeMap<>();
+    private final Map<Integer, List<RosterServer.SentAnswer>> told = new TreeMap<>();
     private double worstBare;
     private long bareMet;
     private final First firstBare = new First();
@@ -91,9 +91,9 @@
         this.site = evidence.site();
         this.rules = site.rules();
         this.channel = site.channel();
-        for (RosterServer.Answered answer : evidence.answers()) {
-            int dash = answer.asker().lastIndexOf('-');
-            told.computeIfAbsent(Integer.parseInt(answer.asker().substring(dash + 1)),
+        for (RosterServer.SentAnswer answer : evidence.answers()) {
+            int dash = answer.userAgent().lastIndexOf('-');
+            told.computeIfAbsent(Integer.parseInt(answer.userAgent().substring(dash + 1)),
                     r -> new ArrayList<>()).add(answer);
         }
     }
@@ -217,10 +217,10 @@
         double longest = 0;
         long since = -1;
         List<Long> times = new ArrayList<>(List.of(from));
-        List<RosterServer.Answered> answers = told.getOrDefault(stay.rank, List.of());
+        List<RosterServer.SentAnswer> answers = told.getOrDefault(stay.rank, List.of());
         // A backend gets warm between two answers as well.
-        java.util.stream.Stream.concat(answers.stream().map(RosterServer.Answered::at), answers.stream()
-                .flatMap(a -> a.listed().stream()).map(i -> i.startedAt() + rules.warmUpTime()))
+        java.util.stream.Stream.concat(answers.stream().map(RosterServer.SentAnswer::at), answers.stream()
+                .flatMap(a -> a.instances().stream()).map(i -> i.startedAtNs() + rules.warmUpTime()))
                 .filter(t -> t > from && t < to).distinct().sorted().forEach(times::add);
         for (long time : times) {
             boolean known = anyWarm(stay.rank, cls, time);
@@ -242,18 +242,18 @@
             Evidence.Place place = evidence.backends().get(i.backend());
             boolean open = (spec.onlyZones().isEmpty() || spec.onlyZones().contains(place.zone()))
                     && (spec.onlyKinds().isEmpty() || spec.onlyKinds().contains(place.kind()));
-            return i.listed() == Availability.READY && open && time - i.startedAt() >= rules.warmUpTime();
+            return i.availability() == Availability.READY && open && time - i.startedAtNs() >= rules.warmUpTime();
         });
     }
 
     /** The list as a controller was last told it by a time. */
     private List<RosterServer.Instance> listAt(int rank, long time) {
         List<RosterServer.Instance> list = List.of();
-        for (RosterServer.Answered answer : told.getOrDefault(rank, List.of())) {
+        for (RosterServer.SentAnswer answer : told.getOrDefault(rank, List.of())) {
             if (answer.at() > time) {
                 break;
             }
-            list = answer.listed();
+            list = answer.instances();
         }
         return list;
     }
@@ -331,13 +331,13 @@
     /** Backends that a controller was told to be draining or gone, each with the proxies it had then. */
     private long drainsTold() {
         long met = 0;
-        for (Map.Entry<Integer, List<RosterServer.Answered>> one : told.entrySet()) {
+        for (Map.Entry<Integer, List<RosterServer.SentAnswer>> one : told.entrySet()) {
             TreeSet<Backend> ready = new TreeSet<>();
-            for (RosterServer.Answered answer : one.getValue()) {
+            for (RosterServer.SentAnswer answer : one.getValue()) {
                 TreeSet<Backend> now = new TreeSet<>();
-                answer.listed().stream().filter(i -> i.listed() == Availability.READY)
+                answer.instances().stream().filter(i -> i.availability() == Availability.READY)
                         .forEach(i -> now.add(i.backend()));
-                boolean empty = answer.listed().isEmpty();
+                boolean empty = answer.instances().isEmpty();
                 long lost = empty ? 0 : ready.stream().filter(b -> !now.contains(b)).count();
                 met += lost * stays.values().stream().flatMap(List::stream).filter(s -> s.rank == one.getKey()
                         && s.from <= answer.at() && answer.at() < s.to).count();
@@ -356,17 +356,17 @@
     private long toldNotReady(int rank, Backend backend, long time) {
         long since = -1;
         boolean wasListed = false;
-        for (RosterServer.Answered answer : told.getOrDefault(rank, List.of())) {
+        for (RosterServer.SentAnswer answer : told.getOrDefault(rank, List.of())) {
             if (answer.at() > time) {
                 break;
             }
-            if (answer.listed().isEmpty()) {
+            if (answer.instances().isEmpty()) {
                 continue; // not believed at once: docs/running.md, The roster empties
             }
-            boolean ready = answer.listed().stream().anyMatch(i -> i.backend().equals(backend)
-                    && i.listed() == Availability.READY);
+            boolean ready = answer.instances().stream().anyMatch(i -> i.backend().equals(backend)
+                    && i.availability() == Availability.READY);
             // A controller that never saw it ready is told of its drain all the same.
-            wasListed |= answer.listed().stream().anyMatch(i -> i.backend().equals(backend));
+            wasListed |= answer.instances().stream().anyMatch(i -> i.backend().equals(backend));
             since = ready || !wasListed ? -1 : since < 0 ? answer.at() : since;
         }
         return since;
@@ -402,8 +402,8 @@
     /** Requests that came to a backend while, going by what the roster said of its start, it was cold. */
     private long coldLoaded() {
         Map<Backend, TreeSet<Long>> starts = new HashMap<>();
-        evidence.answers().forEach(a -> a.listed().stream().filter(i -> i.started() > 0).forEach(i ->
-                starts.computeIfAbsent(i.backend(), b -> new TreeSet<>()).add(i.startedAt())));
+        evidence.answers().forEach(a -> a.instances().stream().filter(i -> i.startedAtMs() > 0).forEach(i ->
+                starts.computeIfAbsent(i.backend(), b -> new TreeSet<>()).add(i.startedAtNs())));
         return evidence.ledger().entries().stream().filter(e -> starts.containsKey(e.backend)).filter(e -> {
             Long start = starts.get(e.backend).floor(e.arrivedAt);
             return start != null && e.arrivedAt - start < rules.warmUpTime();
@@ -417,10 +417,10 @@
             return false;
         }
         long since = -1;
-        for (RosterServer.Answered answer : told.getOrDefault(stay.rank, List.of())) {
+        for (RosterServer.SentAnswer answer : told.getOrDefault(stay.rank, List.of())) {
             boolean tells = answer.at() >= fall.startedAt() && answer.at() <= entry.arrivedAt
-                    && answer.listed().stream().anyMatch(i -> i.backend().equals(fall.backend())
-                            && i.started() > 0);
+                    && answer.instances().stream().anyMatch(i -> i.backend().equals(fall.backend())
+                            && i.startedAtMs() > 0);
             if (tells && since < 0) {
                 since = answer.at();
             }
@@ -514,9 +514,9 @@
         told.forEach((rank, answers) -> {
             TreeSet<Backend> ready = new TreeSet<>();
             boolean first = true;
-            for (RosterServer.Answered answer : answers) {
+            for (RosterServer.SentAnswer answer : answers) {
                 TreeSet<Backend> now = new TreeSet<>();
-                answer.listed().stream().filter(i -> i.listed() == Availability.READY)
+                answer.instances().stream().filter(i -> i.availability() == Availability.READY)
                         .forEach(i -> now.add(i.backend()));
                 if (!first && !now.equals(ready)) {
                     lastApplied(rank, answer.at()).ifPresent(at -> took.add((at - answer.at()) / 1e6));
--- a/src/main/java/rowanmoor/lab/Models.java
+++ b/src/main/java/rowanmoor/lab/Models.java
@@ -20,15 +20,15 @@
     /** The day with its troubles; victims are drawn from the seed. */
     public static Modelled of(DayFile day, long seed) {
         int zones = day.site().zones().size();
-        List<Model.Machine> machines = new ArrayList<>();
+        List<Model.BackendSpec> machines = new ArrayList<>();
         int number = 0;
         for (DayFile.Group group : day.groups()) {
             for (int i = 0; i < group.count(); i++) {
                 int zone = group.zone() >= 0 ? group.zone() : number % zones;
                 number++;
                 var spec = group.spec();
-                machines.add(new Model.Machine(zone, group.kind(), group.weight(), spec.cores(), spec.speed(),
-                        spec.slots(), spec.queue(), group.connections(), spec.coldFrom(), spec.coldFor()));
+                machines.add(new Model.BackendSpec(zone, group.kind(), group.weight(), spec.cores(), spec.speed(),
+                        spec.slots(), spec.queueCapacity(), group.connections(), spec.coldSpeedFraction(), spec.warmUpNs()));
             }
         }
         Random random = new Random(day.seed() * 1_000_003 + 3);
@@ -38,10 +38,10 @@
         double[] cv = new double[day.shares().length];
         Arrays.fill(cv, 1);
         List<String> leftOut = new ArrayList<>();
-        List<Model.Trouble> troubles = new ArrayList<>();
+        List<Model.Fault> troubles = new ArrayList<>();
         Random victims = new Random(seed);
         for (Trouble t : day.troubles()) {
-            Model.Trouble its = trouble(t, machines, proxyZones, victims);
+            Model.Fault its = trouble(t, machines, proxyZones, victims);
             if (its == null) {
                 leftOut.add(t.kind().word() + ": the emulator does not play it");
             } else {
@@ -52,31 +52,31 @@
                 day.controllerZones(),
                 proxyZones,
                 weights, List.copyOf(machines), day.notice(), MILLI / 5, MILLI, day.rate(), day.shares(),
-                day.work(), cv, day.habits().retries(), day.habits().backoff(), day.habits().tryShare(),
+                day.work(), cv, day.habits().maxRetries(), day.habits().backoffNs(), day.habits().tryTimeoutFraction(),
                 List.copyOf(troubles)), List.copyOf(leftOut));
     }
 
-    private static Model.Trouble trouble(Trouble t, List<Model.Machine> machines, int[] proxyZones,
+    private static Model.Fault trouble(Trouble t, List<Model.BackendSpec> machines, int[] proxyZones,
             Random random) {
         int[] all = IntStream.range(0, machines.size()).toArray();
         int[] zone = Arrays.stream(all).filter(b -> machines.get(b).zone() == t.zone()).toArray();
         int[] proxies = IntStream.range(0, proxyZones.length).toArray();
         return switch (t.kind()) {
-            case CRASH -> made(Model.Kind.BACKENDS_DIE, t, sample(all, t.part(), random));
-            case ZONE_LOSS -> made(Model.Kind.BACKENDS_DIE, t, zone);
-            case SLOW -> made(Model.Kind.BACKENDS_SLOW, t, sample(all, t.part(), random));
-            case FAST_ERRORS -> made(Model.Kind.BACKENDS_FAIL, t, sample(all, t.part(), random));
-            case DRAIN -> made(Model.Kind.BACKENDS_DRAIN, t, sample(zone, t.part(), random));
-            case CONTROLLER_KILL -> made(Model.Kind.CONTROLLER_DIES, t, new int[] {t.controller()});
-            case ROSTER_DOWN -> made(Model.Kind.ROSTER_DOWN, t, new int[0]);
-            case PROXIES_CUT -> made(Model.Kind.PROXIES_CUT, t, sample(proxies, t.part(), random));
-            case BURST -> made(Model.Kind.BURST, t, new int[0]);
+            case CRASH -> made(Model.FaultKind.BACKENDS_DIE, t, sample(all, t.part(), random));
+            case ZONE_LOSS -> made(Model.FaultKind.BACKENDS_DIE, t, zone);
+            case SLOW -> made(Model.FaultKind.BACKENDS_SLOW, t, sample(all, t.part(), random));
+            case FAST_ERRORS -> made(Model.FaultKind.BACKENDS_FAIL, t, sample(all, t.part(), random));
+            case DRAIN -> made(Model.FaultKind.BACKENDS_DRAIN, t, sample(zone, t.part(), random));
+            case CONTROLLER_KILL -> made(Model.FaultKind.CONTROLLER_DIES, t, new int[] {t.controller()});
+            case ROSTER_DOWN -> made(Model.FaultKind.ROSTER_DOWN, t, new int[0]);
+            case PROXIES_CUT -> made(Model.FaultKind.PROXIES_CUT, t, sample(proxies, t.part(), random));
+            case BURST -> made(Model.FaultKind.BURST, t, new int[0]);
             default -> null;
         };
     }
 
-    private static Model.Trouble made(Model.Kind kind, Trouble t, int[] struck) {
-        return new Model.Trouble(kind, t.at(), t.length(), struck, t.size());
+    private static Model.Fault made(Model.FaultKind kind, Trouble t, int[] struck) {
+        return new Model.Fault(kind, t.at(), t.length(), struck, t.size());
     }
 
     private static int[] sample(int[] all, double part, Random random) {
--- a/src/main/java/rowanmoor/lab/PlanReport.java
+++ b/src/main/java/rowanmoor/lab/PlanReport.java
@@ -30,8 +30,8 @@
      * @param curve service over the rate
      */
     public record Plan(String fleet, Goal goal, double rateNow, int backendsNow, List<String[]> assumptions,
-            List<Estimator.Estimate> estimates, List<String> notes, Planner.Breaks breaks,
-            List<Planner.Point> curve, Planner.Enough enough, boolean zonesLost, List<Planner.Loss> losses,
+            List<Estimator.Estimate> estimates, List<String> notes, Planner.BreakingPoint breaks,
+            List<Planner.CurvePoint> curve, Planner.FleetSize enough, boolean zonesLost, List<Planner.LossImpact> losses,
             List<Planner.Sensitivity> sensitivity) { }
 
     private static final int WIDTH = 860;
@@ -64,8 +64,8 @@
         line("<h1>Capacity plan: %s</h1>", text(plan.fleet()));
         line("<p>Goal: at least %.3f of the worth answered in time%s. Asked for now: %.1f requests a second"
                 + " on"
-                + " %d backends. Figures are emulated.</p>", plan.goal().service(), plan.goal().worst() > 0
-                ? String.format(Locale.ROOT, ", %.3f over the worst ten seconds", plan.goal().worst()) : "",
+                + " %d backends. Figures are emulated.</p>", plan.goal().minService(), plan.goal().minWorstService() > 0
+                ? String.format(Locale.ROOT, ", %.3f over the worst ten seconds", plan.goal().minWorstService()) : "",
                 plan.rateNow(), plan.backendsNow());
         breaks();
         enough();
@@ -77,34 +77,34 @@
 
     private void breaks() throws IOException {
         line("<h2>What breaks first</h2>");
-        Planner.Breaks b = plan.breaks();
-        if (b.rate().count() == 0) {
+        Planner.BreakingPoint b = plan.breaks();
+        if (b.rate().sampleCount() == 0) {
             line("<p>Nothing: %s.</p>", text(b.note()));
             return;
         }
         line("<p>The goal fails at <b>%.0f requests a second</b> (95%%: %.0f to %.0f, %d seeds, %d runs)%s."
                 + "</p>",
-                b.rate().mean(), b.rate().low(), b.rate().high(), b.rate().count(), b.runs(),
+                b.rate().mean(), b.rate().low(), b.rate().high(), b.rate().sampleCount(), b.runs(),
                 b.note().isEmpty() ? "" : "; " + text(b.note()));
         line("<table><tr><th></th><th>short of</th><th>where</th><th>seen</th><th>pressure</th></tr>");
         int n = 0;
         for (Finding f : b.findings()) {
             if (++n <= 3) {
                 line("<tr><td>%d</td><td>%s</td><td>%s</td><td>%s</td><td>%.2f</td></tr>", n, f.resource(),
-                        text(f.place()), text(f.evidence()), f.pressure());
+                        text(f.location()), text(f.evidence()), f.pressure());
             }
         }
         line("</table>");
         if (!plan.curve().isEmpty()) {
             XYChart chart = new XYChartBuilder().width(WIDTH).height(HEIGHT).title("service over load")
                     .xAxisTitle("requests a second").yAxisTitle("service, 95% over seeds").build();
-            double[] x = plan.curve().stream().mapToDouble(Planner.Point::rate).toArray();
+            double[] x = plan.curve().stream().mapToDouble(Planner.CurvePoint::rate).toArray();
             chart.addSeries("service", x,
                     plan.curve().stream().mapToDouble(p -> p.service().mean()).toArray(),
                     plan.curve().stream()
                             .mapToDouble(p -> p.service().high() - p.service().mean()).toArray());
             chart.addSeries("goal", x,
-                    plan.curve().stream().mapToDouble(p -> plan.goal().service()).toArray())
+                    plan.curve().stream().mapToDouble(p -> plan.goal().minService()).toArray())
                     .setMarker(org.knowm.xchart.style.markers.SeriesMarkers.NONE);
             svg(chart);
         }
@@ -112,7 +112,7 @@
 
     private void enough() {
         line("<h2>How many backends</h2>");
-        Planner.Enough e = plan.enough();
+        Planner.FleetSize e = plan.enough();
         if (e.count() < 0 || !e.note().isEmpty()) {
             line("<p class=\"%s\">%s.</p>", e.count() < 0 ? "bad" : "note", text(e.note()));
         } else {
@@ -120,7 +120,7 @@
                     + " on seeds that the search did not see %.3f (%d runs). There are %d now.</p>",
                             e.count(),
                     plan.rateNow(), plan.zonesLost() ? " with each zone lost in turn" : "", e.service(),
-                    e.freshService(), e.runs(), plan.backendsNow());
+                    e.validationService(), e.runs(), plan.backendsNow());
         }
     }
 
@@ -131,21 +131,21 @@
         line("<h2>What a loss does</h2>");
         line("<table><tr><th>lost</th><th>before</th><th>during</th><th>worst 10 s</th><th>back after</th>"
                 + "<th>queue, of its limit</th></tr>");
-        for (Planner.Loss l : plan.losses()) {
+        for (Planner.LossImpact l : plan.losses()) {
             line("<tr><td>%s</td><td>%.3f</td><td>%.3f</td><td>%.3f</td><td%s>%s</td><td>%.0f%%</td></tr>",
-                    text(l.what()), l.before(), l.during(), l.worst(), l.jammed() ? " class=\"bad\"" : "",
-                    l.recovery() < 0 ? "never" : String.format(Locale.ROOT, "%.0f s%s", l.recovery(),
-                            l.jammed() ? ", then jams" : ""), 100 * l.queueOfLimit());
+                    text(l.name()), l.before(), l.during(), l.worstService(), l.metastable() ? " class=\"bad\"" : "",
+                    l.recoverySeconds() < 0 ? "never" : String.format(Locale.ROOT, "%.0f s%s", l.recoverySeconds(),
+                            l.metastable() ? ", then jams" : ""), 100 * l.queueFraction());
         }
         line("</table>");
         XYChart chart = new XYChartBuilder().width(WIDTH).height(HEIGHT)
                 .title("service through each loss (gone from 10 s to 25 s)").xAxisTitle("seconds")
                 .yAxisTitle("service, over three seconds").build();
         chart.getStyler().setMarkerSize(0);
-        for (Planner.Loss l : plan.losses()) {
-            double[] x = new double[l.bySecond().length];
+        for (Planner.LossImpact l : plan.losses()) {
+            double[] x = new double[l.serviceBySecond().length];
             java.util.Arrays.setAll(x, i -> i);
-            chart.addSeries(l.what(), x, l.bySecond());
+            chart.addSeries(l.name(), x, l.serviceBySecond());
         }
         svg(chart);
     }
@@ -157,14 +157,14 @@
         line("<h2>What would change the answer most</h2>");
         line("<table><tr><th>one input at a time</th><th>the breaking rate moves by</th></tr>");
         plan.sensitivity().forEach(s -> line("<tr><td>%s</td><td>%+.0f%%</td></tr>", text(s.input()),
-                100 * s.change()));
+                100 * s.relativeChange()));
         line("</table>");
         CategoryChart chart = new CategoryChartBuilder().width(WIDTH).height(HEIGHT)
                 .title("change of the breaking rate").yAxisTitle("percent").build();
         chart.getStyler().setLegendVisible(false);
         chart.getStyler().setXAxisLabelRotation(20);
         chart.addSeries("change", plan.sensitivity().stream().map(Planner.Sensitivity::input).toList(),
-                plan.sensitivity().stream().map(s -> 100 * s.change()).toList());
+                plan.sensitivity().stream().map(s -> 100 * s.relativeChange()).toList());
         svg(chart);
     }
 
@@ -173,7 +173,7 @@
         line("<table><tr><th>figure</th><th>value</th><th>95%%</th><th>from</th></tr>");
         for (Estimator.Estimate e : plan.estimates()) {
             line("<tr><td>%s</td><td>%.3g %s</td><td>%.3g to %.3g</td><td>the capture: %s</td></tr>",
-                    text(e.what()), e.value(), e.unit(), e.low(), e.high(), text(e.from()));
+                    text(e.name()), e.value(), e.unit(), e.low(), e.high(), text(e.source()));
         }
         plan.assumptions().forEach(a -> line("<tr><td>%s</td><td>%s</td><td></td><td>%s</td></tr>",
                 text(a[0]),
--- a/src/main/java/rowanmoor/lab/Played.java
+++ b/src/main/java/rowanmoor/lab/Played.java
@@ -15,8 +15,8 @@
  * @param faults what was thrown on any loop, which must be nothing
  * @param seen the run in the emulator's terms, so that both can be diagnosed alike
  */
-public record Played(DayFile day, Evidence evidence, List<Judge.Verdict> verdicts, List<Clients.Met> met,
-        List<Clients.Outcome> outcomes, List<Double> changeMillis, double worstPush, List<JsonNode> stats,
+public record Played(DayFile day, Evidence evidence, List<Judge.Verdict> verdicts, List<Clients.ClassStats> met,
+        List<Clients.RequestOutcome> outcomes, List<Double> changeMillis, double worstPush, List<JsonNode> stats,
         List<String> faults, Outcome seen) {
 
     /** Worth answered in time over worth offered, of one class or (-1) of all. */
--- a/src/main/java/rowanmoor/lab/Player.java
+++ b/src/main/java/rowanmoor/lab/Player.java
@@ -59,7 +59,7 @@
         net.runUntil(end, () -> false);
         net.runUntil(end + 60 * SECOND, ground::done);
         net.runFor(AFTERWARDS);
-        List<Outcome.ControllerMet> met = controllers.met();
+        List<Outcome.ControllerStats> met = controllers.met();
         controllers.close();
         return played(day, ground, net.now(), List.of(), met, faults);
     }
@@ -108,20 +108,20 @@
     }
 
     /** The run in the emulator's terms, from what clients, backends and controllers counted. */
-    private static Outcome seen(DayFile day, Ground ground, List<Outcome.ControllerMet> controllers) {
+    private static Outcome seen(DayFile day, Ground ground, List<Outcome.ControllerStats> controllers) {
         int seconds = (int) (day.length() / SECOND) + 1;
         double[] good = new double[seconds];
         double[] asked = new double[seconds];
-        for (Clients.Outcome o : ground.clients().outcomes()) {
+        for (Clients.RequestOutcome o : ground.clients().outcomes()) {
             var spec = day.site().classes().get(o.cls());
             int second = (int) Math.max(0, Math.min(seconds - 1, (o.arrivedAt() - ground.start()) / SECOND));
             asked[second] += spec.worth();
-            good[second] += !o.answered() ? 0 : o.took() <= spec.aim() ? spec.worth()
+            good[second] += !o.answered() ? 0 : o.latencyNs() <= spec.aim() ? spec.worth()
                     : spec.worth() * spec.lateWorth();
         }
-        List<Outcome.ClassMet> classes = new ArrayList<>();
-        for (Clients.Met met : ground.clients().met()) {
-            Outcome.ClassMet its = new Outcome.ClassMet();
+        List<Outcome.ClassStats> classes = new ArrayList<>();
+        for (Clients.ClassStats met : ground.clients().classStats()) {
+            Outcome.ClassStats its = new Outcome.ClassStats();
             its.offered = met.offered;
             its.good = met.good;
             its.late = met.late;
@@ -133,11 +133,11 @@
     }
 
     private static Played played(DayFile day, Ground ground, long end,
-            List<com.fasterxml.jackson.databind.JsonNode> stats, List<Outcome.ControllerMet> controllers,
+            List<com.fasterxml.jackson.databind.JsonNode> stats, List<Outcome.ControllerStats> controllers,
             List<String> faults) throws IOException {
         Evidence evidence = ground.evidence(end);
         Judge judge = new Judge(evidence);
-        return new Played(day, evidence, judge.verdicts(), ground.clients().met(),
+        return new Played(day, evidence, judge.verdicts(), ground.clients().classStats(),
                 ground.clients().outcomes(),
                 judge.changeToAppliedMillis(), ground.worstPush(), stats, List.copyOf(faults),
                 seen(day, ground, controllers));
--- a/src/main/java/rowanmoor/lab/Report.java
+++ b/src/main/java/rowanmoor/lab/Report.java
@@ -35,7 +35,7 @@
         line(text, "%n%-16s %8s %8s %6s %7s %8s %10s %10s", "class", "offered", "good", "late", "failed",
                 "service", "p50 ms", "p99 ms");
         for (int c = 0; c < played.met().size(); c++) {
-            Clients.Met met = played.met().get(c);
+            Clients.ClassStats met = played.met().get(c);
             line(text, "%-16s %8d %8d %6d %7d %8.3f %10.1f %10.1f", day.site().classNames().get(c),
                     met.offered,
                     met.good, met.late, met.failed, played.service(c),
@@ -96,11 +96,11 @@
                 ObjectNode node = JSON.valueToTree(verdict);
                 out.write(node.put("what", "verdict").toString() + "\n");
             }
-            for (Clients.Outcome outcome : played.outcomes()) {
+            for (Clients.RequestOutcome outcome : played.outcomes()) {
                 ObjectNode node = JSON.createObjectNode().put("what", "outcome")
                         .put("atMs", (outcome.arrivedAt() - played.evidence().start()) / 1e6)
                         .put("class", played.day().site().classNames().get(outcome.cls()))
-                        .put("tookMs", outcome.took() / 1e6).put("answered", outcome.answered());
+                        .put("tookMs", outcome.latencyNs() / 1e6).put("answered", outcome.answered());
                 out.write(node + "\n");
             }
             for (JsonNode stat : played.stats()) {
--- a/src/main/java/rowanmoor/lab/Verifier.java
+++ b/src/main/java/rowanmoor/lab/Verifier.java
@@ -105,14 +105,14 @@
 
     private Trial.Forecast forecast(DayFile day) {
         Planner planner = new Planner(goal, (m, which) -> which.parallelStream().map(s ->
-                Emulator.play(m, s)).toList(), FORECAST_SEEDS);
-        Planner.Breaks breaks = planner.whatBreaks(model(day, day.rate()));
+                Emulator.run(m, s)).toList(), FORECAST_SEEDS);
+        Planner.BreakingPoint breaks = planner.findBreakingPoint(model(day, day.rate()));
         return new Trial.Forecast(day.name(), breaks.rate(), breaks.findings());
     }
 
     private void steps(Fleet fleet, Trial trial) throws IOException, InterruptedException {
         int number = 0;
-        for (double rate = trial.next(); rate > 0; rate = trial.next()) {
+        for (double rate = trial.nextRate(); rate > 0; rate = trial.nextRate()) {
             DayFile day = fleet.day().calm(rate, length).seed(fleet.day().seed() + number);
             Played played;
             if (ways == Ways.SIMULATED) {
@@ -126,9 +126,9 @@
             if (!played.faults().isEmpty()) {
                 throw new IOException(fleet.file() + ": " + played.faults().get(0));
             }
-            Trial.Step step = new Trial.Step(rate, played.seen().service(), goal.kept(played.seen()),
+            Trial.Step step = new Trial.Step(rate, played.seen().service(), goal.isMet(played.seen()),
                     Diagnosis.of(model(day, rate), played.seen()));
-            trial.played(step);
+            trial.recordStep(step);
             progress.accept(String.format(Locale.ROOT, "%s: %.1f/s, service %.3f, %s", fleet.day().name(),
                     rate, step.service(), words(step.findings())));
         }
@@ -167,7 +167,7 @@
             put(one, trial.forecast());
             for (Trial.Step step : trial.steps()) {
                 ObjectNode its = one.withArray("steps").addObject().put("rate", step.rate())
-                        .put("service", step.service()).put("kept", step.kept());
+                        .put("service", step.service()).put("kept", step.goalMet());
                 step.findings().stream().limit(LISTED).forEach(its.withArray("findings")::addPOJO);
             }
             one.putPOJO("verdict", trial.verdict());
@@ -182,7 +182,7 @@
     }
 
     private static String words(List<Finding> findings) {
-        return findings.isEmpty() ? "nothing" : findings.get(0).resource() + ", " + findings.get(0).place()
+        return findings.isEmpty() ? "nothing" : findings.get(0).resource() + ", " + findings.get(0).location()
                 + " (" + findings.get(0).evidence() + ")";
     }
 
@@ -195,17 +195,17 @@
         for (Trial trial : trials) {
             Trial.Verdict v = trial.verdict();
             Trial.Forecast f = trial.forecast();
-            right += v.rateRight() && v.failureRight() ? 1 : 0;
+            right += v.rateMatches() && v.resourceMatches() ? 1 : 0;
             text.append(String.format(Locale.ROOT, "%-26s %8.1f/s %6.1f/s %+6.1f%% %-6s %-38s %-38s %s%n",
-                    f.fleet(), f.rate().mean(), v.rate(), 100 * v.off(), v.rateRight() ? "" : "MISSED",
-                    name(f.findings().isEmpty() ? null : f.findings().get(0)), name(v.seen()),
-                    v.failureRight() ? "" : "MISSED"));
+                    f.fleet(), f.rate().mean(), v.rate(), 100 * v.relativeError(), v.rateMatches() ? "" : "MISSED",
+                    name(f.findings().isEmpty() ? null : f.findings().get(0)), name(v.observed()),
+                    v.resourceMatches() ? "" : "MISSED"));
         }
         return text.append(String.format("%d of %d forecasts right in rate and failure%n", right,
                 trials.size())).toString();
     }
 
     private static String name(Finding finding) {
-        return finding == null ? "nothing" : finding.resource() + ", " + finding.place();
+        return finding == null ? "nothing" : finding.resource() + ", " + finding.location();
     }
 }
--- a/src/main/java/rowanmoor/plan/Bisection.java
+++ b/src/main/java/rowanmoor/plan/Bisection.java
@@ -24,7 +24,7 @@
     }
 
     /** The rate to be tried next, or 0 when the search is over. */
-    public double next() {
+    public double nextRate() {
         if (Double.isNaN(failed)) {
             return held == to ? 0 : to;
         }
@@ -34,7 +34,7 @@
         return failed - held <= within * failed ? 0 : (held + failed) / 2;
     }
 
-    public void tried(double rate, boolean kept) {
+    public void recordResult(double rate, boolean kept) {
         if (kept) {
             held = rate;
         } else {
@@ -43,7 +43,7 @@
     }
 
     /** The middle of what is left; 0 if the goal failed even at the low end, infinite if nothing failed. */
-    public double found() {
+    public double result() {
         return Double.isNaN(failed) ? Double.POSITIVE_INFINITY : Double.isNaN(held) ? 0 : (held + failed) / 2;
     }
 }
--- a/src/main/java/rowanmoor/plan/Diagnosis.java
+++ b/src/main/java/rowanmoor/plan/Diagnosis.java
@@ -31,10 +31,10 @@
     /** All resources by pressure, the hardest pressed first; at 1 or above a resource was at its limit. */
     public static List<Finding> of(Model model, Outcome outcome) {
         List<Finding> all = new ArrayList<>();
-        double span = model.length() / 1e9;
+        double span = model.durationNs() / 1e9;
         TreeMap<String, List<Integer>> groups = new TreeMap<>();
-        for (int b = 0; b < model.machines().size(); b++) {
-            Model.Machine m = model.machines().get(b);
+        for (int b = 0; b < model.backends().size(); b++) {
+            Model.BackendSpec m = model.backends().get(b);
             groups.computeIfAbsent(model.site().kinds().get(m.kind()) + " in " + model.site().zones().get(m
                     .zone()),
                     g -> new ArrayList<>()).add(b);
@@ -43,13 +43,13 @@
         groups.forEach((place, members) -> {
             double busy = mean(outcome, members);
             double tries = members.stream().mapToDouble(b -> tries(outcome, b)).sum();
-            double full = members.stream().mapToDouble(b -> outcome.backends().get(b).full).sum();
-            double none = members.stream().mapToDouble(b -> outcome.backends().get(b).noConnection).sum();
+            double full = members.stream().mapToDouble(b -> outcome.backends().get(b).rejectedFull).sum();
+            double none = members.stream().mapToDouble(b -> outcome.backends().get(b).refusedConnections).sum();
             all.add(new Finding(Finding.Resource.CORES, place, busy / BUSY, text("%.0f%% of core time in use",
                     100 * busy)));
             // Where slots keep all cores in use, a backend is only ever full because they are: refusals are
             // the cores' own, unless cores were idle for much of the time and bursts alone filled it.
-            boolean slotsUseCores = members.stream().map(model.machines()::get)
+            boolean slotsUseCores = members.stream().map(model.backends()::get)
                     .allMatch(m -> m.slots() >= m.cores());
             double room = Math.max(0, Math.min(1, (IN_USE - busy) / (IN_USE - ROOMY)));
             double damp = slotsUseCores ? room : 1;
@@ -69,37 +69,37 @@
     }
 
     private static double tries(Outcome outcome, int b) {
-        Outcome.BackendMet met = outcome.backends().get(b);
-        return met.served + met.full + met.noConnection;
+        Outcome.BackendStats met = outcome.backends().get(b);
+        return met.served + met.rejectedFull + met.refusedConnections;
     }
 
     private static double mean(Outcome outcome, List<Integer> members) {
-        return members.stream().mapToDouble(b -> outcome.backends().get(b).busy).average().orElse(0);
+        return members.stream().mapToDouble(b -> outcome.backends().get(b).utilization).average().orElse(0);
     }
 
     /** A class that only some backends may serve, and that fails while the others have room. */
     private static void confined(Model model, Outcome outcome, double fleetBusy,
             List<Finding> all) {
-        for (int c = 0; c < model.shares().length; c++) {
+        for (int c = 0; c < model.classShares().length; c++) {
             ClassSpec spec = model.site().classes().get(c);
             if (!spec.restricted()) {
                 continue;
             }
             List<Integer> open = new ArrayList<>();
-            for (int b = 0; b < model.machines().size(); b++) {
-                Model.Machine m = model.machines().get(b);
+            for (int b = 0; b < model.backends().size(); b++) {
+                Model.BackendSpec m = model.backends().get(b);
                 if ((spec.onlyZones().isEmpty() || spec.onlyZones().contains(m.zone()))
                         && (spec.onlyKinds().isEmpty() || spec.onlyKinds().contains(m.kind()))) {
                     open.add(b);
                 }
             }
             double busy = mean(outcome, open);
-            double busiest = open.stream().mapToDouble(b -> outcome.backends().get(b).busy).max()
+            double busiest = open.stream().mapToDouble(b -> outcome.backends().get(b).utilization).max()
                     .orElse(0);
             boolean othersHaveRoom = busy > UNEVEN * fleetBusy;
             double tries = open.stream().mapToDouble(b -> tries(outcome, b)).sum();
-            double full = open.stream().mapToDouble(b -> outcome.backends().get(b).full).sum();
-            boolean slotsUseCores = open.stream().map(model.machines()::get)
+            double full = open.stream().mapToDouble(b -> outcome.backends().get(b).rejectedFull).sum();
+            boolean slotsUseCores = open.stream().map(model.backends()::get)
                     .allMatch(m -> m.slots() >= m.cores());
             // Just above its backends' cores and, where slots use those, their waiting rooms: while others
             // have room it is the same shortage seen from the other side.
@@ -107,7 +107,7 @@
             all.add(new Finding(Finding.Resource.CONFINED_CLASS, model.site().classNames().get(c),
                     othersHaveRoom ? Math.max(busiest / BUSY, room) * 1.05 : 0,
                             text("%d of %d backends are open to it, %.0f%% busy;"
-                            + " the fleet %.0f%%", open.size(), model.machines().size(), 100 * busy,
+                            + " the fleet %.0f%%", open.size(), model.backends().size(), 100 * busy,
                             100 * fleetBusy)));
         }
     }
@@ -115,24 +115,24 @@
     private static void channel(Model model, Outcome outcome, double span, TreeMap<String,
             List<Integer>> groups,
             List<Finding> all) {
-        double seconds = span + model.settle() / 1e9;
+        double seconds = span + model.settleNs() / 1e9;
         for (int c = 0; c < outcome.controllers().size(); c++) {
-            Outcome.ControllerMet met = outcome.controllers().get(c);
-            double used = met.lines / (model.site().channel().linesPerSecond() * seconds);
-            double busiest = outcome.backends().stream().mapToDouble(b -> b.busy).max().orElse(0);
-            double mean = outcome.backends().stream().mapToDouble(b -> b.busy).average().orElse(0);
+            Outcome.ControllerStats met = outcome.controllers().get(c);
+            double used = met.totalQueuedLines / (model.site().channel().linesPerSecond() * seconds);
+            double busiest = outcome.backends().stream().mapToDouble(b -> b.utilization).max().orElse(0);
+            double mean = outcome.backends().stream().mapToDouble(b -> b.utilization).average().orElse(0);
             boolean uneven = busiest > UNEVEN * mean;
             all.add(new Finding(Finding.Resource.CHANNEL, "controller " + c,
                     used > BUSY && uneven ? 1 + used : used,
                     text("%.0f%% of its pace used; the busiest backend %.0f%%, the mean %.0f%%", 100 * used,
                             100 * busiest, 100 * mean)));
-            double queue = met.mostLines / model.site().channel().maxBacklog();
+            double queue = met.maxQueuedLines / model.site().channel().maxBacklog();
             all.add(new Finding(Finding.Resource.QUEUE_RULE, "controller " + c,
                     queue > 1 ? 10 * queue : 0.9 * queue,
-                    text("%.0f of %.0f lines waited", met.mostLines, model.site().channel().maxBacklog())));
+                    text("%.0f of %.0f lines waited", met.maxQueuedLines, model.site().channel().maxBacklog())));
             double cycle = model.site().reportLinesPerSecond() * model.site().reportIntervalNs() / 1e9;
-            all.add(new Finding(Finding.Resource.INTAKE, "controller " + c, met.mostReports / cycle / 10,
-                    text("%d report lines waited, %.0f are told a period", met.mostReports, cycle)));
+            all.add(new Finding(Finding.Resource.INTAKE, "controller " + c, met.maxPendingReportLines / cycle / 10,
+                    text("%d report lines waited, %.0f are told a period", met.maxPendingReportLines, cycle)));
         }
     }
 
--- a/src/main/java/rowanmoor/plan/Estimator.java
+++ b/src/main/java/rowanmoor/plan/Estimator.java
@@ -31,11 +31,11 @@
  */
 public final class Estimator {
 
-    /** One figure. {@code from} says how it was come by. */
-    public record Estimate(String what, double value, double low, double high, String unit, String from) { }
+    /** One figure. {@code source} says how it was come by. */
+    public record Estimate(String name, double value, double low, double high, String unit, String source) { }
 
     /** The model with what was estimated in it. */
-    public record Estimated(Model model, List<Estimate> estimates, List<String> notes) { }
+    public record Result(Model model, List<Estimate> estimates, List<String> notes) { }
 
     private static final long WINDOW = 4_000_000_000L;
     private static final double SECOND = 1e9;
@@ -47,13 +47,13 @@
     private static final double NORMAL = 1.96;
 
     private final Model model;
-    private final Runs runs;
+    private final SimulationRunner runs;
     private final long seed;
     private final List<Estimate> estimates = new ArrayList<>();
     private final List<String> notes = new ArrayList<>();
 
     /** @param model the fleet as its file describes it; speeds, zones and classes are taken from it */
-    public Estimator(Model model, Runs runs, long seed) {
+    public Estimator(Model model, SimulationRunner runs, long seed) {
         this.model = model;
         this.runs = runs;
         this.seed = seed;
@@ -78,11 +78,11 @@
     }
 
     /** Estimates from records on one time line; see {@link LoadRecord}. */
-    public Estimated from(List<LoadRecord> records) {
+    public Result estimate(List<LoadRecord> records) {
         Map<Integer, double[]> byProxy = new TreeMap<>();
         Map<Integer, Integer> zones = new TreeMap<>();
         Map<String, Row> rows = rows(records, byProxy, zones);
-        double[] byClass = new double[model.shares().length];
+        double[] byClass = new double[model.classShares().length];
         byProxy.values().forEach(counts -> {
             for (int c = 0; c < byClass.length; c++) {
                 byClass[c] += counts[c];
@@ -94,7 +94,7 @@
         if (all == 0 || whole.isEmpty()) {
             notes.add(all == 0 ? "the capture has no request: the rate is 0"
                     : "the capture is too short: nothing is estimated but the rate");
-            return new Estimated(all == 0 ? model.rate(0) : model, estimates, notes);
+            return new Result(all == 0 ? model.rate(0) : model, estimates, notes);
         }
         double rate = rate(whole);
         double[] shares = mix(byClass, all);
@@ -102,7 +102,7 @@
         skew(byProxy);
         its = its.rate(rate * repeats(whole));
         List<Row> quiet = quiet(whole);
-        return new Estimated(quiet.size() < QUIET_LEAST ? tooFew(its) : withWork(its, quiet), estimates,
+        return new Result(quiet.size() < QUIET_LEAST ? tooFew(its) : withWork(its, quiet), estimates,
                 notes);
     }
 
@@ -125,7 +125,7 @@
             Map<Integer, Integer> zones) {
         Map<String, Row> rows = new TreeMap<>();
         Map<String, Integer> kinds = new TreeMap<>();
-        int classes = model.shares().length;
+        int classes = model.classShares().length;
         for (LoadRecord record : records) {
             if (record instanceof LoadRecord.Listed listed) {
                 kinds.put(listed.backend(), listed.kind());
@@ -151,7 +151,7 @@
     }
 
     private double speed(int kind) {
-        return model.machines().stream().filter(m -> m.kind() == kind).mapToDouble(Model.Machine::speed)
+        return model.backends().stream().filter(m -> m.kind() == kind).mapToDouble(Model.BackendSpec::speed)
                 .average().orElse(1);
     }
 
@@ -367,12 +367,12 @@
         double factor = 1;
         for (int i = 0; i < CORRECTIONS; i++) {
             double by = factor;
-            double[] less = Arrays.stream(found.work()).map(w -> w / by).toArray();
-            Outcome o = runs.play(found.rate(rate).work(less, found.cv()), List.of(seed)).get(0);
+            double[] less = Arrays.stream(found.workSeconds()).map(w -> w / by).toArray();
+            Outcome o = runs.run(found.rate(rate).work(less, found.workCv()), List.of(seed)).get(0);
             double stay = 0;
             double alone = 0;
             for (int b = 0; b < o.backends().size(); b++) {
-                stay += o.backends().get(b).staySeconds * found.machines().get(b).speed();
+                stay += o.backends().get(b).staySeconds * found.backends().get(b).speed();
                 alone += o.backends().get(b).workSeconds;
             }
             factor = alone == 0 ? 1 : Math.max(1, stay / alone);
--- a/src/main/java/rowanmoor/plan/Finding.java
+++ b/src/main/java/rowanmoor/plan/Finding.java
@@ -3,11 +3,11 @@
 /**
  * A resource under pressure.
  *
- * @param place where: a kind, a zone, a class, a controller
+ * @param location where: a kind, a zone, a class, a controller
  * @param pressure how hard it is pressed; 1 is its limit
  * @param evidence the figures that say so
  */
-public record Finding(Resource resource, String place, double pressure, String evidence) {
+public record Finding(Resource resource, String location, double pressure, String evidence) {
 
     /** What can run out. */
     public enum Resource {
--- a/src/main/java/rowanmoor/plan/Interval.java
+++ b/src/main/java/rowanmoor/plan/Interval.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** A mean over seeds and a range that holds the true one with 95% confidence (Student's t). */
-public record Interval(double mean, double low, double high, int count) {
+public record Interval(double mean, double low, double high, int sampleCount) {
 
     // Two-sided 95% quantiles of Student's t, by degrees of freedom from 1.
     private static final double[] T = {12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228};
--- a/src/main/java/rowanmoor/plan/Planner.java
+++ b/src/main/java/rowanmoor/plan/Planner.java
@@ -20,10 +20,10 @@
      * The rate at which the goal fails first, and what was short then; {@code rate} is infinite if
      * nothing fails.
      */
-    public record Breaks(Interval rate, List<Finding> findings, double serviceAt, int runs, String note) { }
+    public record BreakingPoint(Interval rate, List<Finding> findings, double service, int runs, String note) { }
 
     /** Fewest backends; {@code count} is -1 if no number reaches the goal, and {@code note} says why. */
-    public record Enough(int count, double service, double freshService, int runs, String note) { }
+    public record FleetSize(int count, double service, double validationService, int runs, String note) { }
 
     /**
      * What one loss does.
@@ -32,12 +32,12 @@
      * @param recovery seconds after its end until service is back, or -1 if it never is
      * @param jammed whether service stays down although the trouble is gone
      */
-    public record Loss(String what, double before, double during, double worst, double recovery,
-            boolean jammed,
-            double queueOfLimit, double[] bySecond) { }
+    public record LossImpact(String name, double before, double during, double worstService, double recoverySeconds,
+            boolean metastable,
+            double queueFraction, double[] serviceBySecond) { }
 
     /** Service at a rate. */
-    public record Point(double rate, Interval service) { }
+    public record CurvePoint(double rate, Interval service) { }
 
     private static final double PRECISION = 0.02;
     private static final int DOUBLINGS_MOST = 12;
@@ -49,12 +49,12 @@
     private static final long SECOND = 1_000_000_000L;
 
     private final Goal goal;
-    private final Runs runs;
+    private final SimulationRunner runs;
     private final int seeds;
     private int played;
 
     /** @param seeds how many seeds each question is asked on, 1 or more */
-    public Planner(Goal goal, Runs runs, int seeds) {
+    public Planner(Goal goal, SimulationRunner runs, int seeds) {
         this.goal = goal;
         this.runs = runs;
         this.seeds = seeds;
@@ -62,7 +62,7 @@
 
     private List<Outcome> play(Model model, List<Long> which) {
         played += which.size();
-        return runs.play(model, which);
+        return runs.run(model, which);
     }
 
     private List<Long> seen() {
@@ -76,10 +76,10 @@
     // ---- what breaks first ---------------------------------------------------------------------------
 
     /** Raises the load, mix as it is, until the goal fails. */
-    public Breaks whatBreaks(Model model) {
+    public BreakingPoint findBreakingPoint(Model model) {
         played = 0;
         if (!(model.capacity() > 0) || !(model.meanWork() > 0)) {
-            return new Breaks(Interval.of(List.of()), List.of(), 1, 0,
+            return new BreakingPoint(Interval.of(List.of()), List.of(), 1, 0,
                     "nothing is asked for or there is no fleet");
         }
         double full = model.capacity() / model.meanWork();
@@ -94,7 +94,7 @@
                 held = broken;
                 broken *= 2;
                 if (++doublings > DOUBLINGS_MOST) {
-                    return new Breaks(Interval.of(List.of()), List.of(), 1, played,
+                    return new BreakingPoint(Interval.of(List.of()), List.of(), 1, played,
                             "the goal holds at every rate tried, up to " + Math.round(broken) + "/s");
                 }
             }
@@ -105,9 +105,9 @@
                 } else {
                     broken = middle;
                 }
-                if (held == 0 && broken * model.length() / SECOND < MEASURABLE) {
+                if (held == 0 && broken * model.durationNs() / SECOND < MEASURABLE) {
                     Outcome at = play(model.rate(broken), List.of(seed)).get(0);
-                    return new Breaks(new Interval(0, 0, 0, 1), Diagnosis.of(model.rate(broken), at),
+                    return new BreakingPoint(new Interval(0, 0, 0, 1), Diagnosis.of(model.rate(broken), at),
                             at.service(),
                             played, "the goal fails at any rate");
                 }
@@ -119,21 +119,21 @@
                 serviceAt = at.service();
             }
         }
-        return new Breaks(Interval.of(rates), findings, serviceAt, played, "");
+        return new BreakingPoint(Interval.of(rates), findings, serviceAt, played, "");
     }
 
     /** Service at rates about one at which the goal fails. */
-    public List<Point> curve(Model model, double around) {
-        List<Point> points = new ArrayList<>();
+    public List<CurvePoint> serviceCurve(Model model, double around) {
+        List<CurvePoint> points = new ArrayList<>();
         for (double part : CURVE) {
-            points.add(new Point(part * around, Interval.of(play(model.rate(part * around), seen()).stream()
+            points.add(new CurvePoint(part * around, Interval.of(play(model.rate(part * around), seen()).stream()
                     .map(Outcome::service).toList())));
         }
         return points;
     }
 
     private boolean kept(Model model, long seed) {
-        return goal.kept(play(model, List.of(seed)).get(0));
+        return goal.isMet(play(model, List.of(seed)).get(0));
     }
 
     // ---- how many ------------------------------------------------------------------------------------
@@ -143,20 +143,20 @@
      *
      * @param lost troubles under each of which the goal must hold too; may be empty
      */
-    public Enough howMany(Model model, List<java.util.function.Function<Model, List<Model.Trouble>>> lost) {
+    public FleetSize findFleetSize(Model model, List<java.util.function.Function<Model, List<Model.Fault>>> lost) {
         played = 0;
-        if (model.rate() <= 0) {
-            return new Enough(0, 1, 1, 0, "nothing is asked for");
+        if (model.requestsPerSecond() <= 0) {
+            return new FleetSize(0, 1, 1, 0, "nothing is asked for");
         }
-        int now = model.machines().size();
+        int now = model.backends().size();
         int low = 0;
-        int high = Math.max(1, (int) Math.ceil(now * model.rate() * model.meanWork() / model.capacity()));
+        int high = Math.max(1, (int) Math.ceil(now * model.requestsPerSecond() * model.meanWork() / model.capacity()));
         double before = -1;
         while (!holds(sized(model, high), lost, seen())) {
             double service = mean(sized(model, high), seen());
             // More backends that serve no better will not do: the limit is elsewhere.
             if (high >= BACKENDS_MOST || before >= 0 && service < before + 0.001 && high > 4 * now) {
-                return new Enough(-1, service, 0, played, whyNone(sized(model, high), lost));
+                return new FleetSize(-1, service, 0, played, whyNone(sized(model, high), lost));
             }
             before = service;
             low = high;
@@ -174,7 +174,7 @@
         while (!holds(sized(model, high), lost, fresh()) && high < BACKENDS_MOST) {
             high++;
         }
-        return new Enough(high, mean(sized(model, high), seen()), mean(sized(model, high), fresh()), played,
+        return new FleetSize(high, mean(sized(model, high), seen()), mean(sized(model, high), fresh()), played,
                 "");
     }
 
@@ -182,10 +182,10 @@
      * Why more backends do not help: a shortage elsewhere, or a loss that costs too much while it is
      * noticed.
      */
-    private String whyNone(Model model, List<java.util.function.Function<Model, List<Model.Trouble>>> lost) {
+    private String whyNone(Model model, List<java.util.function.Function<Model, List<Model.Fault>>> lost) {
         Outcome at = play(model, seen().subList(0, 1)).get(0);
-        String begin = "no number of backends does: with " + model.machines().size();
-        if (goal.kept(at) && !lost.isEmpty()) {
+        String begin = "no number of backends does: with " + model.backends().size();
+        if (goal.isMet(at) && !lost.isEmpty()) {
             double worst = lost.stream().mapToDouble(l -> mean(model.troubles(l.apply(model)), seen())).min()
                     .orElse(0);
             return String.format(Locale.ROOT,
@@ -199,13 +199,13 @@
                 first.resource(), first.evidence());
     }
 
-    private boolean holds(Model model, List<java.util.function.Function<Model, List<Model.Trouble>>> lost,
+    private boolean holds(Model model, List<java.util.function.Function<Model, List<Model.Fault>>> lost,
             List<Long> which) {
-        if (!play(model, which).stream().allMatch(goal::kept)) {
+        if (!play(model, which).stream().allMatch(goal::isMet)) {
             return false;
         }
         return lost.stream().allMatch(l -> play(model.troubles(l.apply(model)), which).stream()
-                .allMatch(goal::kept));
+                .allMatch(goal::isMet));
     }
 
     private double mean(Model model, List<Long> which) {
@@ -214,10 +214,10 @@
 
     /** So many backends, the kinds and zones in the same proportions as far as whole numbers allow. */
     public static Model sized(Model model, int count) {
-        List<Model.Machine> machines = new ArrayList<>();
-        int have = model.machines().size();
+        List<Model.BackendSpec> machines = new ArrayList<>();
+        int have = model.backends().size();
         for (int i = 0; i < count; i++) {
-            machines.add(model.machines().get((int) ((long) i * have / count)));
+            machines.add(model.backends().get((int) ((long) i * have / count)));
         }
         return model.machines(machines);
     }
@@ -225,47 +225,47 @@
     // ---- what a loss does ----------------------------------------------------------------------------
 
     /** Each zone, each controller, the roster and a third of the proxies, one at a time. */
-    public List<Loss> losses(Model model, long at, long length) {
-        List<Loss> all = new ArrayList<>();
+    public List<LossImpact> evaluateLosses(Model model, long at, long length) {
+        List<LossImpact> all = new ArrayList<>();
         for (int z = 0; z < model.site().zones().size(); z++) {
-            int[] struck = zone(model, z);
+            int[] struck = backendsInZone(model, z);
             if (struck.length > 0) {
-                all.add(loss("zone " + model.site().zones().get(z), model, new Model.Trouble(
-                        Model.Kind.BACKENDS_DIE, at, length, struck, 1)));
+                all.add(loss("zone " + model.site().zones().get(z), model, new Model.Fault(
+                        Model.FaultKind.BACKENDS_DIE, at, length, struck, 1)));
             }
         }
         for (int c = 0; c < model.controllerZones().size(); c++) {
-            all.add(loss("controller " + c, model, new Model.Trouble(Model.Kind.CONTROLLER_DIES, at, length,
+            all.add(loss("controller " + c, model, new Model.Fault(Model.FaultKind.CONTROLLER_DIES, at, length,
                     new int[] {c}, 1)));
         }
-        all.add(loss("roster", model, new Model.Trouble(Model.Kind.ROSTER_DOWN, at, length, new int[0], 1)));
+        all.add(loss("roster", model, new Model.Fault(Model.FaultKind.ROSTER_DOWN, at, length, new int[0], 1)));
         int[] third = IntStream.range(0, model.proxyZones().length).filter(p -> p % 3 == 0).toArray();
-        all.add(loss("a third of the proxies cut off", model, new Model.Trouble(Model.Kind.PROXIES_CUT, at,
+        all.add(loss("a third of the proxies cut off", model, new Model.Fault(Model.FaultKind.PROXIES_CUT, at,
                 length,
                 third, 1)));
         return all;
     }
 
     /** The backends of a zone, by place. */
-    public static int[] zone(Model model, int zone) {
-        return IntStream.range(0, model.machines().size()).filter(b -> model.machines().get(b).zone() == zone)
+    public static int[] backendsInZone(Model model, int zone) {
+        return IntStream.range(0, model.backends().size()).filter(b -> model.backends().get(b).zone() == zone)
                 .toArray();
     }
 
-    private Loss loss(String what, Model model, Model.Trouble trouble) {
+    private LossImpact loss(String what, Model model, Model.Fault trouble) {
         Outcome o = play(model.troubles(List.of(trouble)), seen().subList(0, 1)).get(0);
-        int from = (int) (trouble.at() / SECOND);
-        int to = (int) ((trouble.at() + trouble.length()) / SECOND);
-        int end = (int) (model.length() / SECOND);
+        int from = (int) (trouble.startNs() / SECOND);
+        int to = (int) ((trouble.startNs() + trouble.durationNs()) / SECOND);
+        int end = (int) (model.durationNs() / SECOND);
         double before = stretch(o, 0, from);
         double recovery = -1;
         for (int s = to; s + 3 <= end && recovery < 0; s++) {
             recovery = stretch(o, s, s + 3) >= RECOVERED * before ? s - to : -1;
         }
         double last = stretch(o, Math.max(to, end - 10), end);
-        double queue = o.controllers().stream().mapToDouble(c -> c.mostLines).max().orElse(0)
+        double queue = o.controllers().stream().mapToDouble(c -> c.maxQueuedLines).max().orElse(0)
                 / model.site().channel().maxBacklog();
-        return new Loss(what, before, stretch(o, from, to), o.worst(10), recovery, last < RECOVERED * before,
+        return new LossImpact(what, before, stretch(o, from, to), o.worstService(10), recovery, last < RECOVERED * before,
                 queue, bySecond(o, end));
     }
 
@@ -278,7 +278,7 @@
 
     private static double stretch(Outcome o, int from, int to) {
         double good = Arrays.stream(o.goodBySecond(), from, Math.min(to, o.goodBySecond().length)).sum();
-        double asked = Arrays.stream(o.askedBySecond(), from, Math.min(to, o.askedBySecond().length)).sum();
+        double asked = Arrays.stream(o.offeredBySecond(), from, Math.min(to, o.offeredBySecond().length)).sum();
         return asked == 0 ? 1 : good / asked;
     }
 
@@ -287,29 +287,29 @@
     /** One input at a time a fifth up: how much the breaking rate moves, as a part of it. */
     public List<Sensitivity> sensitivity(Model model, double rate) {
         List<Sensitivity> all = new ArrayList<>();
-        all.add(moved("a fifth more work in each request", model, rate, m -> with(m, scaled(m.work(), 1.2),
-                m.cv(),
-                m.retries())));
-        all.add(moved("a fifth more spread of work", model, rate, m -> with(m, m.work(), scaled(m.cv(), 1.2),
-                m.retries())));
-        all.add(moved("one more retry of clients", model, rate, m -> with(m, m.work(), m.cv(),
-                m.retries() + 1)));
-        all.add(moved("a fifth more waiting room", model, rate, m -> m.machines(m.machines().stream().map(x ->
-                new Model.Machine(x.zone(), x.kind(), x.weight(), x.cores(), x.speed(), x.slots(),
-                        (int) Math.ceil(x.queue() * 1.2), x.connections(), x.coldFrom(),
-                                x.coldFor())).toList())));
-        all.sort((x, y) -> Double.compare(Math.abs(y.change()), Math.abs(x.change())));
+        all.add(moved("a fifth more work in each request", model, rate, m -> with(m, scaled(m.workSeconds(), 1.2),
+                m.workCv(),
+                m.maxClientRetries())));
+        all.add(moved("a fifth more spread of work", model, rate, m -> with(m, m.workSeconds(), scaled(m.workCv(), 1.2),
+                m.maxClientRetries())));
+        all.add(moved("one more retry of clients", model, rate, m -> with(m, m.workSeconds(), m.workCv(),
+                m.maxClientRetries() + 1)));
+        all.add(moved("a fifth more waiting room", model, rate, m -> m.machines(m.backends().stream().map(x ->
+                new Model.BackendSpec(x.zone(), x.kind(), x.weight(), x.cores(), x.speed(), x.slots(),
+                        (int) Math.ceil(x.queueCapacity() * 1.2), x.maxConnections(), x.coldSpeedFraction(),
+                                x.warmUpNs())).toList())));
+        all.sort((x, y) -> Double.compare(Math.abs(y.relativeChange()), Math.abs(x.relativeChange())));
         return all;
     }
 
     /** How the breaking rate moves with an input. */
-    public record Sensitivity(String input, double change) { }
+    public record Sensitivity(String input, double relativeChange) { }
 
     private Sensitivity moved(String input, Model model, double rate,
             java.util.function.UnaryOperator<Model> change) {
         Planner one = new Planner(goal, runs, 1);
-        Breaks moved = one.whatBreaks(change.apply(model));
-        return new Sensitivity(input, moved.rate().count() == 0 ? 0 : moved.rate().mean() / rate - 1);
+        BreakingPoint moved = one.findBreakingPoint(change.apply(model));
+        return new Sensitivity(input, moved.rate().sampleCount() == 0 ? 0 : moved.rate().mean() / rate - 1);
     }
 
     private static double[] scaled(double[] values, double by) {
@@ -317,10 +317,10 @@
     }
 
     private static Model with(Model m, double[] work, double[] cv, int retries) {
-        return new Model(m.site(), m.settle(), m.length(), m.rise(), m.controllerZones(), m.proxyZones(),
+        return new Model(m.site(), m.settleNs(), m.durationNs(), m.rampNs(), m.controllerZones(), m.proxyZones(),
                 m.proxyWeights(),
-                m.machines(), m.notice(), m.sameZone(), m.crossZone(), m.rate(), m.shares(), work, cv,
+                m.backends(), m.rosterDelayNs(), m.sameZoneDelayNs(), m.crossZoneDelayNs(), m.requestsPerSecond(), m.classShares(), work, cv,
                         retries,
-                m.backoff(), m.tryShare(), m.troubles());
+                m.retryBackoffNs(), m.tryTimeoutFraction(), m.faults());
     }
 }
--- a/src/main/java/rowanmoor/plan/Runs.java
+++ b/src/main/java/rowanmoor/plan/SimulationRunner.java
@@ -6,7 +6,7 @@
 
 /** Plays models; one outcome for each seed, in their order. */
 @FunctionalInterface
-public interface Runs {
+public interface SimulationRunner {
 
-    List<Outcome> play(Model model, List<Long> seeds);
+    List<Outcome> run(Model model, List<Long> seeds);
 }
--- a/src/main/java/rowanmoor/plan/Trial.java
+++ b/src/main/java/rowanmoor/plan/Trial.java
@@ -19,10 +19,10 @@
     public record Forecast(String fleet, Interval rate, List<Finding> findings) { }
 
     /** One step: what it was asked, what came of it, hardest pressed first. */
-    public record Step(double rate, double service, boolean kept, List<Finding> findings) { }
+    public record Step(double rate, double service, boolean goalMet, List<Finding> findings) { }
 
     /** What it came to. */
-    public record Verdict(double rate, double off, boolean rateRight, Finding seen, boolean failureRight) { }
+    public record Verdict(double rate, double relativeError, boolean rateMatches, Finding observed, boolean resourceMatches) { }
 
     private static final double FIRST = 0.7;
     private static final double UP = 1.07;
@@ -55,41 +55,41 @@
     }
 
     /** The rate to be played next, or 0 if all is known (or as many steps were played as there may be). */
-    public double next() {
+    public double nextRate() {
         if (steps.isEmpty()) {
             return forecast.rate().mean() > 0 ? FIRST * forecast.rate().mean() : usual;
         }
         Step last = steps.get(steps.size() - 1);
-        if (!last.kept() && !again) {
+        if (!last.goalMet() && !again) {
             return last.rate();
         }
-        boolean down = !steps.get(0).kept();
-        if (last.kept() == down || steps.size() >= STEPS_MOST) {
+        boolean down = !steps.get(0).goalMet();
+        if (last.goalMet() == down || steps.size() >= STEPS_MOST) {
             return 0;
         }
         return last.rate() * (down ? DOWN : UP);
     }
 
-    public void played(Step step) {
+    public void recordStep(Step step) {
         Step last = steps.isEmpty() ? null : steps.get(steps.size() - 1);
         again = last != null && last.rate() == step.rate();
         if (again) {
             double mean = (last.service() + step.service()) / 2;
-            boolean kept = mean >= goal.service();
+            boolean kept = mean >= goal.minService();
             steps.set(steps.size() - 1, new Step(step.rate(), mean, kept, last.findings()));
         } else {
             steps.add(step);
         }
     }
 
-    /** The verdict; once {@link #next} is 0. */
+    /** The verdict; once {@link #nextRate} is 0. */
     public Verdict verdict() {
         Step held = null;
         Step failed = null;
         for (Step step : steps) {
-            if (step.kept() && (held == null || step.rate() > held.rate())) {
+            if (step.goalMet() && (held == null || step.rate() > held.rate())) {
                 held = step;
-            } else if (!step.kept() && (failed == null || step.rate() < failed.rate())) {
+            } else if (!step.goalMet() && (failed == null || step.rate() < failed.rate())) {
                 failed = step;
             }
         }
@@ -103,7 +103,7 @@
             return new Verdict(Double.POSITIVE_INFINITY, -1, false, null, false);
         }
         double part = held.service() <= failed.service() ? 0.5 : Math.min(1, Math.max(0,
-                (held.service() - goal.service()) / (held.service() - failed.service())));
+                (held.service() - goal.minService()) / (held.service() - failed.service())));
         double rate = held.rate() + part * (failed.rate() - held.rate());
         double off = forecast.rate().mean() / rate - 1;
         Finding seen = failed.findings().get(0);
@@ -117,7 +117,7 @@
         }
         Finding first = named.get(0);
         return named.stream().anyMatch(f -> f.resource() == first.resource()
-                && f.resource() == seen.resource() && f.place().equals(seen.place())
+                && f.resource() == seen.resource() && f.location().equals(seen.location())
                 && f.pressure() >= TIED * first.pressure());
     }
 }
--- a/src/main/java/rowanmoor/standin/BackendModel.java
+++ b/src/main/java/rowanmoor/standin/BackendModel.java
@@ -19,13 +19,13 @@
      * @param cores how many requests run at full speed at once
      * @param speed work that a core does a second
      * @param slots requests in work at once
-     * @param queue requests that may wait beyond those
-     * @param coldFrom part of its speed right after a start
-     * @param coldFor how long until it is warm, ns
-     * @param fallMultiple so many times its capacity, sent for {@code fallSpan}, push it over while cold
+     * @param queueCapacity requests that may wait beyond those
+     * @param coldSpeedFraction part of its speed right after a start
+     * @param warmUpNs how long until it is warm, ns
+     * @param fallMultiple so many times its capacity, sent for {@code fallSpanNs}, push it over while cold
      */
-    public record Spec(int cores, double speed, int slots, int queue, double coldFrom, long coldFor,
-            double fallMultiple, long fallSpan) { }
+    public record Spec(int cores, double speed, int slots, int queueCapacity, double coldSpeedFraction, long warmUpNs,
+            double fallMultiple, long fallSpanNs) { }
 
     /** What becomes of an offered request. */
     public enum Offer { TAKEN, FULL, DOWN }
@@ -66,7 +66,7 @@
     public BackendModel(Spec spec, long now) {
         this.spec = spec;
         this.at = now;
-        this.startedAt = now - spec.coldFor();
+        this.startedAt = now - spec.warmUpNs();
     }
 
     /** Starts anew, cold; all that it held is gone. */
@@ -98,25 +98,25 @@
     }
 
     /** The most that was ever sent to it while cold, as a multiple of its capacity over a fall span. */
-    public double worstPush() {
+    public double maxColdOverload() {
         return worstPush;
     }
 
     /** So many times slower than it should be; 1 is as it should be. */
-    public void slower(long now, double factor) {
+    public void setSlowdown(long now, double factor) {
         advance(now);
         slower = factor;
     }
 
     /** Stands still, or goes on. */
-    public void stall(long now, boolean on) {
+    public void setStalled(long now, boolean on) {
         advance(now);
         stalled = on;
     }
 
     private double warmth(long now) {
-        double age = spec.coldFor() == 0 ? 1 : (now - startedAt) / (double) spec.coldFor();
-        return Math.min(1, spec.coldFrom() + (1 - spec.coldFrom()) * Math.max(0, age));
+        double age = spec.warmUpNs() == 0 ? 1 : (now - startedAt) / (double) spec.warmUpNs();
+        return Math.min(1, spec.coldSpeedFraction() + (1 - spec.coldSpeedFraction()) * Math.max(0, age));
     }
 
     /** Work a second that it can do at a time; troubles aside. */
@@ -145,7 +145,7 @@
             run(new Job(id, work));
             return Offer.TAKEN;
         }
-        if (waiting.size() >= spec.queue()) {
+        if (waiting.size() >= spec.queueCapacity()) {
             return Offer.FULL;
         }
         waiting.add(new Job(id, work));
@@ -158,11 +158,11 @@
             return;
         }
         lately.add(new Sent(now, work));
-        while (lately.peek().at() < now - spec.fallSpan()) {
+        while (lately.peek().at() < now - spec.fallSpanNs()) {
             lately.poll();
         }
         double sum = lately.stream().mapToDouble(Sent::work).sum();
-        double multiple = sum / (capacity(now) * spec.fallSpan() / SECOND);
+        double multiple = sum / (capacity(now) * spec.fallSpanNs() / SECOND);
         worstPush = Math.max(worstPush, multiple);
         if (multiple > spec.fallMultiple()) {
             stop(now);
--- a/src/main/java/rowanmoor/standin/BackendServer.java
+++ b/src/main/java/rowanmoor/standin/BackendServer.java
@@ -29,8 +29,8 @@
  */
 public final class BackendServer implements ServerConnection.Service {
 
-    public static final String WORK = "x-work";
-    public static final String ID = "x-request-id";
+    public static final String WORK_FIELD = "x-work";
+    public static final String REQUEST_ID_FIELD = "x-request-id";
     private static final double SECOND = 1e9;
     private static final long BUSY_SPAN = 500_000_000L;
 
@@ -105,7 +105,7 @@
     }
 
     /** Connections that it did not take since it was made, because it held as many as it may. */
-    public long turnedAway() {
+    public long refusedConnections() {
         return turnedAway;
     }
 
@@ -137,38 +137,38 @@
         return listener != null;
     }
 
-    public void slower(double factor) {
-        model.slower(loop.now(), factor);
+    public void setSlowdown(double factor) {
+        model.setSlowdown(loop.now(), factor);
         schedule();
     }
 
-    public void stall(boolean on) {
-        model.stall(loop.now(), on);
+    public void setStalled(boolean on) {
+        model.setStalled(loop.now(), on);
         schedule();
     }
 
     /** This share of requests is answered 500 at once. */
-    public void failing(double share) {
+    public void setErrorFraction(double share) {
         failing = share;
     }
 
     /** This share of requests is done and never answered. */
-    public void losing(double share) {
+    public void setLostAnswerFraction(double share) {
         lost = share;
     }
 
     /** This share of requests is broken off in mid-answer. */
-    public void breaking(double share) {
+    public void setTruncatedAnswerFraction(double share) {
         broken = share;
     }
 
     /** Load reports are so many times the truth. */
-    public void falseLoad(double factor) {
+    public void setLoadReportFactor(double factor) {
         loadFactor = factor;
     }
 
     /** Hears nothing from, and says nothing to, the addresses that this holds of; null ends it. */
-    public void cut(java.util.function.Predicate<InetSocketAddress> from) {
+    public void partitionFrom(java.util.function.Predicate<InetSocketAddress> from) {
         cut = from == null ? a -> false : from;
         for (Connection connection : List.copyOf(connections)) {
             if (cut.test(connection.remote())) {
@@ -187,8 +187,8 @@
             exchange.respond(withLoad(200, "ok\n"));
             return;
         }
-        double work = seconds(request.fields().get(WORK, "0"));
-        String id = request.fields().get(ID, "?");
+        double work = seconds(request.fields().get(WORK_FIELD, "0"));
+        String id = request.fields().get(REQUEST_ID_FIELD, "?");
         int proxy = (int) seconds(request.fields().get(Proxy.PROXY_NUMBER_FIELD, "-1"));
         Ledger.Entry entry = ledger.open(backend, id, request.path(), proxy, work, loop.now());
         if (failing > 0 && random.nextDouble() < failing) {
--- a/src/main/java/rowanmoor/standin/Clients.java
+++ b/src/main/java/rowanmoor/standin/Clients.java
@@ -27,13 +27,13 @@
 public final class Clients {
 
     /** Which request, when, to which proxy, how much work (seconds on a core of speed 1). */
-    public record Arrival(long at, int cls, int proxy, double work) { }
+    public record Arrival(long offsetNs, int cls, int proxy, double workSeconds) { }
 
     /** How clients repeat: so many times, after a wait, each try given up after this part of the deadline. */
-    public record Habits(int retries, long backoff, double tryShare) { }
+    public record RetryPolicy(int maxRetries, long backoffNs, double tryTimeoutFraction) { }
 
     /** What came of the requests of one class. Latencies are microseconds of good and late answers. */
-    public static final class Met {
+    public static final class ClassStats {
         public long offered;
         public long good;
         public long late;
@@ -43,7 +43,7 @@
     }
 
     /** What came of one request. */
-    public record Outcome(long arrivedAt, int cls, long took, boolean answered) { }
+    public record RequestOutcome(long arrivedAt, int cls, long latencyNs, boolean answered) { }
 
     private static final long MICRO = 1000;
 
@@ -51,17 +51,17 @@
     private final Site site;
     private final List<InetSocketAddress> proxies;
     private final List<Arrival> arrivals;
-    private final Habits habits;
+    private final RetryPolicy habits;
     private final long start;
     private final Map<Integer, ArrayDeque<ClientConnection>> idle = new HashMap<>();
-    private final List<Met> met = new ArrayList<>();
-    private final List<Outcome> outcomes = new ArrayList<>();
+    private final List<ClassStats> met = new ArrayList<>();
+    private final List<RequestOutcome> outcomes = new ArrayList<>();
     private int nextArrival;
     private int open;
 
     /** @param start the loop's time that arrivals count from */
     public Clients(Loop loop, Site site, List<InetSocketAddress> proxies, List<Arrival> arrivals,
-            Habits habits,
+            RetryPolicy habits,
             long start) {
         this.loop = loop;
         this.site = site;
@@ -69,15 +69,15 @@
         this.arrivals = arrivals;
         this.habits = habits;
         this.start = start;
-        site.classes().forEach(c -> met.add(new Met()));
+        site.classes().forEach(c -> met.add(new ClassStats()));
         next();
     }
 
     private void next() {
         if (nextArrival < arrivals.size()) {
-            loop.at(start + arrivals.get(nextArrival).at(), () -> {
+            loop.at(start + arrivals.get(nextArrival).offsetNs(), () -> {
                 long now = loop.now();
-                while (nextArrival < arrivals.size() && start + arrivals.get(nextArrival).at() <= now) {
+                while (nextArrival < arrivals.size() && start + arrivals.get(nextArrival).offsetNs() <= now) {
                     new Asking(nextArrival, arrivals.get(nextArrival)).tryOnce();
                     nextArrival++;
                 }
@@ -87,15 +87,15 @@
     }
 
     /** Whether every request has come and got its end. */
-    public boolean done() {
+    public boolean isDone() {
         return nextArrival == arrivals.size() && open == 0;
     }
 
-    public List<Met> met() {
+    public List<ClassStats> classStats() {
         return met;
     }
 
-    public List<Outcome> outcomes() {
+    public List<RequestOutcome> outcomes() {
         return outcomes;
     }
 
@@ -111,7 +111,7 @@
             this.number = number;
             this.arrival = arrival;
             this.spec = site.classes().get(arrival.cls());
-            this.arrivedAt = start + arrival.at();
+            this.arrivedAt = start + arrival.offsetNs();
             open++;
             met.get(arrival.cls()).offered++;
         }
@@ -121,14 +121,14 @@
             met.get(arrival.cls()).tries++;
             ClientConnection connection = connection(arrival.proxy());
             long left = arrivedAt + spec.deadline() - loop.now();
-            long within = Math.min(left, (long) (habits.tryShare() * spec.deadline()));
+            long within = Math.min(left, (long) (habits.tryTimeoutFraction() * spec.deadline()));
             Timer patience = loop.after(Math.max(1, within), () -> {
                 connection.cancel();
                 tryFailed(false);
             });
             String path = site.pathPrefixes().get(arrival.cls()) + "/" + number;
-            connection.send(Message.Request.get(path, "Host", "rowanmoor.test", BackendServer.WORK,
-                    Double.toString(arrival.work()), BackendServer.ID, number + "." + tries),
+            connection.send(Message.Request.get(path, "Host", "rowanmoor.test", BackendServer.WORK_FIELD,
+                    Double.toString(arrival.workSeconds()), BackendServer.REQUEST_ID_FIELD, number + "." + tries),
                     new ClientConnection.ResponseHandler() {
                         @Override
                         public void onResponse(Message.Response response) {
@@ -151,9 +151,9 @@
 
         private void tryFailed(boolean refused) {
             boolean may = refused || spec.idempotency() == Idempotency.SAFE;
-            boolean time = loop.now() + habits.backoff() < arrivedAt + spec.deadline();
-            if (may && time && tries <= habits.retries()) {
-                loop.after(habits.backoff(), this::tryOnce);
+            boolean time = loop.now() + habits.backoffNs() < arrivedAt + spec.deadline();
+            if (may && time && tries <= habits.maxRetries()) {
+                loop.after(habits.backoffNs(), this::tryOnce);
             } else {
                 finish(false);
             }
@@ -162,7 +162,7 @@
         private void finish(boolean answered) {
             open--;
             long took = loop.now() - arrivedAt;
-            Met its = met.get(arrival.cls());
+            ClassStats its = met.get(arrival.cls());
             if (!answered) {
                 its.failed++;
             } else if (took <= spec.aim()) {
@@ -173,7 +173,7 @@
             if (answered) {
                 its.latency.recordValue(Math.min(took / MICRO, its.latency.getHighestTrackableValue()));
             }
-            outcomes.add(new Outcome(arrivedAt, arrival.cls(), took, answered));
+            outcomes.add(new RequestOutcome(arrivedAt, arrival.cls(), took, answered));
         }
     }
 
@@ -196,17 +196,17 @@
     }
 
     /** Draws arrivals: Poisson in time, classes by share, proxies by weight, exponential work. */
-    public static List<Arrival> draw(RandomGenerator random, long length, RateAt rate, double[] shares,
+    public static List<Arrival> drawArrivals(RandomGenerator random, long length, ArrivalRate rate, double[] shares,
             double[] meanWork, double[] proxyWeights) {
         List<Arrival> arrivals = new ArrayList<>();
-        double most = rate.most();
+        double most = rate.maxPerSecond();
         double at = 0;
         while (true) {
             at += -Math.log(1 - random.nextDouble()) / most * 1e9;
             if (at >= length) {
                 return arrivals;
             }
-            if (random.nextDouble() * most < rate.at((long) at)) {
+            if (random.nextDouble() * most < rate.perSecondAt((long) at)) {
                 int cls = pick(random, shares);
                 double work = -Math.log(1 - random.nextDouble()) * meanWork[cls];
                 arrivals.add(new Arrival((long) at, cls, pick(random, proxyWeights), work));
@@ -215,12 +215,12 @@
     }
 
     /** Requests a second over time. */
-    public interface RateAt {
+    public interface ArrivalRate {
 
-        double at(long time);
+        double perSecondAt(long time);
 
-        /** Never less than any answer of {@link #at}. */
-        double most();
+        /** Never less than any answer of {@link #perSecondAt}. */
+        double maxPerSecond();
     }
 
     private static int pick(RandomGenerator random, double[] weights) {
--- a/src/main/java/rowanmoor/standin/Link.java
+++ b/src/main/java/rowanmoor/standin/Link.java
@@ -46,20 +46,20 @@
     }
 
     /** Where new connections lead from now on, or null to refuse them. */
-    public void to(InetSocketAddress other) {
+    public void setTarget(InetSocketAddress other) {
         to = other;
     }
 
     /** Lets only so many bytes a second come back from the far side; 0 for no such limit. */
-    public void slow(long bytes) {
+    public void limitReturnRate(long bytes) {
         bytesPerSecond = bytes;
         if (bytes == 0) {
-            cut(cut);
+            setPartitioned(cut);
         }
     }
 
     /** Cuts, or joins again. Streams that were broken meanwhile on one side then break on the other. */
-    public void cut(boolean on) {
+    public void setPartitioned(boolean on) {
         cut = on;
         for (Half half : List.copyOf(halves)) {
             if (on) {
--- a/src/main/java/rowanmoor/standin/RosterServer.java
+++ b/src/main/java/rowanmoor/standin/RosterServer.java
@@ -25,14 +25,14 @@
     /**
      * One instance as listed.
      *
-     * @param started milliseconds since 1970, 0 for long ago
-     * @param startedAt the same by the roster's loop; not told to anyone
+     * @param startedAtMs milliseconds since 1970, 0 for long ago
+     * @param startedAtNs the same by the roster's loop; not told to anyone
      */
-    public record Instance(Backend backend, String zone, String kind, double weight, Availability listed,
-            long started, long startedAt) {
+    public record Instance(Backend backend, String zone, String kind, double weight, Availability availability,
+            long startedAtMs, long startedAtNs) {
 
-        public Instance with(Availability other) {
-            return new Instance(backend, zone, kind, weight, other, started, startedAt);
+        public Instance withAvailability(Availability other) {
+            return new Instance(backend, zone, kind, weight, other, startedAtMs, startedAtNs);
         }
 
         public Instance started(long wall, long at) {
@@ -41,7 +41,7 @@
     }
 
     /** An answer that was sent: to whom, when, and what it listed. */
-    public record Answered(String asker, long at, List<Instance> listed) { }
+    public record SentAnswer(String userAgent, long at, List<Instance> instances) { }
 
     private record Held(ServerConnection.Exchange exchange, String asker, long index) { }
 
@@ -54,7 +54,7 @@
     private final TreeMap<Backend, Instance> instances = new TreeMap<>();
     private final Set<Held> held = new LinkedHashSet<>();
     private final Set<Connection> connections = new LinkedHashSet<>();
-    private final List<Answered> answers = new ArrayList<>();
+    private final List<SentAnswer> answers = new ArrayList<>();
     private Loop.Listener listener;
     private long index = 1;
     private long delay;
@@ -86,7 +86,7 @@
     }
 
     /** All answers sent so far. */
-    public List<Answered> answers() {
+    public List<SentAnswer> answers() {
         return answers;
     }
 
@@ -95,8 +95,8 @@
     }
 
     /** Lists an instance, or with {@link Availability#GONE} lists it no more; held questions are answered. */
-    public void put(Instance instance) {
-        if (instance.listed() == Availability.GONE) {
+    public void update(Instance instance) {
+        if (instance.availability() == Availability.GONE) {
             instances.remove(instance.backend());
         } else {
             instances.put(instance.backend(), instance);
@@ -114,7 +114,7 @@
     // ---- troubles ------------------------------------------------------------------------------------
 
     /** Refuses and breaks all connections, or listens again. */
-    public void down(boolean on) throws IOException {
+    public void setDown(boolean on) throws IOException {
         if (on && listener != null) {
             listener.close();
             listener = null;
@@ -126,17 +126,17 @@
     }
 
     /** Answers 500. */
-    public void failing(boolean on) {
+    public void setFailing(boolean on) {
         failing = on;
     }
 
     /** Answers so much later, ns. */
-    public void slow(long nanos) {
+    public void setAnswerDelay(long nanos) {
         delay = nanos;
     }
 
     /** The next so many answers list nothing. */
-    public void empty(int times) {
+    public void setEmptyAnswers(int times) {
         emptyAnswers = times;
         changed();
     }
@@ -190,7 +190,7 @@
         boolean sent = one.exchange().respond(Message.Response.of(200, list.toString(),
                 "Content-Type", "application/json", "X-Consul-Index", Long.toString(index)));
         if (sent) {
-            answers.add(new Answered(one.asker(), loop.now(), listed));
+            answers.add(new SentAnswer(one.asker(), loop.now(), listed));
         }
     }
 
@@ -203,13 +203,13 @@
         service.put("Address", text.substring(0, text.indexOf(':')));
         service.put("Port", Integer.parseInt(text.substring(text.indexOf(':') + 1)));
         ArrayNode tags = service.putArray("Tags");
-        if (instance.listed() == Availability.DRAINING) {
+        if (instance.availability() == Availability.DRAINING) {
             tags.add("draining");
         }
         ObjectNode meta = service.putObject("Meta");
         meta.put("zone", instance.zone()).put("kind", instance.kind());
-        if (instance.started() > 0) {
-            meta.put("started", Long.toString(instance.started()));
+        if (instance.startedAtMs() > 0) {
+            meta.put("started", Long.toString(instance.startedAtMs()));
         }
         service.putObject("Weights").put("Passing", instance.weight()).put("Warning", 1);
         root.putArray("Checks").addObject().put("Status", "passing");
--- a/src/test/java/rowanmoor/capture/CaptureTest.java
+++ b/src/test/java/rowanmoor/capture/CaptureTest.java
@@ -56,8 +56,8 @@
         assertEquals(List.of(), capture.problems());
         Capture.Info info = capture.info();
         assertEquals(50, info.requests());
-        assertEquals(WALL * 1_000_000, info.from());
-        assertEquals(6 * SECOND, info.to() - info.from());
+        assertEquals(WALL * 1_000_000, info.startNs());
+        assertEquals(6 * SECOND, info.endNs() - info.startNs());
     }
 
     @Test
@@ -130,10 +130,10 @@
             for (int i = 0; i < 50_000; i++) {
                 writer.offer(use(SECOND, 1));
             }
-            dropped = writer.dropped();
+            dropped = writer.droppedRecords();
             while (Capture.read(dir).info().dropped() < dropped) {
                 writer.offer(use(2 * SECOND, 0));
-                dropped = writer.dropped();
+                dropped = writer.droppedRecords();
                 Thread.onSpinWait();
             }
         }
@@ -154,7 +154,7 @@
         part.scale(1.25).write(file);
         Capture back = Capture.read(file);
         assertEquals(50, back.info().requests());
-        assertEquals(part.info().to() - part.info().from(), back.info().to() - back.info().from());
+        assertEquals(part.info().endNs() - part.info().startNs(), back.info().endNs() - back.info().startNs());
         StringWriter csv = new StringWriter();
         back.exportCsv(csv);
         assertEquals(5, csv.toString().lines().count(), csv.toString());
--- a/src/test/java/rowanmoor/controller/ControllerTest.java
+++ b/src/test/java/rowanmoor/controller/ControllerTest.java
@@ -44,7 +44,7 @@
     void startRosterAndController() throws Exception {
         roster = new RosterServer(loop, ANY_PORT, "backends");
         for (int i = 0; i < 6; i++) {
-            roster.put(new RosterServer.Instance(backend(i), i % 2 == 0 ? "north" : "south", "fast", 4,
+            roster.update(new RosterServer.Instance(backend(i), i % 2 == 0 ? "north" : "south", "fast", 4,
                     Availability.READY, 0, 0));
         }
         controller = newController();
@@ -65,13 +65,13 @@
 
     @Test
     void proxyThatJoinsBeforeTheFirstRosterKeepsItsStateAndIsBoundAfterwards() throws Exception {
-        roster.down(true);
+        roster.setDown(true);
         controller = newController();
         Peer peer = new Peer(hello(1, 1));
         net.runFor(2000 * NS_PER_MS);
         assertEquals(1, peer.received(Frame.Snapshot.class).size());
         assertEquals(List.of(), peer.received(Frame.Update.class), "an empty table would remove the proxy's backends");
-        roster.down(false);
+        roster.setDown(false);
         net.runFor(5000 * NS_PER_MS);
         List<Frame.Bind> binds = peer.received(Frame.Update.class).stream().flatMap(u -> u.orders().stream())
                 .filter(Frame.Bind.class::isInstance).map(Frame.Bind.class::cast).toList();
@@ -91,7 +91,7 @@
             controller = newController(run == 0 ? null : fullDevice);
             Peer peer = new Peer(hello(1, 1 + run));
             for (int i = 0; i < 40; i++) {
-                roster.put(new RosterServer.Instance(backend(i % 6), "north", "fast", 4,
+                roster.update(new RosterServer.Instance(backend(i % 6), "north", "fast", 4,
                         i % 2 == 0 ? Availability.DRAINING : Availability.READY, 0, 0));
                 net.runFor(500 * NS_PER_MS);
             }
@@ -186,11 +186,11 @@
         List<Peer> peers = new ArrayList<>();
         for (int p = 0; p < 12; p++) {
             peers.add(new Peer(hello(p, p)));
-            roster.put(roster.instance(backend(p % 6)).with(p % 2 == 0 ? Availability.DRAINING : Availability.READY));
+            roster.update(roster.instance(backend(p % 6)).withAvailability(p % 2 == 0 ? Availability.DRAINING : Availability.READY));
             net.runFor(20 * NS_PER_MS);
         }
         for (int i = 0; i < 6; i++) {
-            roster.put(roster.instance(backend(i)).with(Availability.READY));
+            roster.update(roster.instance(backend(i)).withAvailability(Availability.READY));
         }
         net.runFor(5000 * NS_PER_MS);
         peers.forEach(ControllerTest::assertConsecutiveUpdates);
@@ -379,7 +379,7 @@
         Peer good = joinedPeer(9);
         stalled.connection.pause();
         for (int round = 0; round < 40 && controller.driver().hasJoined(8); round++) {
-            roster.put(roster.instance(backend(round % 6)).with(round / 6 % 2 == 0 ? Availability.DRAINING
+            roster.update(roster.instance(backend(round % 6)).withAvailability(round / 6 % 2 == 0 ? Availability.DRAINING
                     : Availability.READY));
             net.runFor(500 * NS_PER_MS);
         }
--- a/src/test/java/rowanmoor/emulator/EmulatorTest.java
+++ b/src/test/java/rowanmoor/emulator/EmulatorTest.java
@@ -40,7 +40,7 @@
     /** One proxy, one backend, no way between them: a queue as the books have it. */
     private static Model queue(int cores, double rate, double work, double cv, long seconds) throws ConfigException {
         return new Model(site("1h", "off"), SECOND, seconds * SECOND, 7 * SECOND, List.of(0), new int[] {0}, new double[] {1},
-                List.of(new Model.Machine(0, 0, 1, cores, 1, cores, 1 << 30, 0, 1, 0)), SECOND, 0, 0, rate,
+                List.of(new Model.BackendSpec(0, 0, 1, cores, 1, cores, 1 << 30, 0, 1, 0)), SECOND, 0, 0, rate,
                 new double[] {1, 0}, new double[] {work, work}, new double[] {cv, cv}, 0, 0, 1, List.of());
     }
 
@@ -48,11 +48,11 @@
     private static double meanWait(Model model, double work) {
         double sum = 0;
         for (int seed = 1; seed <= 3; seed++) {
-            Outcome outcome = Emulator.play(model, seed);
-            Outcome.ClassMet met = outcome.classes().get(0);
-            assertEquals(met.offered, met.stays);
-            assertTrue(outcome.littleOff() < 1e-9, "Little's law is off by " + outcome.littleOff());
-            sum += met.stay / met.stays - work;
+            Outcome outcome = Emulator.run(model, seed);
+            Outcome.ClassStats met = outcome.classes().get(0);
+            assertEquals(met.offered, met.stayCount);
+            assertTrue(outcome.littlesLawError() < 1e-9, "Little's law is off by " + outcome.littlesLawError());
+            sum += met.totalStaySeconds / met.stayCount - work;
         }
         return sum / 3;
     }
@@ -86,14 +86,14 @@
         assertEquals(expected, met, 0.03 * expected);
     }
 
-    private static Model fleet(double rate, List<Model.Trouble> troubles) throws ConfigException {
+    private static Model fleet(double rate, List<Model.Fault> troubles) throws ConfigException {
         int[] zones = new int[20];
         Arrays.setAll(zones, p -> p % 2);
         double[] weights = new double[20];
         Arrays.fill(weights, 1);
-        List<Model.Machine> machines = new java.util.ArrayList<>();
+        List<Model.BackendSpec> machines = new java.util.ArrayList<>();
         for (int b = 0; b < 10; b++) {
-            machines.add(new Model.Machine(b % 2, 0, 2, 2, 1, 4, 20, 200, 0.25, 8 * SECOND));
+            machines.add(new Model.BackendSpec(b % 2, 0, 2, 2, 1, 4, 20, 200, 0.25, 8 * SECOND));
         }
         return new Model(site("2s", "rate"), 3 * SECOND, 40 * SECOND, 7 * SECOND, List.of(0, 1), zones, weights, machines,
                 SECOND, 200_000, 1_000_000, rate, new double[] {0.6, 0.4}, new double[] {0.1, 0.1},
@@ -102,12 +102,12 @@
 
     @Test
     void theSameSeedGivesTheSameOutcomeAndAnotherDoesNot() throws ConfigException {
-        List<Model.Trouble> troubles = List.of(new Model.Trouble(Model.Kind.BACKENDS_DIE, 5 * SECOND, 5 * SECOND,
-                new int[] {0, 1}, 1), new Model.Trouble(Model.Kind.CONTROLLER_DIES, 12 * SECOND, 3 * SECOND,
+        List<Model.Fault> troubles = List.of(new Model.Fault(Model.FaultKind.BACKENDS_DIE, 5 * SECOND, 5 * SECOND,
+                new int[] {0, 1}, 1), new Model.Fault(Model.FaultKind.CONTROLLER_DIES, 12 * SECOND, 3 * SECOND,
                         new int[] {0}, 1));
         Model model = fleet(120, troubles);
-        assertEquals(digest(Emulator.play(model, 3)), digest(Emulator.play(model, 3)));
-        assertTrue(!digest(Emulator.play(model, 3)).equals(digest(Emulator.play(model, 4))));
+        assertEquals(digest(Emulator.run(model, 3)), digest(Emulator.run(model, 3)));
+        assertTrue(!digest(Emulator.run(model, 3)).equals(digest(Emulator.run(model, 4))));
     }
 
     private static String digest(Outcome o) {
@@ -116,33 +116,33 @@
 
     @Test
     void aQuietFleetServesAllAndAnOverloadedOneShedsByLevel() throws ConfigException {
-        Outcome quiet = Emulator.play(fleet(100, List.of()), 1);
+        Outcome quiet = Emulator.run(fleet(100, List.of()), 1);
         assertTrue(quiet.service() > 0.98, "service " + quiet.service());
-        assertTrue(quiet.backends().stream().allMatch(b -> b.busy > 0.2 && b.busy < 0.8));
-        Outcome over = Emulator.play(fleet(320, List.of()), 1);
-        assertTrue(over.classes().get(0).byLevel > 1000, "levels turned away " + over.classes().get(0).byLevel);
+        assertTrue(quiet.backends().stream().allMatch(b -> b.utilization > 0.2 && b.utilization < 0.8));
+        Outcome over = Emulator.run(fleet(320, List.of()), 1);
+        assertTrue(over.classes().get(0).rejectedByLevel > 1000, "levels turned away " + over.classes().get(0).rejectedByLevel);
         assertTrue(over.service(1) > over.service(0), "the worthier class is served first");
-        assertTrue(over.littleOff() < 1e-9);
+        assertTrue(over.littlesLawError() < 1e-9);
     }
 
     @Test
     void troublesAreFeltAndPass() throws ConfigException {
         int[] all = {0, 2, 4, 6, 8};
-        for (Model.Trouble trouble : List.of(
-                new Model.Trouble(Model.Kind.BACKENDS_DIE, 8 * SECOND, 8 * SECOND, all, 1),
-                new Model.Trouble(Model.Kind.BACKENDS_SLOW, 8 * SECOND, 8 * SECOND, all, 6),
-                new Model.Trouble(Model.Kind.BURST, 8 * SECOND, 8 * SECOND, new int[0], 3))) {
-            Outcome outcome = Emulator.play(fleet(130, List.of(trouble)), 1);
+        for (Model.Fault trouble : List.of(
+                new Model.Fault(Model.FaultKind.BACKENDS_DIE, 8 * SECOND, 8 * SECOND, all, 1),
+                new Model.Fault(Model.FaultKind.BACKENDS_SLOW, 8 * SECOND, 8 * SECOND, all, 6),
+                new Model.Fault(Model.FaultKind.BURST, 8 * SECOND, 8 * SECOND, new int[0], 3))) {
+            Outcome outcome = Emulator.run(fleet(130, List.of(trouble)), 1);
             double during = stretch(outcome, 8, 16);
             double after = stretch(outcome, 30, 40);
             assertTrue(during < after - 0.02, trouble.kind() + ": " + during + " during, " + after + " after");
             assertTrue(after > 0.95, trouble.kind() + ": " + after + " after");
         }
-        for (Model.Trouble trouble : List.of(
-                new Model.Trouble(Model.Kind.CONTROLLER_DIES, 8 * SECOND, 5 * SECOND, new int[] {0}, 1),
-                new Model.Trouble(Model.Kind.ROSTER_DOWN, 8 * SECOND, 8 * SECOND, new int[0], 1),
-                new Model.Trouble(Model.Kind.PROXIES_CUT, 8 * SECOND, 8 * SECOND, all, 1))) {
-            double service = Emulator.play(fleet(100, List.of(trouble)), 1).service();
+        for (Model.Fault trouble : List.of(
+                new Model.Fault(Model.FaultKind.CONTROLLER_DIES, 8 * SECOND, 5 * SECOND, new int[] {0}, 1),
+                new Model.Fault(Model.FaultKind.ROSTER_DOWN, 8 * SECOND, 8 * SECOND, new int[0], 1),
+                new Model.Fault(Model.FaultKind.PROXIES_CUT, 8 * SECOND, 8 * SECOND, all, 1))) {
+            double service = Emulator.run(fleet(100, List.of(trouble)), 1).service();
             assertTrue(service > 0.97, trouble.kind() + ": " + service);
         }
     }
@@ -152,27 +152,27 @@
         double asked = 0;
         for (int s = from; s < to; s++) {
             good += outcome.goodBySecond()[s];
-            asked += outcome.askedBySecond()[s];
+            asked += outcome.offeredBySecond()[s];
         }
         return good / asked;
     }
 
     @Test
     void noLoadAndAFleetOfOneArePlayed() throws ConfigException {
-        Outcome nothing = Emulator.play(fleet(0, List.of()), 1);
+        Outcome nothing = Emulator.run(fleet(0, List.of()), 1);
         assertEquals(0, nothing.classes().get(0).offered);
         assertEquals(1.0, nothing.service());
-        Model one = fleet(10, List.of()).machines(Collections.nCopies(1, new Model.Machine(0, 0, 1, 2, 1, 4, 20,
+        Model one = fleet(10, List.of()).machines(Collections.nCopies(1, new Model.BackendSpec(0, 0, 1, 2, 1, 4, 20,
                 200, 0.25, SECOND)));
-        assertTrue(Emulator.play(one, 1).service() > 0.95);
+        assertTrue(Emulator.run(one, 1).service() > 0.95);
     }
 
     @Test
     void aBackendTakesNoMoreConnectionsThanItsLimit() throws ConfigException {
-        Model few = fleet(200, List.of()).machines(Collections.nCopies(10, new Model.Machine(0, 0, 2, 2, 1, 40, 200,
+        Model few = fleet(200, List.of()).machines(Collections.nCopies(10, new Model.BackendSpec(0, 0, 2, 2, 1, 40, 200,
                 12, 0.25, SECOND)));
-        Outcome outcome = Emulator.play(few, 1);
-        assertTrue(outcome.backends().stream().allMatch(b -> b.mostConnections <= 12));
-        assertTrue(outcome.backends().stream().anyMatch(b -> b.noConnection > 0));
+        Outcome outcome = Emulator.run(few, 1);
+        assertTrue(outcome.backends().stream().allMatch(b -> b.maxConnections <= 12));
+        assertTrue(outcome.backends().stream().anyMatch(b -> b.refusedConnections > 0));
     }
 }
--- a/src/test/java/rowanmoor/lab/DayTest.java
+++ b/src/test/java/rowanmoor/lab/DayTest.java
@@ -56,7 +56,7 @@
     @Test
     void theRosterEmptiesForOneAnswerAndNothingIsWithdrawn() throws IOException, ConfigException {
         Played played = kept(TestDays.with("10s", "roster-empty { at \"3s\"; size 2 }"));
-        assertTrue(played.evidence().answers().stream().anyMatch(a -> a.listed().isEmpty()));
+        assertTrue(played.evidence().answers().stream().anyMatch(a -> a.instances().isEmpty()));
         assertTrue(played.service(-1) > 0.97, Report.text(played));
     }
 
--- a/src/test/java/rowanmoor/lab/FrameRelay.java
+++ b/src/test/java/rowanmoor/lab/FrameRelay.java
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public java.util.List<rowanmoor.emulator.Outcome.ControllerMet> met() {
+    public java.util.List<rowanmoor.emulator.Outcome.ControllerStats> met() {
         return real.met();
     }
 
--- a/src/test/java/rowanmoor/lab/JudgeTest.java
+++ b/src/test/java/rowanmoor/lab/JudgeTest.java
@@ -25,7 +25,7 @@
     private static final long SECOND = 1_000_000_000L;
     private static final Backend B = new Backend(0x7f000001_2328L);
     private final List<Evidence.Tapped> taps = new ArrayList<>();
-    private final List<RosterServer.Answered> answers = new ArrayList<>();
+    private final List<RosterServer.SentAnswer> answers = new ArrayList<>();
     private final Ledger ledger = new Ledger();
 
     private void read(double at, Frame frame) {
@@ -41,7 +41,7 @@
     }
 
     private void told(double at, Availability listed, double startedAt) {
-        answers.add(new RosterServer.Answered("rowanmoor-0", (long) (at * SECOND), List.of(new RosterServer.Instance(B,
+        answers.add(new RosterServer.SentAnswer("rowanmoor-0", (long) (at * SECOND), List.of(new RosterServer.Instance(B,
                 "north", "fast", 1, listed, (long) (startedAt * 1000), (long) (startedAt * SECOND)))));
     }
 
--- a/src/test/java/rowanmoor/plan/BisectionTest.java
+++ b/src/test/java/rowanmoor/plan/BisectionTest.java
@@ -12,21 +12,21 @@
 class BisectionTest {
 
     private static Bisection play(Bisection bisection, double breaks) {
-        for (double rate = bisection.next(); rate > 0; rate = bisection.next()) {
-            bisection.tried(rate, rate < breaks);
+        for (double rate = bisection.nextRate(); rate > 0; rate = bisection.nextRate()) {
+            bisection.recordResult(rate, rate < breaks);
         }
         return bisection;
     }
 
     @Property(tries = 200)
     void whatIsFoundIsWithinTheAskedPart(@ForAll @DoubleRange(min = 11, max = 999) double breaks) {
-        assertEquals(breaks, play(new Bisection(10, 1000, 0.02), breaks).found(), 0.02 * breaks);
+        assertEquals(breaks, play(new Bisection(10, 1000, 0.02), breaks).result(), 0.02 * breaks);
     }
 
     @Test
     void endsAreTriedAndTold() {
-        assertEquals(0, play(new Bisection(10, 1000, 0.02), 5).found());
-        assertTrue(Double.isInfinite(play(new Bisection(10, 1000, 0.02), 2000).found()));
+        assertEquals(0, play(new Bisection(10, 1000, 0.02), 5).result());
+        assertTrue(Double.isInfinite(play(new Bisection(10, 1000, 0.02), 2000).result()));
         assertThrows(IllegalArgumentException.class, () -> new Bisection(10, 10, 0.1));
     }
 }
--- a/src/test/java/rowanmoor/plan/EstimatorTest.java
+++ b/src/test/java/rowanmoor/plan/EstimatorTest.java
@@ -20,7 +20,7 @@
 class EstimatorTest {
 
     private static final long SECOND = 1_000_000_000L;
-    private static final Runs RUNS = (m, seeds) -> seeds.parallelStream().map(s -> Emulator.play(m, s)).toList();
+    private static final SimulationRunner RUNS = (m, seeds) -> seeds.parallelStream().map(s -> Emulator.run(m, s)).toList();
     private static final double[] WORK = {0.05, 0.12};
     private static final int PROXIES = 12;
 
@@ -73,8 +73,8 @@
         return cv == 0 ? mean : -Math.log(1 - random.nextDouble()) * mean;
     }
 
-    private static Estimator.Estimate of(Estimator.Estimated found, String what) {
-        return found.estimates().stream().filter(e -> e.what().equals(what)).findFirst().orElseThrow();
+    private static Estimator.Estimate of(Estimator.Result found, String what) {
+        return found.estimates().stream().filter(e -> e.name().equals(what)).findFirst().orElseThrow();
     }
 
     private static void holds(Estimator.Estimate e, double truth, double widest) {
@@ -84,7 +84,7 @@
 
     @Test
     void rateMixWorkAndSpreadLieInTheirIntervals() throws ConfigException {
-        Estimator.Estimated found = new Estimator(model(), RUNS, 1).from(capture(400, 1, false, 0, 12));
+        Estimator.Result found = new Estimator(model(), RUNS, 1).estimate(capture(400, 1, false, 0, 12));
         holds(of(found, "requests that came"), 60, 10);
         holds(of(found, "share of pay"), 0.5, 0.02);
         // Latencies here hold no waiting; the emulator at this load finds next to none to take off.
@@ -93,32 +93,32 @@
         holds(of(found, "spread of work"), 1, 0.3);
         holds(of(found, "spread of what proxies get"), 0.5, 0.8);
         assertEquals(PROXIES, found.model().proxyWeights().length);
-        assertEquals(of(found, "work of pay").value(), 1000 * found.model().work()[1], 1e-6);
+        assertEquals(of(found, "work of pay").value(), 1000 * found.model().workSeconds()[1], 1e-6);
     }
 
     @Test
     void fixedWorkIsToldFromExponential() throws ConfigException {
-        Estimator.Estimated found = new Estimator(model(), RUNS, 1).from(capture(400, 0, false, 0, 7));
+        Estimator.Result found = new Estimator(model(), RUNS, 1).estimate(capture(400, 0, false, 0, 7));
         assertTrue(of(found, "spread of work").high() < 0.5, found.estimates().toString());
     }
 
     @Test
     void clientsRepeatsAreTakenOffTheRate() throws ConfigException {
-        Estimator.Estimated found = new Estimator(model(), RUNS, 1).from(capture(400, 1, true, 0.8, 7));
+        Estimator.Result found = new Estimator(model(), RUNS, 1).estimate(capture(400, 1, true, 0.8, 7));
         Estimator.Estimate repeats = of(found, "requests more for each failure");
         assertTrue(repeats.low() > 0 && repeats.low() <= 0.8 && repeats.high() >= 0.6, repeats.toString());
-        assertTrue(found.model().rate() < 0.95 * of(found, "requests that came").value());
-        Estimator.Estimated none = new Estimator(model(), RUNS, 1).from(capture(400, 1, false, 0, 12));
+        assertTrue(found.model().requestsPerSecond() < 0.95 * of(found, "requests that came").value());
+        Estimator.Result none = new Estimator(model(), RUNS, 1).estimate(capture(400, 1, false, 0, 12));
         assertTrue(none.notes().stream().anyMatch(n -> n.contains("too few failures")));
     }
 
     @Test
     void anEmptyOrShortCaptureLeavesTheFilesFiguresAndSaysSo() throws ConfigException {
-        Estimator.Estimated empty = new Estimator(model(), RUNS, 1).from(List.of());
-        assertEquals(0, empty.model().rate());
+        Estimator.Result empty = new Estimator(model(), RUNS, 1).estimate(List.of());
+        assertEquals(0, empty.model().requestsPerSecond());
         assertFalse(empty.notes().isEmpty());
-        Estimator.Estimated brief = new Estimator(model(), RUNS, 1).from(capture(13, 1, false, 0, 7));
-        assertEquals(0.2, brief.model().work()[1]);
+        Estimator.Result brief = new Estimator(model(), RUNS, 1).estimate(capture(13, 1, false, 0, 7));
+        assertEquals(0.2, brief.model().workSeconds()[1]);
         assertTrue(brief.notes().stream().anyMatch(n -> n.contains("too little quiet time")),
                 brief.notes().toString());
     }
--- a/src/test/java/rowanmoor/plan/PlannerTest.java
+++ b/src/test/java/rowanmoor/plan/PlannerTest.java
@@ -18,7 +18,7 @@
 class PlannerTest {
 
     private static final long SECOND = 1_000_000_000L;
-    private static final Runs RUNS = (m, seeds) -> seeds.parallelStream().map(s -> Emulator.play(m, s)).toList();
+    private static final SimulationRunner RUNS = (m, seeds) -> seeds.parallelStream().map(s -> Emulator.run(m, s)).toList();
 
     static Site site(String pace, String payKinds) throws ConfigException {
         return Site.of(Section.parse("test.kdl", """
@@ -42,11 +42,11 @@
                 """.formatted(payKinds, pace)));
     }
 
-    private static Model.Machine machine(int zone, int kind, int queue, int connections) {
-        return new Model.Machine(zone, kind, 2, 2, 1, 4, queue, connections, 0.25, 8 * SECOND);
+    private static Model.BackendSpec machine(int zone, int kind, int queue, int connections) {
+        return new Model.BackendSpec(zone, kind, 2, 2, 1, 4, queue, connections, 0.25, 8 * SECOND);
     }
 
-    static Model fleet(Site site, List<Model.Machine> machines, double rate, double[] shares, int retries) {
+    static Model fleet(Site site, List<Model.BackendSpec> machines, double rate, double[] shares, int retries) {
         int[] zones = new int[20];
         Arrays.setAll(zones, p -> p % 2);
         double[] weights = new double[20];
@@ -56,8 +56,8 @@
                 List.of());
     }
 
-    static List<Model.Machine> machines(int count, int queue, int connections) {
-        List<Model.Machine> all = new ArrayList<>();
+    static List<Model.BackendSpec> machines(int count, int queue, int connections) {
+        List<Model.BackendSpec> all = new ArrayList<>();
         for (int b = 0; b < count; b++) {
             all.add(machine(b % 2, 0, queue, connections));
         }
@@ -74,8 +74,8 @@
     @Test
     void previewHeavyLoadBreaksLaterThanApproveHeavyLoad() throws ConfigException {
         Model model = fleet(site("2000/s", ""), machines(10, 20, 0), 50, READS, 0);
-        Planner.Breaks reads = planner(0.9).whatBreaks(model);
-        Planner.Breaks pays = planner(0.9).whatBreaks(model.shares(PAYS));
+        Planner.BreakingPoint reads = planner(0.9).findBreakingPoint(model);
+        Planner.BreakingPoint pays = planner(0.9).findBreakingPoint(model.shares(PAYS));
         assertEquals(Finding.Resource.CORES, reads.findings().get(0).resource(), reads.toString());
         assertTrue(reads.rate().mean() > 1.4 * pays.rate().mean(), reads.rate() + " and " + pays.rate());
         // 0.11 s of work a request, 20 s of work a second.
@@ -84,39 +84,39 @@
 
     @Test
     void oneZoneMuchSmallerThanTheOtherIsMissedLessThanTheLargeOne() throws ConfigException {
-        List<Model.Machine> lopsided = new ArrayList<>(List.of(machine(1, 0, 20, 0), machine(1, 0, 20, 0)));
+        List<Model.BackendSpec> lopsided = new ArrayList<>(List.of(machine(1, 0, 20, 0), machine(1, 0, 20, 0)));
         for (int b = 0; b < 8; b++) {
             lopsided.add(machine(0, 0, 20, 0));
         }
         Model model = fleet(site("2000/s", ""), lopsided, 100, READS, 0).length(50 * SECOND);
-        List<Planner.Loss> losses = planner(0.9).losses(model, 10 * SECOND, 15 * SECOND);
+        List<Planner.LossImpact> losses = planner(0.9).evaluateLosses(model, 10 * SECOND, 15 * SECOND);
         double large = losses.get(0).during();
         double small = losses.get(1).during();
-        assertEquals("zone a", losses.get(0).what());
+        assertEquals("zone a", losses.get(0).name());
         assertTrue(large < 0.7 && small > 0.9, large + " without a, " + small + " without b");
         assertEquals(6, losses.size());
     }
 
     @Test
     void aClassOpenToOneKindOnlyIsNamed() throws ConfigException {
-        List<Model.Machine> mixed = machines(8, 20, 0);
+        List<Model.BackendSpec> mixed = machines(8, 20, 0);
         mixed.add(machine(0, 1, 20, 0));
         mixed.add(machine(1, 1, 20, 0));
         Model model = fleet(site("2000/s", "; only-kinds \"l\""), mixed, 30, new double[] {0.5, 0.5}, 0);
-        Planner.Breaks breaks = planner(0.9).whatBreaks(model);
+        Planner.BreakingPoint breaks = planner(0.9).findBreakingPoint(model);
         assertEquals(Finding.Resource.CONFINED_CLASS, breaks.findings().get(0).resource(),
                 breaks.findings().toString());
-        assertEquals("pay", breaks.findings().get(0).place());
+        assertEquals("pay", breaks.findings().get(0).location());
     }
 
     @Test
     void aFleetThatFailsByConnectionsBeforeCoresIsToldApart() throws ConfigException {
-        List<Model.Machine> few = new ArrayList<>();
+        List<Model.BackendSpec> few = new ArrayList<>();
         for (int b = 0; b < 10; b++) {
-            few.add(new Model.Machine(b % 2, 0, 2, 8, 1, 64, 100, 4, 0.25, 8 * SECOND));
+            few.add(new Model.BackendSpec(b % 2, 0, 2, 8, 1, 64, 100, 4, 0.25, 8 * SECOND));
         }
         Model model = fleet(site("2000/s", ""), few, 50, READS, 0);
-        Planner.Breaks breaks = planner(0.95).whatBreaks(model);
+        Planner.BreakingPoint breaks = planner(0.95).findBreakingPoint(model);
         assertEquals(Finding.Resource.CONNECTIONS, breaks.findings().get(0).resource(),
                 breaks.findings().toString());
     }
@@ -125,9 +125,9 @@
     void aFleetThatFailsByTheChannelsPaceBeforeAnythingAtItsBackendsIsToldApart() throws ConfigException {
         // Proxies stay on their standing tables, which leave most of the fleet out.
         Model model = fleet(site("5/s", ""), machines(40, 20, 0), 50, READS, 0);
-        Planner.Breaks breaks = planner(0.95).whatBreaks(model);
+        Planner.BreakingPoint breaks = planner(0.95).findBreakingPoint(model);
         assertEquals(Finding.Resource.CHANNEL, breaks.findings().get(0).resource(), breaks.findings().toString());
-        Planner.Breaks quick = planner(0.95).whatBreaks(fleet(site("4000/s", ""), machines(40, 20, 0), 50, READS,
+        Planner.BreakingPoint quick = planner(0.95).findBreakingPoint(fleet(site("4000/s", ""), machines(40, 20, 0), 50, READS,
                 0));
         assertTrue(quick.rate().mean() > 1.1 * breaks.rate().mean(), quick.rate() + " and " + breaks.rate());
     }
@@ -137,8 +137,8 @@
         Model calm = fleet(site("2000/s", ""), machines(10, 60, 0), 50, READS, 0);
         Model eager = fleet(site("2000/s", ""), machines(10, 60, 0), 50, READS, 4);
         // At full load repeats add to what is too much already: the same arrivals are served worse.
-        double without = RUNS.play(calm.rate(200), List.of(1L)).get(0).service();
-        double with = RUNS.play(eager.rate(200), List.of(1L)).get(0).service();
+        double without = RUNS.run(calm.rate(200), List.of(1L)).get(0).service();
+        double with = RUNS.run(eager.rate(200), List.of(1L)).get(0).service();
         assertTrue(with < without, with + " with repeats, " + without + " without");
     }
 
@@ -147,25 +147,25 @@
         // Tries are given up after 0.45 s, and what runs runs on: repeats are work for nothing.
         Model calm = fleet(site("2000/s", ""), machines(10, 60, 0), 100, READS, 0).length(60 * SECOND);
         Model m = fleet(site("2000/s", ""), machines(10, 60, 0), 100, READS, 6).length(60 * SECOND);
-        Model eager = new Model(m.site(), m.settle(), m.length(), m.rise(), m.controllerZones(), m.proxyZones(),
-                m.proxyWeights(), m.machines(), m.notice(), m.sameZone(), m.crossZone(), m.rate(), m.shares(),
-                m.work(), m.cv(), m.retries(), m.backoff(), 0.3, m.troubles());
-        Planner.Loss without = planner(0.9).losses(calm, 15 * SECOND, 12 * SECOND).get(0);
-        Planner.Loss with = planner(0.9).losses(eager, 15 * SECOND, 12 * SECOND).get(0);
-        assertTrue(without.recovery() >= 0 && !without.jammed(), without.toString());
+        Model eager = new Model(m.site(), m.settleNs(), m.durationNs(), m.rampNs(), m.controllerZones(), m.proxyZones(),
+                m.proxyWeights(), m.backends(), m.rosterDelayNs(), m.sameZoneDelayNs(), m.crossZoneDelayNs(), m.requestsPerSecond(), m.classShares(),
+                m.workSeconds(), m.workCv(), m.maxClientRetries(), m.retryBackoffNs(), 0.3, m.faults());
+        Planner.LossImpact without = planner(0.9).evaluateLosses(calm, 15 * SECOND, 12 * SECOND).get(0);
+        Planner.LossImpact with = planner(0.9).evaluateLosses(eager, 15 * SECOND, 12 * SECOND).get(0);
+        assertTrue(without.recoverySeconds() >= 0 && !without.metastable(), without.toString());
         assertTrue(with.before() > 0.9, with.toString());
-        assertTrue(with.jammed(), with.toString());
+        assertTrue(with.metastable(), with.toString());
     }
 
     @Test
     void enoughBackendsHoldOnSeedsThatTheSearchDidNotSee() throws ConfigException {
         Model model = fleet(site("2000/s", ""), machines(10, 20, 0), 150, READS, 0);
-        Planner.Enough enough = planner(0.95).howMany(model, List.of());
+        Planner.FleetSize enough = planner(0.95).findFleetSize(model, List.of());
         assertTrue(enough.count() >= 9 && enough.count() <= 13, enough.toString());
-        assertTrue(enough.freshService() >= 0.95, enough.toString());
+        assertTrue(enough.validationService() >= 0.95, enough.toString());
         assertTrue(enough.runs() < 40, enough.runs() + " runs");
-        Planner.Enough safe = planner(0.95).howMany(model, List.of(m -> List.of(new Model.Trouble(
-                Model.Kind.BACKENDS_DIE, 4 * SECOND, 10 * SECOND, Planner.zone(m, 0), 1))));
+        Planner.FleetSize safe = planner(0.95).findFleetSize(model, List.of(m -> List.of(new Model.Fault(
+                Model.FaultKind.BACKENDS_DIE, 4 * SECOND, 10 * SECOND, Planner.backendsInZone(m, 0), 1))));
         assertTrue(safe.count() > 1.4 * enough.count(), enough + " and with a zone lost " + safe);
     }
 
@@ -173,30 +173,30 @@
     void aGoalThatNoNumberOfBackendsReachesIsSaidWithItsReason() throws ConfigException {
         // Exponential work of 0.2 s mean misses an aim of 0.9 s once in ninety, however many there are.
         Model model = fleet(site("2000/s", ""), machines(10, 20, 0), 50, PAYS, 0);
-        Planner.Enough enough = planner(0.9999).howMany(model, List.of());
+        Planner.FleetSize enough = planner(0.9999).findFleetSize(model, List.of());
         assertEquals(-1, enough.count());
         assertTrue(enough.note().startsWith("no number of backends does"), enough.note());
-        assertTrue(planner(0.9999).whatBreaks(model).note().contains("fails at any rate"));
+        assertTrue(planner(0.9999).findBreakingPoint(model).note().contains("fails at any rate"));
     }
 
     @Test
     void aLoadOfZeroAndAFleetOfOneAreAnswered() throws ConfigException {
         Model model = fleet(site("2000/s", ""), machines(10, 20, 0), 0, READS, 0);
-        assertEquals(0, planner(0.9).howMany(model, List.of()).count());
-        assertFalse(planner(0.9).whatBreaks(model).rate().mean() <= 0);
+        assertEquals(0, planner(0.9).findFleetSize(model, List.of()).count());
+        assertFalse(planner(0.9).findBreakingPoint(model).rate().mean() <= 0);
         Model one = fleet(site("2000/s", ""), machines(1, 20, 0), 5, READS, 0);
-        Planner.Breaks breaks = planner(0.9).whatBreaks(one);
+        Planner.BreakingPoint breaks = planner(0.9).findBreakingPoint(one);
         assertEquals(Finding.Resource.CORES, breaks.findings().get(0).resource());
         assertTrue(breaks.rate().mean() > 8 && breaks.rate().mean() < 22, breaks.rate().toString());
-        assertEquals(1, planner(0.9).howMany(one, List.of()).count());
+        assertEquals(1, planner(0.9).findFleetSize(one, List.of()).count());
     }
 
     @Test
     void aFifthMoreWorkBringsTheBreakAboutASixthNearer() throws ConfigException {
         Model model = fleet(site("2000/s", ""), machines(10, 20, 0), 50, READS, 0);
         Planner planner = planner(0.9);
-        List<Planner.Sensitivity> all = planner.sensitivity(model, planner.whatBreaks(model).rate().mean());
-        double work = all.stream().filter(s -> s.input().contains("more work")).findFirst().orElseThrow().change();
+        List<Planner.Sensitivity> all = planner.sensitivity(model, planner.findBreakingPoint(model).rate().mean());
+        double work = all.stream().filter(s -> s.input().contains("more work")).findFirst().orElseThrow().relativeChange();
         assertTrue(work < -0.1 && work > -0.3, all.toString());
         assertEquals(4, all.size());
     }
--- a/src/test/java/rowanmoor/plan/TrialTest.java
+++ b/src/test/java/rowanmoor/plan/TrialTest.java
@@ -22,9 +22,9 @@
 
     private static Trial play(double forecast, DoubleUnaryOperator service, Finding seen) {
         Trial trial = new Trial(new Trial.Forecast("fleet", Interval.of(List.of(forecast)), CORES), GOAL, 50);
-        for (double rate = trial.next(); rate > 0; rate = trial.next()) {
+        for (double rate = trial.nextRate(); rate > 0; rate = trial.nextRate()) {
             double its = service.applyAsDouble(rate);
-            trial.played(new Trial.Step(rate, its, its >= GOAL.service(), List.of(seen)));
+            trial.recordStep(new Trial.Step(rate, its, its >= GOAL.minService(), List.of(seen)));
         }
         return trial;
     }
@@ -38,58 +38,58 @@
     void loadIsRaisedFromWellBelowUntilTheGoalFails() {
         Trial trial = play(100, full(90), CORES.get(0)); // 0.9 of 100 is 90
         assertEquals(70, trial.steps().get(0).rate(), 1e-9);
-        assertFalse(trial.steps().get(trial.steps().size() - 1).kept());
-        assertEquals(1, trial.steps().stream().filter(s -> !s.kept()).count());
+        assertFalse(trial.steps().get(trial.steps().size() - 1).goalMet());
+        assertEquals(1, trial.steps().stream().filter(s -> !s.goalMet()).count());
         Trial.Verdict verdict = trial.verdict();
         assertEquals(100, verdict.rate(), 1);
-        assertTrue(verdict.rateRight() && verdict.failureRight(), verdict.toString());
+        assertTrue(verdict.rateMatches() && verdict.resourceMatches(), verdict.toString());
     }
 
     @Test
     void aForecastThatIsAFifthOffIsAMissEitherWay() {
         Trial.Verdict late = play(100, full(70), CORES.get(0)).verdict();
-        assertFalse(late.rateRight(), late.toString());
-        assertTrue(late.off() > 0.15);
+        assertFalse(late.rateMatches(), late.toString());
+        assertTrue(late.relativeError() > 0.15);
         Trial.Verdict early = play(100, full(120), CORES.get(0)).verdict();
-        assertFalse(early.rateRight(), early.toString());
-        assertTrue(early.off() < -0.15);
+        assertFalse(early.rateMatches(), early.toString());
+        assertTrue(early.relativeError() < -0.15);
     }
 
     @Test
     void stepsGoDownIfTheFirstFails() {
         Trial trial = play(100, full(40), CORES.get(0));
-        assertTrue(trial.steps().get(trial.steps().size() - 1).kept());
+        assertTrue(trial.steps().get(trial.steps().size() - 1).goalMet());
         assertEquals(40 / 0.9, trial.verdict().rate(), 1);
     }
 
     @Test
     void anotherResourceIsAMissAndATiedPlaceIsNot() {
-        assertFalse(play(100, full(90), finding(Finding.Resource.CHANNEL, "0", 2)).verdict().failureRight());
-        assertTrue(play(100, full(90), CORES.get(1)).verdict().failureRight());
-        assertFalse(play(100, full(90), finding(Finding.Resource.CORES, "wide", 2)).verdict().failureRight());
+        assertFalse(play(100, full(90), finding(Finding.Resource.CHANNEL, "0", 2)).verdict().resourceMatches());
+        assertTrue(play(100, full(90), CORES.get(1)).verdict().resourceMatches());
+        assertFalse(play(100, full(90), finding(Finding.Resource.CORES, "wide", 2)).verdict().resourceMatches());
     }
 
     @Test
     void aFleetThatNeverFailsIsAMissAndEnds() {
         Trial trial = play(100, r -> 1, CORES.get(0));
         assertTrue(trial.steps().size() < 20);
-        assertFalse(trial.verdict().rateRight());
+        assertFalse(trial.verdict().rateMatches());
     }
 
     @Test
     void oneBadChanceOnTheWayUpDoesNotEndATrial() {
         Trial trial = new Trial(new Trial.Forecast("fleet", Interval.of(List.of(100.0)), CORES), GOAL, 50);
-        trial.played(new Trial.Step(trial.next(), 0.85, false, CORES));
-        assertEquals(70, trial.next(), 1e-9);
-        trial.played(new Trial.Step(trial.next(), 0.97, true, CORES));
-        assertTrue(trial.steps().get(0).kept());
-        assertTrue(trial.next() > 70);
+        trial.recordStep(new Trial.Step(trial.nextRate(), 0.85, false, CORES));
+        assertEquals(70, trial.nextRate(), 1e-9);
+        trial.recordStep(new Trial.Step(trial.nextRate(), 0.97, true, CORES));
+        assertTrue(trial.steps().get(0).goalMet());
+        assertTrue(trial.nextRate() > 70);
     }
 
     @Test
     void aForecastOfFailureAtAnyRateBeginsAtTheUsualRate() {
         Trial trial = play(0, r -> 0.2, CORES.get(0));
         assertEquals(50, trial.steps().get(0).rate());
-        assertTrue(trial.verdict().rateRight() && trial.verdict().failureRight());
+        assertTrue(trial.verdict().rateMatches() && trial.verdict().resourceMatches());
     }
 }
--- a/src/test/java/rowanmoor/standin/BackendModelTest.java
+++ b/src/test/java/rowanmoor/standin/BackendModelTest.java
@@ -39,10 +39,10 @@
     void aStallStandsStillAndSlownessStretches() {
         BackendModel model = new BackendModel(spec(1, 2, 1), 0);
         model.offer(0, 1, 1);
-        model.stall(SECOND / 2, true);
+        model.setStalled(SECOND / 2, true);
         assertEquals(Long.MAX_VALUE, model.nextAt());
-        model.stall(5 * SECOND, false);
-        model.slower(5 * SECOND, 4);
+        model.setStalled(5 * SECOND, false);
+        model.setSlowdown(5 * SECOND, 4);
         assertEquals(List.of("1@7.0"), play(model, 0, 60 * SECOND));
     }
 
