--- a/src/main/java/rowanmoor/cli/Commands.java
+++ b/src/main/java/rowanmoor/cli/Commands.java
@@ -25,16 +25,16 @@
 import rowanmoor.controller.Trace;
 import rowanmoor.emulator.Emulator;
 import rowanmoor.emulator.Outcome;
-import rowanmoor.lab.BenchDay;
+import rowanmoor.lab.BenchDayConverter;
 import rowanmoor.lab.DayFile;
 import rowanmoor.lab.Experiment;
-import rowanmoor.lab.Fuzz;
-import rowanmoor.lab.Models;
-import rowanmoor.lab.Played;
-import rowanmoor.lab.Player;
-import rowanmoor.lab.ProxyLoad;
-import rowanmoor.lab.Report;
-import rowanmoor.lab.Soak;
+import rowanmoor.lab.Fuzzer;
+import rowanmoor.lab.EmulatorModels;
+import rowanmoor.lab.DayResult;
+import rowanmoor.lab.DayRunner;
+import rowanmoor.lab.ProxyBenchmark;
+import rowanmoor.lab.DayReport;
+import rowanmoor.lab.SoakRunner;
 import rowanmoor.net.Loop;
 import rowanmoor.platform.PlatformServer;
 import rowanmoor.proxy.Proxy;
@@ -73,7 +73,7 @@
     }
 
     static CommandLine commandLine() {
-        return new CommandLine(new Commands()).registerConverter(Fuzz.Target.class,
+        return new CommandLine(new Commands()).registerConverter(Fuzzer.Target.class,
                 Commands::target).setExecutionExceptionHandler((e, line, parsed) -> {
             // What a command's method throws comes wrapped.
             Throwable cause = e instanceof CommandLine.ExecutionException && e.getCause() != null ? e
@@ -85,13 +85,13 @@
         });
     }
 
-    private static Fuzz.Target target(String word) {
-        for (Fuzz.Target target : Fuzz.Target.values()) {
+    private static Fuzzer.Target target(String word) {
+        for (Fuzzer.Target target : Fuzzer.Target.values()) {
             if (target.toString().equals(word)) {
                 return target;
             }
         }
-        throw new CommandLine.TypeConversionException("there are " + List.of(Fuzz.Target.values()));
+        throw new CommandLine.TypeConversionException("there are " + List.of(Fuzzer.Target.values()));
     }
 
     private PrintWriter out() {
@@ -255,12 +255,12 @@
         Path dayFile = file == null ? convert(bench, scale, directory) : file;
         DayFile day = DayFile.read(dayFile);
         DayFile seeded = seed == null ? day : day.seed(seed);
-        Played played = simulated ? Player.simulate(seeded) : Player.play(seeded, dayFile, directory);
-        out().print(Report.text(played));
+        DayResult played = simulated ? DayRunner.simulate(seeded) : DayRunner.runOnSockets(seeded, dayFile, directory);
+        out().print(DayReport.text(played));
         out().flush();
         if (report != null) {
             System.setProperty("java.awt.headless", "true");
-            Report.write(played, report);
+            DayReport.write(played, report);
         }
         return played.passed() ? 0 : 1;
     }
@@ -279,7 +279,7 @@
         String[] ends = seeds.split("\\.\\.");
         Path directory = report == null ? Files.createTempDirectory("rowanmoor-soak") : report;
         Files.createDirectories(directory);
-        boolean passed = new Soak(directory, line -> {
+        boolean passed = new SoakRunner(directory, line -> {
             out().println(line);
             out().flush();
         }).play(Long.parseLong(ends[0]), Long.parseLong(ends[1]), lanes);
@@ -322,7 +322,7 @@
     @Command(name = "emulate", description = "Plays a day file in the emulator and tells what clients met.")
     int emulate(@Parameters(paramLabel = "FILE") Path file,
             @Option(names = "--seed", defaultValue = "1") long seed) throws ConfigException {
-        Models.Modelled modelled = Models.of(DayFile.read(file), seed);
+        EmulatorModels.Modelled modelled = EmulatorModels.of(DayFile.read(file), seed);
         modelled.leftOut().forEach(l -> out().println("left out: " + l));
         long before = System.nanoTime();
         Outcome outcome = Emulator.run(modelled.model(), seed);
@@ -348,7 +348,7 @@
 
     /** Writes the bench's day as a day file, and says what of it cannot be played. */
     private Path convert(Path bench, double scale, Path directory) throws IOException {
-        BenchDay.Converted converted = BenchDay.convert(bench, scale);
+        BenchDayConverter.Converted converted = BenchDayConverter.convert(bench, scale);
         Path file = directory.resolve("from-bench.kdl");
         Files.writeString(file, converted.text());
         out().println("day file: " + file);
@@ -359,11 +359,11 @@
 
     @Command(name = "fuzz",
             description = "Feeds a parser mutants of sound inputs, until it fails or time is up.")
-    int fuzz(@Parameters(paramLabel = "PARSER", description = "${COMPLETION-CANDIDATES}") Fuzz.Target target,
+    int fuzz(@Parameters(paramLabel = "PARSER", description = "${COMPLETION-CANDIDATES}") Fuzzer.Target target,
             @Option(names = "--seconds", defaultValue = "10") int seconds,
             @Option(names = "--seed", defaultValue = "1") long seed) {
         long end = System.nanoTime() + seconds * 1_000_000_000L;
-        Fuzz.Found found = new Fuzz(target, seed).run(Long.MAX_VALUE, () -> System.nanoTime() < end);
+        Fuzzer.Found found = new Fuzzer(target, seed).run(Long.MAX_VALUE, () -> System.nanoTime() < end);
         out().printf("%s, seed %d: %d inputs, %d refused, at most %d bytes allocated for one%n", target, seed,
                 found.inputs(), found.refused(), found.mostAllocated());
         found.refusals().forEach((why, times) -> out().printf("%10d  %s%n", times, why));
@@ -380,7 +380,7 @@
             @Option(names = "--over-only", description = "nothing goes straight") boolean overOnly)
             throws IOException, ConfigException, InterruptedException {
         for (int count : lines) {
-            ProxyLoad load = new ProxyLoad(count, !overOnly);
+            ProxyBenchmark load = new ProxyBenchmark(count, !overOnly);
             load.step(2000, WARM_SECONDS); // compiles, and is not counted
             for (double rate : rates) {
                 out().println(load.step(rate, seconds));
--- a/src/main/java/rowanmoor/cli/PlanCommand.java
+++ b/src/main/java/rowanmoor/cli/PlanCommand.java
@@ -20,10 +20,10 @@
 import rowanmoor.emulator.Emulator;
 import rowanmoor.emulator.Model;
 import rowanmoor.lab.DayFile;
-import rowanmoor.lab.DrawnFleet;
-import rowanmoor.lab.Models;
+import rowanmoor.lab.RandomFleet;
+import rowanmoor.lab.EmulatorModels;
 import rowanmoor.lab.PlanReport;
-import rowanmoor.lab.Verifier;
+import rowanmoor.lab.ForecastVerifier;
 import rowanmoor.plan.Estimator;
 import rowanmoor.plan.Finding;
 import rowanmoor.plan.Goal;
@@ -104,7 +104,7 @@
     private int planned() throws ConfigException, IOException {
         Path fleet = fleets.get(0);
         DayFile day = DayFile.read(fleet);
-        Model model = Models.of(day, 1).model().troubles(List.of()).length(seconds * SECOND);
+        Model model = EmulatorModels.of(day, 1).model().troubles(List.of()).length(seconds * SECOND);
         SimulationRunner runs = (m, which) -> which.parallelStream().map(s -> Emulator.run(m, s)).toList();
         say("goal: service %.3f%s", service, worst > 0 ? String.format(Locale.ROOT, ", worst 10 s %.3f",
                 worst) : "");
@@ -200,16 +200,16 @@
         List<Path> all = new ArrayList<>(fleets);
         for (int n = 1; drawn != null && n <= 2; n++) {
             Path file = directory.resolve("drawn-" + n + ".kdl");
-            Files.writeString(file, DrawnFleet.draw("drawn " + n, 2 * drawn + n));
+            Files.writeString(file, RandomFleet.generate("drawn " + n, 2 * drawn + n));
             all.add(file);
         }
         if (System.getProperty(Commands.LOG_LEVEL) == null) {
             System.setProperty(Commands.LOG_LEVEL, "OFF");
         }
-        List<Trial> trials = new Verifier(new Goal(service, worst), simulated ? Verifier.Ways.SIMULATED
-                : Verifier.Ways.SOCKETS, seconds * SECOND, abreast, directory, line -> say("%s",
+        List<Trial> trials = new ForecastVerifier(new Goal(service, worst), simulated ? ForecastVerifier.Ways.SIMULATED
+                : ForecastVerifier.Ways.SOCKETS, seconds * SECOND, abreast, directory, line -> say("%s",
                         line)).run(all);
-        String table = Verifier.table(trials);
+        String table = ForecastVerifier.table(trials);
         Files.writeString(directory.resolve("accuracy.txt"), table);
         say("%n%s", table.stripTrailing());
         say("forecasts.json (written first), verified.json and the runs are in %s", directory);
--- a/src/main/java/rowanmoor/lab/BenchDay.java
+++ b/src/main/java/rowanmoor/lab/BenchDayConverter.java
@@ -16,7 +16,7 @@
  * shrink alike to what is asked; troubles that stand-ins cannot play are named, in the file and to the
  * caller.
  */
-public final class BenchDay {
+public final class BenchDayConverter {
 
     /** The file's text, and a line for each trouble left out. */
     public record Converted(String text, List<String> leftOut) { }
@@ -29,7 +29,7 @@
     private final StringBuilder out = new StringBuilder();
     private final List<String> leftOut = new ArrayList<>();
 
-    private BenchDay(JsonNode day, double scale) {
+    private BenchDayConverter(JsonNode day, double scale) {
         this.day = day;
         this.scale = scale;
     }
@@ -40,7 +40,7 @@
         if (day == null || !day.path("family").asText().equals("control") || !day.has("troubles")) {
             throw new IOException(file + ": family: is no day of a control service");
         }
-        return new BenchDay(day, scale).converted();
+        return new BenchDayConverter(day, scale).converted();
     }
 
     private void line(String format, Object... arguments) {
--- a/src/main/java/rowanmoor/lab/Charts.java
+++ b/src/main/java/rowanmoor/lab/Charts.java
@@ -27,11 +27,11 @@
     /** Levels at or above this let everything in and are not drawn. */
     private static final double OPEN = 1e5;
 
-    private final Played played;
+    private final DayResult played;
     private final Path directory;
     private final int seconds;
 
-    Charts(Played played, Path directory) {
+    Charts(DayResult played, Path directory) {
         this.played = played;
         this.directory = directory;
         this.seconds = (int) Math.ceil(played.day().length() / SECOND);
--- a/src/main/java/rowanmoor/lab/Report.java
+++ b/src/main/java/rowanmoor/lab/DayReport.java
@@ -13,22 +13,22 @@
 import rowanmoor.standin.Clients;
 
 /** What is said of a played day: a text, and with a directory JSON lines and charts. */
-public final class Report {
+public final class DayReport {
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final double SECOND = 1e9;
 
-    private Report() { }
+    private DayReport() { }
 
     /** The text that the command prints. */
-    public static String text(Played played) {
+    public static String text(DayResult played) {
         StringBuilder text = new StringBuilder();
         DayFile day = played.day();
         line(text, "%s, seed %d: %d controllers, %d proxies, %d backends, %.0f requests a second, %.0f s",
                 day.name(), day.seed(), day.controllerZones().size(), day.proxies(), day.backendCount(),
                 day.rate(), day.length() / SECOND);
         line(text, "%n%-32s %10s %10s  %s", "rule", "limit", "worst", "");
-        for (Judge.Verdict v : played.verdicts()) {
+        for (RuleChecker.Verdict v : played.verdicts()) {
             line(text, "%-32s %10.3f %10.3f  %s%s", v.rule(), v.limit(), v.worst(),
                     v.broken() ? "BROKEN " : "kept", v.broken() ? v.first() : " (" + v.unit() + ")");
         }
@@ -57,7 +57,7 @@
         text.append(String.format(Locale.ROOT, format, arguments)).append('\n');
     }
 
-    private static void changes(StringBuilder text, Played played) {
+    private static void changes(StringBuilder text, DayResult played) {
         List<Double> took = new ArrayList<>(played.changeMillis());
         took.sort(null);
         if (!took.isEmpty()) {
@@ -71,7 +71,7 @@
         return sorted.get((int) Math.min(sorted.size() - 1, Math.floor(part * sorted.size())));
     }
 
-    private static void stats(StringBuilder text, Played played) {
+    private static void stats(StringBuilder text, DayResult played) {
         for (int rank = 0; rank < played.day().controllerZones().size(); rank++) {
             int its = rank;
             JsonNode last = played.stats().stream().filter(s -> s.get("rank").asInt() == its)
@@ -88,11 +88,11 @@
     }
 
     /** Writes text, outcomes, verdicts and charts into a directory. */
-    public static void write(Played played, Path directory) throws IOException {
+    public static void write(DayResult played, Path directory) throws IOException {
         Files.createDirectories(directory);
         Files.writeString(directory.resolve("report.txt"), text(played));
         try (BufferedWriter out = Files.newBufferedWriter(directory.resolve("day.jsonl"))) {
-            for (Judge.Verdict verdict : played.verdicts()) {
+            for (RuleChecker.Verdict verdict : played.verdicts()) {
                 ObjectNode node = JSON.valueToTree(verdict);
                 out.write(node.put("what", "verdict").toString() + "\n");
             }
--- a/src/main/java/rowanmoor/lab/Played.java
+++ b/src/main/java/rowanmoor/lab/DayResult.java
@@ -15,7 +15,7 @@
  * @param faults what was thrown on any loop, which must be nothing
  * @param seen the run in the emulator's terms, so that both can be diagnosed alike
  */
-public record Played(DayFile day, Evidence evidence, List<Judge.Verdict> verdicts, List<Clients.ClassStats> met,
+public record DayResult(DayFile day, Evidence evidence, List<RuleChecker.Verdict> verdicts, List<Clients.ClassStats> met,
         List<Clients.RequestOutcome> outcomes, List<Double> changeMillis, double worstPush, List<JsonNode> stats,
         List<String> faults, Outcome seen) {
 
@@ -50,7 +50,7 @@
     }
 
     public boolean rulesKept() {
-        return verdicts.stream().noneMatch(Judge.Verdict::broken);
+        return verdicts.stream().noneMatch(RuleChecker.Verdict::broken);
     }
 
     /** Whether no rule broke, all expectations hold and nothing was thrown. */
--- a/src/main/java/rowanmoor/lab/Player.java
+++ b/src/main/java/rowanmoor/lab/DayRunner.java
@@ -15,14 +15,14 @@
 import rowanmoor.standin.Clients;
 
 /** Plays days: on sockets with controllers in processes of their own, or simulated. */
-public final class Player {
+public final class DayRunner {
 
     private static final long MILLI = 1_000_000L;
     private static final long SECOND = 1000 * MILLI;
     private static final long AFTERWARDS = 2 * SECOND;
     private static final long SIMULATED_START = 1_000_000 * SECOND;
 
-    private Player() { }
+    private DayRunner() { }
 
     private static Router router(ProxyLoops.RouterParts parts) {
         return new Router(parts.site(), parts.standing(), parts.random(), parts.now());
@@ -38,16 +38,16 @@
             BiFunction<Loop, Controllers, Controllers> between) {
 
         static Mutant none(DayFile day) {
-            return new Mutant(day, Player::router, (loop, controllers) -> controllers);
+            return new Mutant(day, DayRunner::router, (loop, controllers) -> controllers);
         }
     }
 
     /** Plays a day on a network in memory; the same day and seed always give the same bytes. */
-    public static Played simulate(DayFile day) throws IOException {
+    public static DayResult simulate(DayFile day) throws IOException {
         return simulate(day, Mutant.none(day));
     }
 
-    static Played simulate(DayFile day, Mutant mutant) throws IOException {
+    static DayResult simulate(DayFile day, Mutant mutant) throws IOException {
         List<String> faults = new ArrayList<>();
         MemoryNet net = new MemoryNet(SIMULATED_START, day.seed());
         Loop stage = net.newLoop(e -> faults.add(e.toString()));
@@ -65,7 +65,7 @@
     }
 
     /** Plays a day on loopback sockets in real time. */
-    public static Played play(DayFile day, Path file, Path directory) throws IOException,
+    public static DayResult runOnSockets(DayFile day, Path file, Path directory) throws IOException,
             InterruptedException {
         List<String> faults = Collections.synchronizedList(new ArrayList<>());
         Loop stage = Loop.onSockets(e -> faults.add(e.toString()));
@@ -132,12 +132,12 @@
         return new Outcome(classes, ground.backendsMet(), controllers, good, asked, 0, 0);
     }
 
-    private static Played played(DayFile day, Ground ground, long end,
+    private static DayResult played(DayFile day, Ground ground, long end,
             List<com.fasterxml.jackson.databind.JsonNode> stats, List<Outcome.ControllerStats> controllers,
             List<String> faults) throws IOException {
         Evidence evidence = ground.evidence(end);
-        Judge judge = new Judge(evidence);
-        return new Played(day, evidence, judge.verdicts(), ground.clients().classStats(),
+        RuleChecker judge = new RuleChecker(evidence);
+        return new DayResult(day, evidence, judge.verdicts(), ground.clients().classStats(),
                 ground.clients().outcomes(),
                 judge.changeToAppliedMillis(), ground.worstPush(), stats, List.copyOf(faults),
                 seen(day, ground, controllers));
--- a/src/main/java/rowanmoor/lab/Models.java
+++ b/src/main/java/rowanmoor/lab/EmulatorModels.java
@@ -8,11 +8,11 @@
 import rowanmoor.emulator.Model;
 
 /** A day file as a model for the emulator; what the emulator cannot play is named. */
-public final class Models {
+public final class EmulatorModels {
 
     private static final long MILLI = 1_000_000L;
 
-    private Models() { }
+    private EmulatorModels() { }
 
     /** A model, and a line for each trouble that was left out. */
     public record Modelled(Model model, List<String> leftOut) { }
--- a/src/main/java/rowanmoor/lab/Experiment.java
+++ b/src/main/java/rowanmoor/lab/Experiment.java
@@ -280,13 +280,13 @@
 
         private Result emulated(Run run) {
             DayFile day = day(run.variant(), run.rate());
-            return result(Emulator.run(Models.of(day, run.seed()).model(), run.seed()));
+            return result(Emulator.run(EmulatorModels.of(day, run.seed()).model(), run.seed()));
         }
 
         private Result live(Run run) {
             try {
                 Path own = Files.createTempDirectory(live, "run");
-                Played run1 = Player.play(day(run.variant(), run.rate()).seed(run.seed()),
+                DayResult run1 = DayRunner.runOnSockets(day(run.variant(), run.rate()).seed(run.seed()),
                         fleet(run.variant()).file(), own);
                 if (!run1.faults().isEmpty()) {
                     throw new IOException(run1.faults().get(0));
--- a/src/main/java/rowanmoor/lab/Verifier.java
+++ b/src/main/java/rowanmoor/lab/ForecastVerifier.java
@@ -30,7 +30,7 @@
  * Holds the planner's forecasts against stand-ins, proxies and controllers that run. All forecasts are made
  * and written down, with a hash of each fleet's file, before the first step is played.
  */
-public final class Verifier {
+public final class ForecastVerifier {
 
     /** How steps are played: on loopback sockets with processes, or on the network in memory. */
     public enum Ways { SOCKETS, SIMULATED }
@@ -51,7 +51,7 @@
      * @param abreast how many fleets are played at a time
      * @param directory for forecasts, results and what the runs leave
      */
-    public Verifier(Goal goal, Ways ways, long length, int abreast, Path directory,
+    public ForecastVerifier(Goal goal, Ways ways, long length, int abreast, Path directory,
             Consumer<String> progress) {
         this.goal = goal;
         this.ways = ways;
@@ -100,7 +100,7 @@
     }
 
     private Model model(DayFile day, double rate) {
-        return Models.of(day.calm(rate, length), day.seed()).model();
+        return EmulatorModels.of(day.calm(rate, length), day.seed()).model();
     }
 
     private Trial.Forecast forecast(DayFile day) {
@@ -114,13 +114,13 @@
         int number = 0;
         for (double rate = trial.nextRate(); rate > 0; rate = trial.nextRate()) {
             DayFile day = fleet.day().calm(rate, length).seed(fleet.day().seed() + number);
-            Played played;
+            DayResult played;
             if (ways == Ways.SIMULATED) {
-                played = Player.simulate(day);
+                played = DayRunner.simulate(day);
             } else {
                 Path own = directory.resolve(fleet.day().name().replace(' ', '-') + "-" + number);
                 Files.createDirectories(own);
-                played = Player.play(day, fleet.file(), own);
+                played = DayRunner.runOnSockets(day, fleet.file(), own);
             }
             number++;
             if (!played.faults().isEmpty()) {
--- a/src/main/java/rowanmoor/lab/Fuzz.java
+++ b/src/main/java/rowanmoor/lab/Fuzzer.java
@@ -25,7 +25,7 @@
  * parser's own error; the same bytes in other pieces give the same; and no more is allocated than the
  * limits allow.
  */
-public final class Fuzz {
+public final class Fuzzer {
 
     /** What can be fuzzed. */
     public enum Target {
@@ -55,7 +55,7 @@
     private final Map<String, Long> refusals = new TreeMap<>();
     private long refused;
 
-    public Fuzz(Target target, long seed) {
+    public Fuzzer(Target target, long seed) {
         this.target = target;
         this.random = new SplittableRandom(seed);
         this.corpus = corpus(target);
@@ -200,7 +200,7 @@
 
     private static List<byte[]> corpus(Target target) {
         return switch (target) {
-            case CHANNEL -> frames().stream().map(f -> Codec.encode(f).array()).map(Fuzz::trimmed).toList();
+            case CHANNEL -> frames().stream().map(f -> Codec.encode(f).array()).map(Fuzzer::trimmed).toList();
             case HTTP_REQUEST -> texts("GET /a/1?x=y HTTP/1.1\r\nHost: h\r\nConnection: keep-alive\r\n\r\n",
                     "POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello",
                     "POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/src/main/java/rowanmoor/lab/PlanReport.java
+++ b/src/main/java/rowanmoor/lab/PlanReport.java
@@ -29,7 +29,7 @@
      * @param assumptions figures that were taken as given: what, value, whence
      * @param curve service over the rate
      */
-    public record Plan(String fleet, Goal goal, double rateNow, int backendsNow, List<String[]> assumptions,
+    public record Plan(String fleet, Goal goal, double currentRate, int currentBackends, List<String[]> assumptions,
             List<Estimator.Estimate> estimates, List<String> notes, Planner.BreakingPoint breaks,
             List<Planner.CurvePoint> curve, Planner.FleetSize enough, boolean zonesLost, List<Planner.LossImpact> losses,
             List<Planner.Sensitivity> sensitivity) { }
@@ -66,7 +66,7 @@
                 + " on"
                 + " %d backends. Figures are emulated.</p>", plan.goal().minService(), plan.goal().minWorstService() > 0
                 ? String.format(Locale.ROOT, ", %.3f over the worst ten seconds", plan.goal().minWorstService()) : "",
-                plan.rateNow(), plan.backendsNow());
+                plan.currentRate(), plan.currentBackends());
         breaks();
         enough();
         losses();
@@ -119,8 +119,8 @@
             line("<p><b>%d backends</b>, in today's proportions, hold %.1f requests a second%s: service %.3f,"
                     + " on seeds that the search did not see %.3f (%d runs). There are %d now.</p>",
                             e.count(),
-                    plan.rateNow(), plan.zonesLost() ? " with each zone lost in turn" : "", e.service(),
-                    e.validationService(), e.runs(), plan.backendsNow());
+                    plan.currentRate(), plan.zonesLost() ? " with each zone lost in turn" : "", e.service(),
+                    e.validationService(), e.runs(), plan.currentBackends());
         }
     }
 
--- a/src/main/java/rowanmoor/lab/ProxyLoad.java
+++ b/src/main/java/rowanmoor/lab/ProxyBenchmark.java
@@ -37,7 +37,7 @@
  * the proxy, one for clients. Requests come at a fixed rate, whatever has become of those before (open loop),
  * and each goes straight to a backend and over the proxy too, so that both meet the same moment.
  */
-public final class ProxyLoad {
+public final class ProxyBenchmark {
 
     /**
      * What one step came to. Latencies are microseconds from the time at which a request was due.
@@ -89,7 +89,7 @@
      * @param lines of the proxy's table; those beyond the few real backends have next to no weight
      * @param straightToo whether each request also goes straight; without, the proxy is the first limit
      */
-    public ProxyLoad(int lines, boolean straightToo) throws IOException, ConfigException {
+    public ProxyBenchmark(int lines, boolean straightToo) throws IOException, ConfigException {
         this.lines = lines;
         this.straightToo = straightToo;
         for (int b = 0; b < BACKENDS; b++) {
--- a/src/main/java/rowanmoor/lab/Mirror.java
+++ b/src/main/java/rowanmoor/lab/ProxyStateModel.java
@@ -9,7 +9,7 @@
 import rowanmoor.channel.Frame;
 
 /** What a proxy must hold, going by the bytes that it read: the judge's own reckoning of docs/channel.md. */
-final class Mirror {
+final class ProxyStateModel {
 
     private static final int STANDING = -1;
 
@@ -21,7 +21,7 @@
     private long epoch;
     private long version = -1;
 
-    Mirror(int classes, Collection<Backend> standing) {
+    ProxyStateModel(int classes, Collection<Backend> standing) {
         tableOf = new int[classes];
         Arrays.fill(tableOf, STANDING);
         TreeMap<Backend, Double> lines = new TreeMap<>();
--- a/src/main/java/rowanmoor/lab/DrawnFleet.java
+++ b/src/main/java/rowanmoor/lab/RandomFleet.java
@@ -7,16 +7,16 @@
  * Fleets that nobody thought of: drawn from a seed, to judge forecasts by. Sizes are such that one machine
  * plays them on sockets.
  */
-public final class DrawnFleet {
+public final class RandomFleet {
 
-    private DrawnFleet() { }
+    private RandomFleet() { }
 
     private static double between(SplittableRandom random, double low, double high) {
         return low + (high - low) * random.nextDouble();
     }
 
     /** A day file's text. The same name and seed give the same. */
-    public static String draw(String name, long seed) {
+    public static String generate(String name, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         int cores = 2 + random.nextInt(4);
         int slots = cores * (1 + random.nextInt(3));
--- a/src/main/java/rowanmoor/lab/Judge.java
+++ b/src/main/java/rowanmoor/lab/RuleChecker.java
@@ -27,7 +27,7 @@
  * Judges the five rules from {@link Evidence} alone: bytes that proxies read, what backends wrote down, what
  * the roster answered. Each verdict has its worst figure beside its limit.
  */
-public final class Judge {
+public final class RuleChecker {
 
     /**
      * One rule's verdict.
@@ -86,7 +86,7 @@
     private int misnumbered;
     private final First firstMisnumbered = new First();
 
-    public Judge(Evidence evidence) {
+    public RuleChecker(Evidence evidence) {
         this.evidence = evidence;
         this.site = evidence.site();
         this.rules = site.rules();
@@ -124,7 +124,7 @@
     /** Replays what one proxy read; notes its stays, its messages and how long it was bare. */
     private void follow(int proxy, List<Evidence.Tapped> taps) {
         int classes = site.classes().size();
-        Mirror mirror = new Mirror(classes, evidence.standing().get(proxy));
+        ProxyStateModel mirror = new ProxyStateModel(classes, evidence.standing().get(proxy));
         FrameReader reader = null;
         Stay stay = null;
         long[] bareSince = new long[classes];
@@ -198,7 +198,7 @@
     }
 
     /** Closes or opens a class's bare stretch; the part of it counts in which its controller knew better. */
-    private void settleBare(Stay stay, Mirror mirror, long[] since, long now, boolean over) {
+    private void settleBare(Stay stay, ProxyStateModel mirror, long[] since, long now, boolean over) {
         for (int cls = 0; cls < since.length; cls++) {
             boolean bare = mirror.bare(cls);
             if (since[cls] >= 0 && (!bare || over)) {
--- a/src/main/java/rowanmoor/lab/Soak.java
+++ b/src/main/java/rowanmoor/lab/SoakRunner.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 
 /** Plays seeds of {@link SoakRun}, so many at a time, and tells a line for each. */
-public final class Soak {
+public final class SoakRunner {
 
     private static final long READY_SOON_MS = 10_000;
     private static final double SOON_PART = 0.9;
@@ -21,7 +21,7 @@
     private final Consumer<String> out;
 
     /** @param directory keeps settings and logs of the processes */
-    public Soak(Path directory, Consumer<String> out) {
+    public SoakRunner(Path directory, Consumer<String> out) {
         this.directory = directory;
         this.out = out;
     }
--- a/src/test/java/rowanmoor/ArchitectureTest.java
+++ b/src/test/java/rowanmoor/ArchitectureTest.java
@@ -77,8 +77,8 @@
                 .resideInAPackage("rowanmoor.settings").or().resideInAPackage("rowanmoor.resp").or()
                 .haveSimpleName("Messages").or().haveSimpleName("Translator").or()
                 .haveSimpleName("RosterView").or().haveSimpleName("Router").or().haveSimpleName("Tallies").or()
-                .haveSimpleName("Redial").or().haveSimpleName("BackendModel").or().haveSimpleName("Judge").or()
-                .haveSimpleName("Mirror").or().resideInAPackage("rowanmoor.emulator").or()
+                .haveSimpleName("Redial").or().haveSimpleName("BackendModel").or().haveSimpleName("RuleChecker").or()
+                .haveSimpleName("ProxyStateModel").or().resideInAPackage("rowanmoor.emulator").or()
                 .resideInAPackage("rowanmoor.plan")
                 .should().dependOnClassesThat().resideInAnyPackage("java.io..", "java.nio.channels..",
                         "java.nio.file..", "java.net..", "rowanmoor.net..", "org.slf4j..")
--- a/src/test/java/rowanmoor/lab/BenchDayTest.java
+++ b/src/test/java/rowanmoor/lab/BenchDayTest.java
@@ -42,7 +42,7 @@
     void aDayIsConvertedScaledAndPlayedAndWhatCannotBeIsNamed(@TempDir Path dir) throws IOException, ConfigException {
         Path json = dir.resolve("day.json");
         Files.writeString(json, DAY);
-        BenchDay.Converted converted = BenchDay.convert(json, 0.5);
+        BenchDayConverter.Converted converted = BenchDayConverter.convert(json, 0.5);
         assertEquals(List.of("neighbour at 1000ms for 3000ms: no stand-in plays it"), converted.leftOut());
         DayFile day = TestDays.of(converted.text());
         assertEquals(4, day.proxies());
@@ -51,15 +51,15 @@
                 day.troubles().stream().map(Trouble::kind).toList());
         // Half of (3 x 2 cores x 1.0 + 2 x 4 cores x 0.8), at 0.14 s a request.
         assertEquals(0.5 * (6 + 6.4) / 0.14, day.rate(), 0.1);
-        Played played = Player.simulate(day);
+        DayResult played = DayRunner.simulate(day);
         assertEquals(List.of(), played.faults());
-        assertEquals(true, played.rulesKept(), Report.text(played));
+        assertEquals(true, played.rulesKept(), DayReport.text(played));
     }
 
     @Test
     void whatIsNoDayIsRefused(@TempDir Path dir) throws IOException {
         Path json = dir.resolve("x.json");
         Files.writeString(json, "{\"family\":\"other\"}");
-        assertThrows(IOException.class, () -> BenchDay.convert(json, 1));
+        assertThrows(IOException.class, () -> BenchDayConverter.convert(json, 1));
     }
 }
--- a/src/test/java/rowanmoor/lab/DayTest.java
+++ b/src/test/java/rowanmoor/lab/DayTest.java
@@ -12,16 +12,16 @@
 /** Whole days in simulated time: real controllers, proxies and stand-ins on a network in memory. */
 class DayTest {
 
-    private static Played kept(DayFile day) throws IOException {
-        Played played = Player.simulate(day);
-        assertTrue(played.passed(), Report.text(played));
+    private static DayResult kept(DayFile day) throws IOException {
+        DayResult played = DayRunner.simulate(day);
+        assertTrue(played.passed(), DayReport.text(played));
         return played;
     }
 
     @Test
     void theBadDayBreaksNoRuleOnThreeSeeds() throws IOException, ConfigException {
         for (long seed = 1; seed <= 3; seed++) {
-            Played played = kept(TestDays.of(TestDays.text()).seed(seed));
+            DayResult played = kept(TestDays.of(TestDays.text()).seed(seed));
             assertTrue(played.evidence().ledger().entries().size() > 4000);
             assertEquals(3, played.evidence().ranks().size(), "two controllers, one started again");
         }
@@ -36,7 +36,7 @@
 
     private static int digest(DayFile day) throws IOException {
         int digest = 1;
-        for (Evidence.Tapped tap : Player.simulate(day).evidence().taps()) {
+        for (Evidence.Tapped tap : DayRunner.simulate(day).evidence().taps()) {
             digest = 31 * digest + Arrays.hashCode(tap.bytes()) + (int) tap.at();
         }
         return digest;
@@ -44,7 +44,7 @@
 
     @Test
     void allBackendsDrainAtOnce() throws IOException, ConfigException {
-        Played played = kept(TestDays.with("16s", "drain { at \"4s\"; for \"6s\"; zone \"north\"; part 1 }; "
+        DayResult played = kept(TestDays.with("16s", "drain { at \"4s\"; for \"6s\"; zone \"north\"; part 1 }; "
                 + "drain { at \"4s\"; for \"6s\"; zone \"south\"; part 1 }"));
         long then = played.evidence().start() + 7_000_000_000L;
         assertTrue(played.evidence().ledger().entries().stream().noneMatch(e -> e.arrivedAt > then
@@ -55,15 +55,15 @@
 
     @Test
     void theRosterEmptiesForOneAnswerAndNothingIsWithdrawn() throws IOException, ConfigException {
-        Played played = kept(TestDays.with("10s", "roster-empty { at \"3s\"; size 2 }"));
+        DayResult played = kept(TestDays.with("10s", "roster-empty { at \"3s\"; size 2 }"));
         assertTrue(played.evidence().answers().stream().anyMatch(a -> a.instances().isEmpty()));
-        assertTrue(played.service(-1) > 0.97, Report.text(played));
+        assertTrue(played.service(-1) > 0.97, DayReport.text(played));
     }
 
     @Test
     void aControllerIsKilledBetweenTwoMessagesOfOneMarkAndItsProxiesGoOn() throws IOException, ConfigException {
         // A change at the moment of the kill: some proxies have its message, some do not.
-        Played played = kept(TestDays.with("14s", "drain { at \"4s\"; for \"5s\"; zone \"south\"; part 0.5 }; "
+        DayResult played = kept(TestDays.with("14s", "drain { at \"4s\"; for \"5s\"; zone \"south\"; part 0.5 }; "
                 + "controller-kill { at \"4.03s\"; for \"2s\"; controller 0 }; "
                 + "controller-kill { at \"4.03s\"; for \"2s\"; controller 1 }"));
         long drained = played.evidence().start() + 4_000_000_000L;
@@ -71,32 +71,32 @@
                 && t.bytes().length > 60 && t.at() > drained && t.at() < drained + 35_000_000L)
                 .map(Evidence.Tapped::proxy).distinct().count();
         assertTrue(told >= 1 && told < played.day().proxies(), told + " proxies had the message");
-        assertTrue(played.service(-1) > 0.9, Report.text(played));
+        assertTrue(played.service(-1) > 0.9, DayReport.text(played));
         assertEquals(4, played.evidence().ranks().size());
     }
 
     @Test
     void aStandingControllerLosesItsProxiesToTheOther() throws IOException, ConfigException {
-        Played played = kept(TestDays.with("16s", "controller-stall { at \"3s\"; for \"8s\"; controller 0 }; "
+        DayResult played = kept(TestDays.with("16s", "controller-stall { at \"3s\"; for \"8s\"; controller 0 }; "
                 + "proxies-cut { at \"12s\"; for \"3s\"; part 0.5 }"));
-        assertTrue(played.service(-1) > 0.95, Report.text(played));
+        assertTrue(played.service(-1) > 0.95, DayReport.text(played));
     }
 
     @Test
     void aReaderOfOneByteASecondHoldsUpNobody() throws IOException, ConfigException {
-        Played played = kept(TestDays.with("14s", "slow-reader { at \"2s\"; for \"12s\"; part 0.1; size 1 }; "
+        DayResult played = kept(TestDays.with("14s", "slow-reader { at \"2s\"; for \"12s\"; part 0.1; size 1 }; "
                 + "drain { at \"6s\"; for \"5s\"; zone \"north\"; part 0.4 }"));
-        assertTrue(played.service(-1) > 0.95, Report.text(played));
+        assertTrue(played.service(-1) > 0.95, DayReport.text(played));
     }
 
     @Test
     void everyKindOfTroubleCanBePlayed() throws IOException, ConfigException {
-        Played played = Player.simulate(TestDays.with("12s", String.join("; ", List.of(
+        DayResult played = DayRunner.simulate(TestDays.with("12s", String.join("; ", List.of(
                 "zone-loss { at \"1s\"; for \"3s\"; zone \"south\" }", "pauses { at \"1s\"; for \"3s\"; part 0.3; size 200 }",
                 "answers-lost { at \"2s\"; for \"3s\"; part 0.2; size 0.5 }", "burst { at \"5s\"; for \"2s\"; size 1.2 }",
                 "false-reports { at \"2s\"; for \"3s\"; part 0.2; size 0.1 }",
                 "fast-errors { at \"2s\"; for \"3s\"; part 0.2; size 0.5 }", "slow { at \"2s\"; for \"3s\"; part 0.2; size 3 }",
                 "roster-down { at \"5s\"; for \"2s\" }"))));
-        assertTrue(played.rulesKept() && played.faults().isEmpty(), Report.text(played));
+        assertTrue(played.rulesKept() && played.faults().isEmpty(), DayReport.text(played));
     }
 }
--- a/src/test/java/rowanmoor/lab/FuzzTest.java
+++ b/src/test/java/rowanmoor/lab/FuzzTest.java
@@ -10,9 +10,9 @@
 class FuzzTest {
 
     @ParameterizedTest
-    @EnumSource(Fuzz.Target.class)
-    void noMutantBreaksAParser(Fuzz.Target target) {
-        Fuzz.Found found = new Fuzz(target, 42).run(10_000, () -> true);
+    @EnumSource(Fuzzer.Target.class)
+    void noMutantBreaksAParser(Fuzzer.Target target) {
+        Fuzzer.Found found = new Fuzzer(target, 42).run(10_000, () -> true);
         assertNull(found.failure());
         assertTrue(found.refused() > 1000 && found.refused() < 10_000, found.refused() + " refused");
         assertTrue(found.refusals().size() >= 8, found.refusals().toString());
--- a/src/test/java/rowanmoor/lab/Histories.java
+++ b/src/test/java/rowanmoor/lab/Histories.java
@@ -20,7 +20,7 @@
     static final Path FOLDER = Path.of("src/test/resources/histories");
 
     /** A rule that is broken with a fault, first between two moments (ns from the day's start). */
-    record Rejected(String rule, Player.Mutant fault, long from, long to) { }
+    record Rejected(String rule, DayRunner.Mutant fault, long from, long to) { }
 
     record History(DayFile day, List<String> meets, List<Rejected> rejects) { }
 
@@ -68,14 +68,14 @@
     }
 
     /** Controllers are set up by another site's figures than those that they are judged by. */
-    private static Player.Mutant toldOther(DayFile day, String file, String text, String site) throws ConfigException {
+    private static DayRunner.Mutant toldOther(DayFile day, String file, String text, String site) throws ConfigException {
         Section other = Section.parse(file, text.replaceFirst("site-from \"[^\"]*\"", "site-from \"" + site + "\""));
         other.section("history"); // its own keys were looked at before
-        Player.Mutant none = Player.Mutant.none(day);
-        return new Player.Mutant(DayFile.read(other), none.routers(), none.between());
+        DayRunner.Mutant none = DayRunner.Mutant.none(day);
+        return new DayRunner.Mutant(DayFile.read(other), none.routers(), none.between());
     }
 
-    private static final Map<String, Function<DayFile, Player.Mutant>> FAULTS = Map.of(
+    private static final Map<String, Function<DayFile, DayRunner.Mutant>> FAULTS = Map.of(
             "empties-tables", day -> orders(day, order -> order instanceof Frame.Bind b
                     ? new Frame.Bind(b.classMask(), new Frame.Table(b.table().number(), List.of(),
                             b.table().levels()), List.of())
@@ -84,10 +84,10 @@
                     || order instanceof Frame.SetLine s && s.line().weight() == 0 ? new Frame.Mark(65535)
                     : order instanceof Frame.Bind b ? new Frame.Bind(b.classMask(), b.table(), List.of()) : order),
             "repeats-unsafe", day -> {
-                Player.Mutant told = orders(day, order -> order instanceof Frame.Bind b
+                DayRunner.Mutant told = orders(day, order -> order instanceof Frame.Bind b
                         ? new Frame.Bind(b.classMask(), new Frame.Table(b.table().number(), b.table().lines(),
                                 List.of(new Frame.Level(0, 1e6, RetryPolicy.ONCE))), b.withdrawn()) : order);
-                return new Player.Mutant(day, parts -> new Router(parts.site(), parts.standing(), parts.random(),
+                return new DayRunner.Mutant(day, parts -> new Router(parts.site(), parts.standing(), parts.random(),
                         parts.now()) {
                     @Override
                     protected boolean isSafeToRepeat(int cls) {
@@ -96,8 +96,8 @@
                 }, told.between());
             });
 
-    private static Player.Mutant orders(DayFile day, Function<Frame.Order, Frame.Order> change) {
-        return new Player.Mutant(day, Player.Mutant.none(day).routers(), (loop, real) -> new FrameRelay(loop, real,
+    private static DayRunner.Mutant orders(DayFile day, Function<Frame.Order, Frame.Order> change) {
+        return new DayRunner.Mutant(day, DayRunner.Mutant.none(day).routers(), (loop, real) -> new FrameRelay(loop, real,
                 frame -> frame instanceof Frame.Update u ? new Frame.Update(u.epoch(), u.version(), u.orderedAtNs(),
                         u.queuedLines(), u.orders().stream().map(change).toList()) : frame));
     }
--- a/src/test/java/rowanmoor/lab/HistoriesTest.java
+++ b/src/test/java/rowanmoor/lab/HistoriesTest.java
@@ -39,13 +39,13 @@
         return LongStream.rangeClosed(1, SEEDS);
     }
 
-    private static Judge.Verdict verdict(String rule, List<Judge.Verdict> all) {
+    private static RuleChecker.Verdict verdict(String rule, List<RuleChecker.Verdict> all) {
         return all.stream().filter(v -> v.rule().equals(rule)).findFirst().orElseThrow(() ->
                 new AssertionError("there is no rule " + rule));
     }
 
-    private static void accepted(Played played, List<String> meets) {
-        assertTrue(played.passed(), () -> Report.text(played));
+    private static void accepted(DayResult played, List<String> meets) {
+        assertTrue(played.passed(), () -> DayReport.text(played));
         for (String rule : meets) {
             assertTrue(verdict(rule, played.verdicts()).met() > 0, () -> played.day().name() + ": " + rule
                     + " was never put to work");
@@ -56,9 +56,9 @@
     @MethodSource("recorded")
     void aRecordedHistoryIsAcceptedAndWithItsFaultRejectedAtTheRightMoment(Path file) throws IOException, ConfigException {
         Histories.History history = Histories.read(file);
-        accepted(Player.simulate(history.day()), history.meets());
+        accepted(DayRunner.simulate(history.day()), history.meets());
         for (Histories.Rejected one : history.rejects()) {
-            Judge.Verdict broken = verdict(one.rule(), Player.simulate(history.day(), one.fault()).verdicts());
+            RuleChecker.Verdict broken = verdict(one.rule(), DayRunner.simulate(history.day(), one.fault()).verdicts());
             assertTrue(broken.broken(), "with its fault: " + broken);
             assertFalse(broken.first().isEmpty());
             assertTrue(broken.firstAt() >= one.from() && broken.firstAt() <= one.to(), broken.toString());
@@ -120,7 +120,7 @@
     void aSeededHistoryKeepsAllRulesAndMeetsThem(long seed) throws IOException, ConfigException {
         DayFile day = drawn(seed);
         // One proxy's messages seldom wait for one another.
-        accepted(Player.simulate(day), day.proxies() > 1 ? RULES : RULES.subList(0, 4));
+        accepted(DayRunner.simulate(day), day.proxies() > 1 ? RULES : RULES.subList(0, 4));
     }
 
     @Test
@@ -130,7 +130,7 @@
     }
 
     private static long digest(long seed) throws IOException, ConfigException {
-        Evidence seen = Player.simulate(drawn(seed)).evidence();
+        Evidence seen = DayRunner.simulate(drawn(seed)).evidence();
         long digest = 1;
         for (Evidence.Tapped tap : seen.taps()) {
             digest = 31 * digest + Arrays.hashCode(tap.bytes()) + tap.at() + tap.proxy();
--- a/src/test/java/rowanmoor/lab/JudgeTest.java
+++ b/src/test/java/rowanmoor/lab/JudgeTest.java
@@ -45,18 +45,18 @@
                 "north", "fast", 1, listed, (long) (startedAt * 1000), (long) (startedAt * SECOND)))));
     }
 
-    private Judge.Verdict verdict(String rule, double end, List<Backend> standing) throws ConfigException {
+    private RuleChecker.Verdict verdict(String rule, double end, List<Backend> standing) throws ConfigException {
         Site site = Site.of(Section.read(Path.of("src/test/resources/histories/limited.kdl")));
         Evidence evidence = new Evidence(site, 0, (long) (end * SECOND), Map.of(B, new Evidence.Place(0, 0)),
                 List.of(standing), taps, Map.of(7L, 0), ledger, answers);
-        return new Judge(evidence).verdicts().stream().filter(v -> v.rule().equals(rule)).findFirst().orElseThrow();
+        return new RuleChecker(evidence).verdicts().stream().filter(v -> v.rule().equals(rule)).findFirst().orElseThrow();
     }
 
     @Test
     void aBackendThatGetsWarmBetweenTwoAnswersEndsTheExcuseOfABareProxy() throws ConfigException {
         told(100, Availability.READY, 100);
         joins(101);
-        Judge.Verdict bare = verdict("no proxy without a backend", 120, List.of());
+        RuleChecker.Verdict bare = verdict("no proxy without a backend", 120, List.of());
         assertTrue(bare.broken(), bare.toString()); // warm at 108, bare for more than 3 s from there
         assertEquals(111 * SECOND, bare.firstAt());
         assertFalse(verdict("no proxy without a backend", 110.9, List.of()).broken());
@@ -69,7 +69,7 @@
         ledger.open(B, "r1", "/preview/1", 0, 1, 103 * SECOND);
         assertFalse(verdict("drains kept", 120, List.of(B)).broken(), "2 s after the join");
         ledger.open(B, "r2", "/preview/2", 0, 1, 104 * SECOND);
-        Judge.Verdict drain = verdict("drains kept", 120, List.of(B));
+        RuleChecker.Verdict drain = verdict("drains kept", 120, List.of(B));
         assertTrue(drain.broken(), drain.toString());
         assertEquals(104 * SECOND, drain.firstAt());
     }
@@ -85,7 +85,7 @@
             read(101, new Frame.Snapshot(7, i, 101 * SECOND, 0, List.of(new Frame.Table(1, lines, List.of())),
                     List.of(new Frame.Binding(1, 3)), List.of(), List.of()));
         }
-        Judge.Verdict queue = verdict("a short queue", 120, List.of(B));
+        RuleChecker.Verdict queue = verdict("a short queue", 120, List.of(B));
         assertTrue(queue.broken() && queue.worst() > 2000, queue.toString());
     }
 
@@ -95,7 +95,7 @@
         for (int i = 0; i < 21; i++) {
             read(100.1 + i * 0.3, new Frame.Update(7, i + 1, 0, 0, List.of(new Frame.Mark(i))));
         }
-        Judge.Verdict budget = verdict("messages within their limit", 120, List.of(B));
+        RuleChecker.Verdict budget = verdict("messages within their limit", 120, List.of(B));
         assertTrue(budget.broken(), budget.toString());
         assertEquals(21, budget.worst());
         assertEquals(106.1, budget.firstAt() / 1e9, 1e-6);
--- a/src/test/java/rowanmoor/lab/SoakTest.java
+++ b/src/test/java/rowanmoor/lab/SoakTest.java
@@ -18,14 +18,14 @@
     @Test
     void noRequestIsLostWhileProxiesAreStoppedAndStarted() throws InterruptedException {
         List<String> told = new ArrayList<>();
-        assertTrue(new Soak(directory, told::add).play(1, 3, 2), told::toString);
+        assertTrue(new SoakRunner(directory, told::add).play(1, 3, 2), told::toString);
     }
 
     /** A process that ends at once, with requests read and unanswered, though it was only told to stop. */
     @Test
     void aProcessThatEndsAtOnceIsCaught() throws InterruptedException {
         List<String> told = new ArrayList<>();
-        assertFalse(new Soak(directory, told::add).play(3, 3, 1, SoakRun.Ending.KILL_TAKEN_FOR_STOP), told::toString);
+        assertFalse(new SoakRunner(directory, told::add).play(3, 3, 1, SoakRun.Ending.KILL_TAKEN_FOR_STOP), told::toString);
         assertTrue(told.stream().anyMatch(line -> line.contains("never answered")), told::toString);
         assertTrue(told.stream().anyMatch(line -> line.contains("--seeds 3..3")), told::toString);
     }
