--- a/src/main/java/rowanmoor/lab/Fuzz.java
+++ b/src/main/java/rowanmoor/lab/Fuzzer.java
@@ -16,16 +16,16 @@
 import rowanmoor.channel.Frame;
 import rowanmoor.channel.FrameReader;
 import rowanmoor.http.HttpError;
-import rowanmoor.http.Limits;
+import rowanmoor.http.MessageLimits;
 import rowanmoor.http.Message;
-import rowanmoor.kdl.KdlError;
+import rowanmoor.kdl.KdlException;
 
 /**
  * Feeds a parser mutants of sound inputs. Three things must hold for each: nothing is thrown but the
  * parser's own error; the same bytes in other pieces give the same; and no more is allocated than the
  * limits allow.
  */
-public final class Fuzz {
+public final class Fuzzer {
 
     /** What can be fuzzed. */
     public enum Target {
@@ -43,7 +43,7 @@
             String failure) { }
 
     private static final ChannelLimits CHANNEL_LIMITS = new ChannelLimits(1 << 16, 512, 64);
-    private static final Limits HTTP_LIMITS = new Limits(256, 1024, 16, 2048);
+    private static final MessageLimits HTTP_LIMITS = new MessageLimits(256, 1024, 16, 2048);
     private static final int INPUT_MOST = 4096;
     private static final int KINDS_KEPT = 40;
     /** Bytes that reading one input may allocate: generous beside the limits, tiny beside a stated 4 GiB. */
@@ -55,7 +55,7 @@
     private final Map<String, Long> refusals = new TreeMap<>();
     private long refused;
 
-    public Fuzz(Target target, long seed) {
+    public Fuzzer(Target target, long seed) {
         this.target = target;
         this.random = new SplittableRandom(seed);
         this.corpus = corpus(target);
@@ -98,11 +98,11 @@
         try {
             switch (target) {
                 case CHANNEL -> channel(input, most, story);
-                case KDL -> story.add(rowanmoor.kdl.Parser.parse(new String(input, StandardCharsets.UTF_8))
+                case KDL -> story.add(rowanmoor.kdl.KdlParser.parse(new String(input, StandardCharsets.UTF_8))
                         .toString());
                 default -> http(input, most, story);
             }
-        } catch (ChannelException | HttpError | KdlError e) {
+        } catch (ChannelException | HttpError | KdlException e) {
             story.add(e.getMessage());
             if (most == input.length) {
                 refused++;
@@ -129,9 +129,9 @@
     }
 
     private void http(byte[] input, int most, List<String> story) throws HttpError {
-        rowanmoor.http.Parser parser = target == Target.HTTP_REQUEST
-                ? rowanmoor.http.Parser.ofRequests(HTTP_LIMITS) : rowanmoor.http.Parser
-                        .ofResponses(HTTP_LIMITS);
+        rowanmoor.http.MessageParser parser = target == Target.HTTP_REQUEST
+                ? rowanmoor.http.MessageParser.forRequests(HTTP_LIMITS) : rowanmoor.http.MessageParser
+                        .forResponses(HTTP_LIMITS);
         for (ByteBuffer piece : pieces(input, most)) {
             while (piece.hasRemaining()) {
                 Message message = parser.next(piece);
@@ -200,7 +200,7 @@
 
     private static List<byte[]> corpus(Target target) {
         return switch (target) {
-            case CHANNEL -> frames().stream().map(f -> Codec.encode(f).array()).map(Fuzz::trimmed).toList();
+            case CHANNEL -> frames().stream().map(f -> Codec.encode(f).array()).map(Fuzzer::trimmed).toList();
             case HTTP_REQUEST -> texts("GET /a/1?x=y HTTP/1.1\r\nHost: h\r\nConnection: keep-alive\r\n\r\n",
                     "POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello",
                     "POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/src/main/java/rowanmoor/proxy/ChannelClient.java
+++ b/src/main/java/rowanmoor/proxy/ChannelClient.java
@@ -12,9 +12,9 @@
 import rowanmoor.channel.Codec;
 import rowanmoor.channel.Frame;
 import rowanmoor.channel.FrameReader;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 import rowanmoor.net.Loop;
 import rowanmoor.net.Timer;
 
@@ -23,7 +23,7 @@
  * reconnects when the stream ends. States: connecting, open (hello sent), up (snapshot received), waiting to
  * reconnect.
  */
-final class ChannelClient implements Handler {
+final class ChannelClient implements ConnectionHandler {
 
     private static final Logger LOG = LoggerFactory.getLogger(ChannelClient.class);
 
@@ -80,7 +80,7 @@
         protocolVersion = oldProtocolControllers.contains(controllerIndex) ? Frame.MIN_PROTOCOL_VERSION
                 : Frame.PROTOCOL_VERSION;
         InetSocketAddress address = config.controllers().get(controllerIndex);
-        connection = loop.connect(config.localAddress(), address, Connection.Options.usual()
+        connection = loop.connect(config.localAddress(), address, Connection.Options.defaults()
                 .connectWithin(config.controllerTimeoutNs()).idleAfter(config.controllerTimeoutNs()), this);
     }
 
@@ -88,7 +88,7 @@
         stopped = true;
         if (connection != null) {
             send(new Frame.Goodbye(Frame.Reason.STOPPING, "the proxy stops"));
-            connection.end();
+            connection.closeGracefully();
         }
     }
 
@@ -122,7 +122,7 @@
     }
 
     @Override
-    public void opened(Connection stream) {
+    public void onOpen(Connection stream) {
         tap.opened(config.number(), ++streamNumber, loop.now());
         reader = new FrameReader(ChannelLimits.defaults());
         boolean onlyStandingTable = router.hasOnlyStandingTable();
@@ -133,11 +133,11 @@
                 config.requestsPerSecond(), onlyStandingTable, router.epoch(), router.version(),
                 config.name()));
         snapshotTimer = loop.after(config.controllerTimeoutNs(), () ->
-                connection.close(Close.IDLE, "no snapshot received after the hello"));
+                connection.close(CloseReason.IDLE, "no snapshot received after the hello"));
     }
 
     @Override
-    public void received(Connection stream, ByteBuffer bytes) {
+    public void onData(Connection stream, ByteBuffer bytes) {
         router.onControllerMessage(loop.now());
         tap.read(config.number(), streamNumber, loop.now(), bytes.duplicate());
         try {
@@ -149,7 +149,7 @@
             }
         } catch (ChannelException e) {
             send(new Frame.Goodbye(Frame.Reason.PROTOCOL, e.getMessage()));
-            connection.end();
+            connection.closeGracefully();
             LOG.warn("proxy {}: protocol error on the controller stream: {}", config.number(),
                     e.getMessage());
         }
@@ -180,7 +180,7 @@
             }
             LOG.info("proxy {}: controller sent goodbye: {} {}", config.number(), goodbye.reason(),
                     goodbye.text());
-            connection.close(Close.LOCAL, "goodbye: " + goodbye.reason());
+            connection.close(CloseReason.LOCAL, "goodbye: " + goodbye.reason());
         } else if (!(frame instanceof Frame.Pong)) {
             throw new ChannelException("a frame that a controller may not send: "
                     + frame.getClass().getSimpleName());
@@ -216,24 +216,24 @@
                 % config.controllers().size());
         int probedStream = streamNumber;
         loop.connect(config.localAddress(), first,
-                Connection.Options.usual().connectWithin(config.controllerTimeoutNs()), new Handler() {
+                Connection.Options.defaults().connectWithin(config.controllerTimeoutNs()), new ConnectionHandler() {
                     @Override
-                    public void opened(Connection probe) {
-                        probe.close(Close.LOCAL, "the first controller is reachable");
+                    public void onOpen(Connection probe) {
+                        probe.close(CloseReason.LOCAL, "the first controller is reachable");
                         if (up && probedStream == streamNumber && !stopped) {
                             LOG.info("proxy {}: moving back to its first controller", config.number());
                             redial.returnToFirstController();
                             send(new Frame.Goodbye(Frame.Reason.MOVING, "to its first controller"));
-                            connection.end();
+                            connection.closeGracefully();
                         }
                     }
 
                     @Override
-                    public void received(Connection probe, ByteBuffer bytes) { }
+                    public void onData(Connection probe, ByteBuffer bytes) { }
 
                     @Override
-                    public void closed(Connection probe, Close why, String detail) {
-                        if (why.neverMade() && up && probedStream == streamNumber) {
+                    public void onClose(Connection probe, CloseReason why, String detail) {
+                        if (why.neverConnected() && up && probedStream == streamNumber) {
                             scheduleFirstControllerProbe();
                         }
                     }
@@ -264,7 +264,7 @@
     }
 
     @Override
-    public void closed(Connection stream, Close why, String detail) {
+    public void onClose(Connection stream, CloseReason why, String detail) {
         boolean wasUp = up;
         up = false;
         if (wasUp) {
@@ -273,7 +273,7 @@
         if (snapshotTimer != null) {
             snapshotTimer.cancel();
         }
-        if (!why.neverMade()) {
+        if (!why.neverConnected()) {
             tap.closed(config.number(), streamNumber, loop.now());
         }
         long waitNs = redial.onStreamEnded(wasUp);
--- a/src/main/java/rowanmoor/proxy/ForwardedRequest.java
+++ b/src/main/java/rowanmoor/proxy/ForwardedRequest.java
@@ -7,11 +7,11 @@
 import java.util.TreeSet;
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.http.ClientStream;
-import rowanmoor.http.Fields;
-import rowanmoor.http.Orca;
-import rowanmoor.http.Part;
+import rowanmoor.http.HttpFields;
+import rowanmoor.http.OrcaLoadReport;
+import rowanmoor.http.MessagePart;
 import rowanmoor.http.ServerStream;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Timer;
 
 /**
@@ -20,7 +20,7 @@
  * once the limit is exceeded. There is no retry after the response has begun: if the response breaks off, so
  * does the client's.
  */
-final class ForwardedRequest implements ServerStream.Body, ClientStream.Answer {
+final class ForwardedRequest implements ServerStream.BodyConsumer, ClientStream.ResponseHandler {
 
     /** A failed response up to this length is read and discarded before a retry, to keep its connection. */
     private static final long MAX_DISCARDED_BYTES = 1 << 16;
@@ -33,7 +33,7 @@
     private final Timer deadlineTimer;
     private List<ByteBuffer> replayBuffer = new ArrayList<>();
     private int replayBytes;
-    private Fields requestTrailers;
+    private HttpFields requestTrailers;
     private Timer tryTimer;
     private ClientStream stream;
     private Backend backend;
@@ -56,9 +56,9 @@
     }
 
     void start() {
-        exchange.to(this);
-        if (exchange.asked()) {
-            requestTrailers = new Fields();
+        exchange.setBodyConsumer(this);
+        if (exchange.isRequestComplete()) {
+            requestTrailers = new HttpFields();
         }
         startTry();
     }
@@ -99,12 +99,12 @@
                 retryOrFail(false, "no answer in time");
             });
         }
-        stream.ask(proxy.backendRequestHead(exchange.head(), backend, deadlineNs - proxy.now()), this);
+        stream.sendHead(proxy.backendRequestHead(exchange.head(), backend, deadlineNs - proxy.now()), this);
         for (ByteBuffer piece : replayBuffer == null ? List.<ByteBuffer>of() : replayBuffer) {
             stream.write(piece.duplicate());
         }
         if (requestTrailers != null) {
-            stream.end(requestTrailers);
+            stream.endRequest(requestTrailers);
         }
     }
 
@@ -156,8 +156,8 @@
         if (!finished) {
             markFinished();
             proxy.tallies().onUnanswered(cls);
-            if (exchange.begun()) {
-                exchange.breakOff();
+            if (exchange.hasResponseBegun()) {
+                exchange.abort();
             } else {
                 proxy.answerDirectly(exchange, status, why);
             }
@@ -218,7 +218,7 @@
     // ---- request content -----------------------------------------------------------------------------
 
     @Override
-    public void piece(ByteBuffer bytes) {
+    public void onRequestContent(ByteBuffer bytes) {
         lastProgressNs = proxy.now();
         if (backend == null && stream == null && replayBuffer == null) {
             return;
@@ -232,38 +232,38 @@
             }
         }
         if (stream != null && !stream.write(bytes)) {
-            exchange.pause(true);
+            exchange.setPaused(true);
         }
     }
 
     @Override
-    public void end(Fields trailers) {
+    public void onRequestEnd(HttpFields trailers) {
         requestTrailers = trailers;
         if (stream != null) {
-            stream.end(trailers);
+            stream.endRequest(trailers);
         }
     }
 
     // ---- response ------------------------------------------------------------------------------------
 
     @Override
-    public void interim(Part.ResponseHead head) {
+    public void onInterimHead(MessagePart.ResponseHead head) {
         exchange.interim(head);
     }
 
     @Override
-    public void head(Part.ResponseHead head) {
+    public void onResponseHead(MessagePart.ResponseHead head) {
         lastProgressNs = proxy.now();
         boolean neverRan = (head.status() == 503 || head.status() == 408)
                 && head.fields().get(Proxy.NEVER_RAN_FIELD) != null;
         responseGood = head.status() < 500 && !neverRan;
-        load = proxy.columns().parse(head.fields().get(Orca.FIELD));
+        load = proxy.columns().parse(head.fields().get(OrcaLoadReport.HEADER_NAME));
         if (!responseGood && mayRetry(neverRan)) {
             ClientStream failed = stream;
             Backend target = backend;
             stream = null;
             endTry(false, false);
-            discardResponse(failed, target, head.length());
+            discardResponse(failed, target, head.contentLength());
             startTry();
             return;
         }
@@ -276,8 +276,8 @@
             tryTimer = null;
         }
         ClientStream current = stream;
-        exchange.drained(() -> current.pause(false));
-        exchange.begin(Proxy.clientResponseHead(head));
+        exchange.onDrained(() -> current.setPaused(false));
+        exchange.beginResponse(Proxy.clientResponseHead(head));
     }
 
     /** Reads a response that is not forwarded to its end, or closes its connection if it is too long. */
@@ -286,33 +286,33 @@
             discarded.cancel();
             return;
         }
-        discarded.hand(new ClientStream.Answer() {
+        discarded.setResponseHandler(new ClientStream.ResponseHandler() {
             @Override
-            public void head(Part.ResponseHead head) { }
+            public void onResponseHead(MessagePart.ResponseHead head) { }
 
             @Override
-            public void content(ByteBuffer bytes) { }
+            public void onResponseContent(ByteBuffer bytes) { }
 
             @Override
-            public void whole(Fields trailers) {
+            public void onResponseEnd(HttpFields trailers) {
                 proxy.releaseConnection(target, discarded);
             }
 
             @Override
-            public void failed(boolean neverRan, Close why, String detail) { }
+            public void onFailure(boolean neverRan, CloseReason why, String detail) { }
         });
     }
 
     @Override
-    public void content(ByteBuffer bytes) {
+    public void onResponseContent(ByteBuffer bytes) {
         lastProgressNs = proxy.now();
         if (!exchange.write(bytes) && stream != null) {
-            stream.pause(true);
+            stream.setPaused(true);
         }
     }
 
     @Override
-    public void whole(Fields trailers) {
+    public void onResponseEnd(HttpFields trailers) {
         ClientStream completed = stream;
         Backend target = backend;
         stream = null;
@@ -322,13 +322,13 @@
             if (!responseGood) {
                 proxy.tallies().onUnanswered(cls);
             }
-            exchange.end(trailers);
+            exchange.endResponse(trailers);
         }
         proxy.releaseConnection(target, completed);
     }
 
     @Override
-    public void failed(boolean neverRan, Close why, String detail) {
+    public void onFailure(boolean neverRan, CloseReason why, String detail) {
         if (stream == null) {
             return;
         }
@@ -342,7 +342,7 @@
     }
 
     @Override
-    public void drained() {
-        exchange.pause(false);
+    public void onRequestDrained() {
+        exchange.setPaused(false);
     }
 }
--- a/src/main/java/rowanmoor/proxy/ForwardingPolicy.java
+++ b/src/main/java/rowanmoor/proxy/ForwardingPolicy.java
@@ -44,24 +44,24 @@
     /** Reads the policy's keys of a {@code proxy} block; absent keys take their defaults. */
     static ForwardingPolicy of(Section section) {
         ForwardingPolicy defaults = defaults();
-        int refusal = section.whole("refusal", 429, 503, defaults.refusalStatus);
+        int refusal = section.integer("refusal", 429, 503, defaults.refusalStatus);
         if (refusal != 429 && refusal != 503) {
-            section.problem("refusal", "must be 429 or 503");
+            section.addProblem("refusal", "must be 429 or 503");
         }
-        return new ForwardingPolicy(section.duration("head-within", "10ms", "1h", "10s"),
-                section.duration("move-within", "10ms", "1h", "30s"),
-                section.duration("whole-within", "10ms", "24h", "300s"),
-                section.whole("hold-most", 0, 1 << 30, defaults.maxReplayBytes),
-                section.whole("per-backend-most", 1, 1 << 20, defaults.maxConnectionsPerBackend),
-                section.whole("idle-most", 0, 1 << 20, defaults.maxIdlePerBackend),
-                section.whole("inflight-most", 1, 1 << 24, defaults.maxRequestsInFlight),
-                section.whole("per-client-most", 1, 1 << 20, defaults.maxConnectionsPerClient),
+        return new ForwardingPolicy(section.durationNs("head-within", "10ms", "1h", "10s"),
+                section.durationNs("move-within", "10ms", "1h", "30s"),
+                section.durationNs("whole-within", "10ms", "24h", "300s"),
+                section.integer("hold-most", 0, 1 << 30, defaults.maxReplayBytes),
+                section.integer("per-backend-most", 1, 1 << 20, defaults.maxConnectionsPerBackend),
+                section.integer("idle-most", 0, 1 << 20, defaults.maxIdlePerBackend),
+                section.integer("inflight-most", 1, 1 << 24, defaults.maxRequestsInFlight),
+                section.integer("per-client-most", 1, 1 << 20, defaults.maxConnectionsPerClient),
                 section.number("retry-budget", 0, 100, defaults.retryBudget), refusal,
-                section.whole("retry-after", 0, 3600, defaults.retryAfterSeconds),
-                section.duration("lease", "100ms", "24h", "30s"),
+                section.integer("retry-after", 0, 3600, defaults.retryAfterSeconds),
+                section.durationNs("lease", "100ms", "24h", "30s"),
                 section.has("safe-level") ? section.number("safe-level", 0, 1e9) : defaults.safeLevel,
-                section.text("deadline-field", defaults.deadlineField),
-                section.duration("stop-within", "0s", "1h", "10s"),
-                section.duration("home-after", "0s", "24h", "0s"));
+                section.string("deadline-field", defaults.deadlineField),
+                section.durationNs("stop-within", "0s", "1h", "10s"),
+                section.durationNs("home-after", "0s", "24h", "0s"));
     }
 }
--- a/src/main/java/rowanmoor/proxy/Proxy.java
+++ b/src/main/java/rowanmoor/proxy/Proxy.java
@@ -14,15 +14,15 @@
 import rowanmoor.discovery.Addresses;
 import rowanmoor.discovery.LoadColumns;
 import rowanmoor.http.ClientStream;
-import rowanmoor.http.Fields;
-import rowanmoor.http.Limits;
+import rowanmoor.http.HttpFields;
+import rowanmoor.http.MessageLimits;
 import rowanmoor.http.Message;
-import rowanmoor.http.Orca;
-import rowanmoor.http.Part;
+import rowanmoor.http.OrcaLoadReport;
+import rowanmoor.http.MessagePart;
 import rowanmoor.http.ServerStream;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 import rowanmoor.net.Loop;
 
 /**
@@ -33,7 +33,7 @@
 public final class Proxy implements ServerStream.Service {
 
     /** Field that a backend sets on a refusal: proof that it did nothing for this request. */
-    public static final String NEVER_RAN_FIELD = ServerStream.NEVER_RAN;
+    public static final String NEVER_RAN_FIELD = ServerStream.NEVER_RAN_FIELD;
     /** Field with the reason of an answer that the proxy gives itself. */
     public static final String REASON_FIELD = "x-rowanmoor";
     /** Field of requests to backends with the number of the proxy. */
@@ -63,7 +63,7 @@
     private final ReportQueue reports;
     private final ChannelClient channel;
     private final LoadColumns columns;
-    private final Limits limits = Limits.usual();
+    private final MessageLimits limits = MessageLimits.defaults();
     private final Loop.Listener listener;
     private final ConnectionPool<ClientStream> pool;
     private final Set<ServerStream> clients = new LinkedHashSet<>();
@@ -84,7 +84,7 @@
         this.router = router;
         this.tallies = new Tallies(loop.now());
         this.reports = new ReportQueue(tallies);
-        this.columns = new LoadColumns(config.site().columns());
+        this.columns = new LoadColumns(config.site().loadColumns());
         this.pool = new ConnectionPool<>(new ClientStreamOperations(), policy().maxConnectionsPerBackend(),
                 policy().maxIdlePerBackend());
         this.requestIdPrefix = config.number() + "-" + Long.toHexString(random.nextLong()) + "-";
@@ -92,7 +92,7 @@
         this.channel = new ChannelClient(loop, config, router, reports, random, tap,
                 () -> pool.closeIdleExcept(router::uses), this::completeStopIfReported);
         // A random first delay, so that proxies started together do not always report together.
-        loop.after((long) (config.site().period() * random.nextDouble()), this::sendReport);
+        loop.after((long) (config.site().reportIntervalNs() * random.nextDouble()), this::sendReport);
         loop.after(config.backendIdleTimeoutNs() / 4 + 1, this::closeIdleConnections);
         loop.after(TIMEOUT_CHECK_INTERVAL_NS, this::checkTimeouts);
         channel.connect();
@@ -110,12 +110,12 @@
     private static final class ClientStreamOperations implements ConnectionPool.Operations<ClientStream> {
         @Override
         public boolean isUsable(ClientStream connection) {
-            return connection.free();
+            return connection.isAvailable();
         }
 
         @Override
         public boolean isUsableAfterIdle(ClientStream connection) {
-            return connection.stillFree();
+            return connection.probeAvailable();
         }
 
         @Override
@@ -183,7 +183,7 @@
 
     private void answerRemaining() {
         List.copyOf(activeRequests).forEach(ForwardedRequest::stop);
-        List.copyOf(clients).forEach(ServerStream::endUnlessInWork);
+        List.copyOf(clients).forEach(ServerStream::closeIfIdle);
     }
 
     private void finishStopIfDone() {
@@ -277,36 +277,36 @@
 
     /** Answers a request without a backend. */
     void answerDirectly(ServerStream.Exchange exchange, int status, String why) {
-        exchange.answer(status, why + "\n", REASON_FIELD, why, "Content-Type", "text/plain");
+        exchange.respond(status, why + "\n", REASON_FIELD, why, "Content-Type", "text/plain");
     }
 
     /** The head to send to a backend; {@code remainingNs} is the time to the deadline. */
-    Part.RequestHead backendRequestHead(Part.RequestHead head, Backend backend, long remainingNs) {
-        Fields fields = endToEndFields(head.fields());
+    MessagePart.RequestHead backendRequestHead(MessagePart.RequestHead head, Backend backend, long remainingNs) {
+        HttpFields fields = endToEndFields(head.fields());
         fields.set("Host", backend.toString());
         fields.set(PROXY_NUMBER_FIELD, Integer.toString(config.number()));
-        fields.add("Via", "1." + head.minor() + " " + config.name());
+        fields.add("Via", "1." + head.minorVersion() + " " + config.name());
         if (fields.get(REQUEST_ID_FIELD) == null) {
             fields.set(REQUEST_ID_FIELD, requestIdPrefix + ++lastRequestId);
         }
         fields.set(policy().deadlineField(), Long.toString(Math.max(1, remainingNs / NS_PER_MS)));
-        return new Part.RequestHead(head.method(), head.target(), 1, fields, head.length());
+        return new MessagePart.RequestHead(head.method(), head.target(), 1, fields, head.contentLength());
     }
 
     /** The head to send to the client for a backend's response. */
-    static Part.ResponseHead clientResponseHead(Part.ResponseHead head) {
-        Fields fields = endToEndFields(head.fields());
+    static MessagePart.ResponseHead clientResponseHead(MessagePart.ResponseHead head) {
+        HttpFields fields = endToEndFields(head.fields());
         String length = head.fields().get("content-length");
-        if (head.length() == 0 && length != null) {
+        if (head.contentLength() == 0 && length != null) {
             fields.set("Content-Length", length); // in a response to HEAD, or a 304
         }
-        fields.remove(Orca.FIELD);
-        return new Part.ResponseHead(head.status(), head.reason(), 1, fields, head.length());
+        fields.remove(OrcaLoadReport.HEADER_NAME);
+        return new MessagePart.ResponseHead(head.status(), head.reason(), 1, fields, head.contentLength());
     }
 
     /** The fields without those that concern a single connection only (RFC 9110, 7.6.1). */
-    private static Fields endToEndFields(Fields all) {
-        Fields fields = all.copy();
+    private static HttpFields endToEndFields(HttpFields all) {
+        HttpFields fields = all.copy();
         String connectionOptions = all.get("connection", "");
         for (String name : connectionOptions.split(",")) {
             fields.remove(name.trim());
@@ -317,7 +317,7 @@
 
     // ---- requests ------------------------------------------------------------------------------------
 
-    private Handler accept(Connection connection) {
+    private ConnectionHandler accept(Connection connection) {
         InetAddress from = connection.remote().getAddress();
         int existing = connectionsByAddress.getOrDefault(from, 0);
         if (clients.size() >= config.maxClientConnections()
@@ -325,14 +325,14 @@
             return rejectedConnections < MAX_REJECTED_CONNECTIONS ? new RejectedClient() : null;
         }
         connectionsByAddress.put(from, existing + 1);
-        ServerStream.Patience timeouts = new ServerStream.Patience(policy().headTimeoutNs(),
+        ServerStream.Timeouts timeouts = new ServerStream.Timeouts(policy().headTimeoutNs(),
                 CLIENT_IDLE_FACTOR * config.backendIdleTimeoutNs());
         ServerStream stream = new ServerStream(loop, limits, timeouts, this) {
             @Override
-            public void closed(Connection itsConnection, Close why, String detail) {
+            public void onClose(Connection itsConnection, CloseReason why, String detail) {
                 clients.remove(this);
                 connectionsByAddress.computeIfPresent(from, (a, n) -> n == 1 ? null : n - 1);
-                super.closed(itsConnection, why, detail);
+                super.onClose(itsConnection, why, detail);
                 finishStopIfDone();
             }
         };
@@ -341,32 +341,32 @@
     }
 
     /** Answers a connection over the limit with 503, whatever it has sent, and closes it. */
-    private final class RejectedClient implements Handler {
+    private final class RejectedClient implements ConnectionHandler {
 
         RejectedClient() {
             rejectedConnections++;
         }
 
         @Override
-        public void opened(Connection connection) {
+        public void onOpen(Connection connection) {
             connection.send(Message.Response.of(503, "as many connections as may be\n", "Connection", "close",
                     REASON_FIELD, "as many connections as may be", NEVER_RAN_FIELD, "1").encode(false));
-            connection.end();
+            connection.closeGracefully();
         }
 
         @Override
-        public void received(Connection connection, ByteBuffer bytes) { }
+        public void onData(Connection connection, ByteBuffer bytes) { }
 
         @Override
-        public void closed(Connection connection, Close why, String detail) {
+        public void onClose(Connection connection, CloseReason why, String detail) {
             rejectedConnections--;
         }
     }
 
     @Override
-    public void begun(ServerStream.Exchange exchange) {
-        Part.RequestHead head = exchange.head();
-        int cls = config.site().classOf(head.path());
+    public void onRequest(ServerStream.Exchange exchange) {
+        MessagePart.RequestHead head = exchange.head();
+        int cls = config.site().classIndex(head.path());
         if (cls < 0) {
             answerDirectly(exchange, 404, "no class has this path");
             return;
@@ -390,7 +390,7 @@
             return;
         }
         ForwardedRequest request = new ForwardedRequest(this, cls, exchange, timeoutNs);
-        exchange.tag = request;
+        exchange.attachment = request;
         activeRequests.add(request);
         request.start();
     }
@@ -400,13 +400,13 @@
     }
 
     private void refuse(ServerStream.Exchange exchange, String why) {
-        exchange.answer(policy().refusalStatus(), why + "\n", REASON_FIELD, why, "Content-Type", "text/plain",
+        exchange.respond(policy().refusalStatus(), why + "\n", REASON_FIELD, why, "Content-Type", "text/plain",
                 "Retry-After", Integer.toString(policy().retryAfterSeconds()));
     }
 
     @Override
-    public void gone(ServerStream.Exchange exchange) {
-        if (exchange.tag instanceof ForwardedRequest request) {
+    public void onAborted(ServerStream.Exchange exchange) {
+        if (exchange.attachment instanceof ForwardedRequest request) {
             request.abandon();
         }
     }
@@ -426,6 +426,6 @@
 
     private void sendReport() {
         channel.sendReport();
-        loop.after(config.site().period(), this::sendReport);
+        loop.after(config.site().reportIntervalNs(), this::sendReport);
     }
 }
--- a/src/main/java/rowanmoor/proxy/ProxyConfig.java
+++ b/src/main/java/rowanmoor/proxy/ProxyConfig.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import rowanmoor.config.ConfigError;
+import rowanmoor.config.ConfigException;
 import rowanmoor.config.Section;
 import rowanmoor.config.Site;
 
@@ -37,7 +37,7 @@
      *
      * @throws ConfigError with all problems of the file
      */
-    public static List<ProxyConfig> read(Path file) throws ConfigError {
+    public static List<ProxyConfig> read(Path file) throws ConfigException {
         Section root = Section.read(file);
         Site site = Site.of(root);
         List<ProxyConfig> all = new ArrayList<>();
@@ -45,33 +45,33 @@
             all.add(read(section, site));
         }
         if (all.isEmpty()) {
-            root.problem("proxy", "is missing");
+            root.addProblem("proxy", "is missing");
         }
         if (all.stream().map(ProxyConfig::number).distinct().count() < all.size()) {
-            root.problem("proxy", "has the same number as another one");
+            root.addProblem("proxy", "has the same number as another one");
         }
-        root.finish();
-        root.check();
+        root.rejectUnknownKeys();
+        root.throwIfInvalid();
         return all;
     }
 
     private static ProxyConfig read(Section section, Site site) {
-        String zone = section.text("zone");
+        String zone = section.string("zone");
         if (!site.zones().contains(zone)) {
-            section.problem("zone", "is not a zone of the site: " + zone);
+            section.addProblem("zone", "is not a zone of the site: " + zone);
         }
-        int number = section.whole("number", 0, 65534);
-        ProxyConfig config = new ProxyConfig(site, number, section.text("name", "proxy-" + number),
-                Math.max(0, site.zones().indexOf(zone)), section.rate("rate", 0, 1e6, 10),
+        int number = section.integer("number", 0, 65534);
+        ProxyConfig config = new ProxyConfig(site, number, section.string("name", "proxy-" + number),
+                Math.max(0, site.zones().indexOf(zone)), section.ratePerSecond("rate", 0, 1e6, 10),
                 section.address("listen"), section.has("from") ? section.address("from") : null,
-                section.addresses("controllers", true), section.whole("first-controller", 0, 63, 0),
-                section.duration("redial", "10ms", "60s", "300ms"),
-                section.duration("silent-after", "200ms", "60s", "3s"),
+                section.addresses("controllers", true), section.integer("first-controller", 0, 63, 0),
+                section.durationNs("redial", "10ms", "60s", "300ms"),
+                section.durationNs("silent-after", "200ms", "60s", "3s"),
                 section.addresses("standing", true),
-                section.duration("idle-for", "100ms", "1h", "15s"),
-                section.duration("connect-within", "1ms", "60s", "250ms"),
-                section.whole("connections-most", 1, 1 << 20, 4096), ForwardingPolicy.of(section));
-        section.finish();
+                section.durationNs("idle-for", "100ms", "1h", "15s"),
+                section.durationNs("connect-within", "1ms", "60s", "250ms"),
+                section.integer("connections-most", 1, 1 << 20, 4096), ForwardingPolicy.of(section));
+        section.rejectUnknownKeys();
         return config;
     }
 }
--- a/src/main/java/rowanmoor/proxy/Router.java
+++ b/src/main/java/rowanmoor/proxy/Router.java
@@ -412,11 +412,11 @@
      */
     public Backend pick(int cls, Set<Backend> tried, long nowNs) {
         Candidates all = candidates(cls);
-        if (site.choice() == Site.Choice.ROUND) {
+        if (site.backendChoice() == Site.BackendChoice.ROUND_ROBIN) {
             return pickRoundRobin(all, tried, nowNs);
         }
         int picked = drawCandidate(all, tried, nowNs);
-        if (picked >= 0 && site.choice() == Site.Choice.TWO) {
+        if (picked >= 0 && site.backendChoice() == Site.BackendChoice.POWER_OF_TWO) {
             int other = drawCandidate(all, tried, nowNs);
             picked = all.states[other].triesInFlight < all.states[picked].triesInFlight ? other : picked;
         }
@@ -501,9 +501,9 @@
         BackendState state = backendState(backend);
         state.triesInFlight--;
         state.consecutiveFailures = good ? 0 : state.consecutiveFailures + 1;
-        if (site.ejects() > 0 && state.consecutiveFailures >= site.ejects()) {
+        if (site.ejectAfterFailures() > 0 && state.consecutiveFailures >= site.ejectAfterFailures()) {
             state.consecutiveFailures = 0;
-            state.ejectedUntilNs = nowNs + site.ejectFor();
+            state.ejectedUntilNs = nowNs + site.ejectNs();
         }
     }
 
@@ -534,7 +534,7 @@
     public boolean mayRetry(int cls, int tries, boolean neverRan, long remainingNs) {
         Frame.Level level = boundTables[cls].levels[cls] == null ? overallLevels[cls]
                 : boundTables[cls].levels[cls];
-        RetryPolicy order = level == null ? site.usualRetry() : level.retry();
+        RetryPolicy order = level == null ? site.retryPolicy() : level.retry();
         boolean safe = neverRan || isSafeToRepeat(cls);
         boolean ordered = switch (order) {
             case NEVER -> false;
@@ -568,9 +568,9 @@
     public long tryTimeoutNs(int cls) {
         Frame.Level level = boundTables[cls].levels[cls] == null ? overallLevels[cls]
                 : boundTables[cls].levels[cls];
-        RetryPolicy order = level == null ? site.usualRetry() : level.retry();
+        RetryPolicy order = level == null ? site.retryPolicy() : level.retry();
         boolean bounded = (order == RetryPolicy.ONCE || order == RetryPolicy.TWICE) && isSafeToRepeat(cls);
-        return bounded ? (long) (site.tryAims() * site.classes().get(cls).aim()) : 0;
+        return bounded ? (long) (site.tryTimeoutAims() * site.classes().get(cls).aim()) : 0;
     }
 
     /** Whether any class may still send to a backend. */
--- a/src/test/java/rowanmoor/proxy/ProxyFixture.java
+++ b/src/test/java/rowanmoor/proxy/ProxyFixture.java
@@ -9,12 +9,12 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.UnaryOperator;
-import rowanmoor.config.ConfigError;
+import rowanmoor.config.ConfigException;
 import rowanmoor.config.Section;
 import rowanmoor.config.Site;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 import rowanmoor.net.Loop;
 import rowanmoor.net.MemoryNet;
 
@@ -25,13 +25,13 @@
     static final long SECOND = 1000 * MS;
     static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     final MemoryNet net = new MemoryNet(SECOND, 5);
-    final Loop loop = net.loop(e -> {
+    final Loop loop = net.newLoop(e -> {
         throw new AssertionError(e);
     });
     final List<BackendConnection> backendConnections = new ArrayList<>();
 
     /** The backend's end of one accepted connection. */
-    final class BackendConnection implements Handler {
+    final class BackendConnection implements ConnectionHandler {
         private final int backend;
         final StringBuilder received = new StringBuilder();
         Connection connection;
@@ -44,12 +44,12 @@
         }
 
         @Override
-        public void received(Connection from, ByteBuffer bytes) {
+        public void onData(Connection from, ByteBuffer bytes) {
             received.append(StandardCharsets.ISO_8859_1.decode(bytes));
         }
 
         @Override
-        public void closed(Connection from, Close why, String detail) {
+        public void onClose(Connection from, CloseReason why, String detail) {
             closed = true;
         }
 
@@ -60,22 +60,22 @@
     }
 
     /** One client with its connection to the proxy. */
-    final class ClientConnection implements Handler {
+    final class ClientConnection implements ConnectionHandler {
         final StringBuilder received = new StringBuilder();
         final Connection connection;
         boolean closed;
 
         ClientConnection(Proxy proxy) {
-            connection = loop.connect(null, proxy.address(), Connection.Options.usual(), this);
+            connection = loop.connect(null, proxy.address(), Connection.Options.defaults(), this);
         }
 
         @Override
-        public void received(Connection from, ByteBuffer bytes) {
+        public void onData(Connection from, ByteBuffer bytes) {
             received.append(StandardCharsets.ISO_8859_1.decode(bytes));
         }
 
         @Override
-        public void closed(Connection from, Close why, String detail) {
+        public void onClose(Connection from, CloseReason why, String detail) {
             closed = true;
         }
 
@@ -103,17 +103,17 @@
 
     /** Starts a backend and returns its address. */
     InetSocketAddress startBackend(int number) throws IOException {
-        return loop.listen(ANY, Connection.Options.usual(), c -> new BackendConnection(number, c)).address();
+        return loop.listen(ANY, Connection.Options.defaults(), c -> new BackendConnection(number, c)).address();
     }
 
     /** An address that refuses connections. */
     InetSocketAddress refusingAddress() throws IOException {
-        Loop.Listener listener = loop.listen(ANY, Connection.Options.usual(), c -> null);
+        Loop.Listener listener = loop.listen(ANY, Connection.Options.defaults(), c -> null);
         listener.close();
         return listener.address();
     }
 
-    static Site site() throws ConfigError {
+    static Site site() throws ConfigException {
         return Site.of(Section.parse("test.kdl", """
                 site {
                     zones "a"
@@ -134,13 +134,13 @@
     }
 
     Proxy startProxy(UnaryOperator<ForwardingPolicy> policy, InetSocketAddress... standing)
-            throws IOException, ConfigError {
+            throws IOException, ConfigException {
         return Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(refusingAddress()), 0,
                 300 * MS, 3 * SECOND, List.of(standing), 15 * SECOND, 250 * MS, 1000,
                 policy.apply(ForwardingPolicy.defaults())), loop, new SplittableRandom(1), Tap.NONE);
     }
 
-    Proxy startProxy(InetSocketAddress... standing) throws IOException, ConfigError {
+    Proxy startProxy(InetSocketAddress... standing) throws IOException, ConfigException {
         return startProxy(c -> c, standing);
     }
 
--- a/src/test/java/rowanmoor/proxy/ProxyStopTest.java
+++ b/src/test/java/rowanmoor/proxy/ProxyStopTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import rowanmoor.config.ConfigError;
+import rowanmoor.config.ConfigException;
 import rowanmoor.net.Connection;
 import rowanmoor.net.Loop;
 
@@ -24,20 +24,20 @@
  */
 class ProxyStopTest extends ProxyFixture {
 
-    private final Loop proxyLoop = net.loop(e -> {
+    private final Loop proxyLoop = net.newLoop(e -> {
         throw new AssertionError(e);
     });
     private boolean stopped;
 
     /** A proxy on its own loop, which can be frozen while clients and backends go on. */
     private Proxy startProxyOnOwnLoop(ForwardingPolicy policy, InetSocketAddress... standing)
-            throws IOException, ConfigError {
+            throws IOException, ConfigException {
         return Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(refusingAddress()), 0, 300 * MS,
                 3 * SECOND, List.of(standing), 15 * SECOND, 250 * MS, 1000, policy), proxyLoop,
                 new SplittableRandom(1), Tap.NONE);
     }
 
-    private Proxy startProxyOnOwnLoop(InetSocketAddress... standing) throws IOException, ConfigError {
+    private Proxy startProxyOnOwnLoop(InetSocketAddress... standing) throws IOException, ConfigException {
         return startProxyOnOwnLoop(ForwardingPolicy.defaults(), standing);
     }
 
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void requestInTransitWhenStopBeginsIsServed() throws IOException, ConfigError {
+    void requestInTransitWhenStopBeginsIsServed() throws IOException, ConfigException {
         Proxy proxy = startProxyOnOwnLoop(startBackend(1));
         ClientConnection client = keepAliveClient(proxy);
         stop(proxy);
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void clientActiveAfterStopIsServedOnceMoreAndToldToClose() throws IOException, ConfigError {
+    void clientActiveAfterStopIsServedOnceMoreAndToldToClose() throws IOException, ConfigException {
         Proxy proxy = startProxyOnOwnLoop(startBackend(1));
         List<ClientConnection> clients = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
@@ -100,12 +100,12 @@
     }
 
     @Test
-    void connectionPendingAcceptWhenStopBeginsIsServed() throws IOException, ConfigError {
+    void connectionPendingAcceptWhenStopBeginsIsServed() throws IOException, ConfigException {
         Proxy proxy = startProxyOnOwnLoop(startBackend(1));
-        net.freeze(proxyLoop, true);
+        net.setFrozen(proxyLoop, true);
         ClientConnection client = new ClientConnection(proxy).send(getRequest("/p/1"));
         stop(proxy);
-        net.freeze(proxyLoop, false);
+        net.setFrozen(proxyLoop, false);
         net.runFor(20 * MS);
         assertEquals(1, backendConnections.size(), client.received.toString());
         backendConnections.get(0).send(OK);
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void clientWithStartedResponseIsServedOnceMore() throws IOException, ConfigError {
+    void clientWithStartedResponseIsServedOnceMore() throws IOException, ConfigException {
         Proxy proxy = startProxyOnOwnLoop(startBackend(1));
         ClientConnection client = new ClientConnection(proxy).send(getRequest("/p/1"));
         backendConnections.get(0).send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\no");
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void stopClosesIdleConnectionsInTimeAndCrossingRequestGetsNeverRan() throws IOException, ConfigError {
+    void stopClosesIdleConnectionsInTimeAndCrossingRequestGetsNeverRan() throws IOException, ConfigException {
         Proxy proxy = startProxyOnOwnLoop(startBackend(1));
         ClientConnection idle = keepAliveClient(proxy);
         ClientConnection crossing = keepAliveClient(proxy);
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void activeRequestsAreAnsweredAtStopTimeout() throws IOException, ConfigError {
+    void activeRequestsAreAnsweredAtStopTimeout() throws IOException, ConfigException {
         Proxy proxy = startProxyOnOwnLoop(policyWithStopTimeout(SECOND), startBackend(1));
         ClientConnection client = new ClientConnection(proxy).send(getRequest("/p/1"));
         ClientConnection slowHead = new ClientConnection(proxy).send("GET /p/2 HTTP/1.1\r\nHost");
@@ -161,7 +161,7 @@
     }
 
     @Test
-    void secondStopCallHasNoEffect() throws IOException, ConfigError {
+    void secondStopCallHasNoEffect() throws IOException, ConfigException {
         Proxy proxy = startProxyOnOwnLoop(startBackend(1));
         ClientConnection client = keepAliveClient(proxy);
         int[] times = new int[1];
@@ -176,7 +176,7 @@
 
     /** The idle time-out of a client connection is four times {@code idle-for}. */
     @Test
-    void requestCrossingIdleTimeoutGetsNeverRan() throws IOException, ConfigError {
+    void requestCrossingIdleTimeoutGetsNeverRan() throws IOException, ConfigException {
         Proxy proxy = startProxyOnOwnLoop(startBackend(1));
         ClientConnection idle = keepAliveClient(proxy);
         ClientConnection crossing = keepAliveClient(proxy);
@@ -193,7 +193,7 @@
 
     /** A client that sends nothing while it receives a long response is not idle. */
     @Test
-    void responseLongerThanIdleTimeoutIsNotCutOff() throws IOException, ConfigError {
+    void responseLongerThanIdleTimeoutIsNotCutOff() throws IOException, ConfigException {
         Proxy proxy = startProxyOnOwnLoop(startBackend(1));
         ClientConnection client = new ClientConnection(proxy).send(getRequest("/r/1"));
         backendConnections.get(0).send("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n");
@@ -206,7 +206,7 @@
     }
 
     @Test
-    void clientWithholdingRestOfRejectedRequestIsDisconnected() throws IOException, ConfigError {
+    void clientWithholdingRestOfRejectedRequestIsDisconnected() throws IOException, ConfigException {
         Proxy proxy = startProxyOnOwnLoop();
         ClientConnection client = new ClientConnection(proxy)
                 .send("POST /p/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nabc");
@@ -218,7 +218,7 @@
 
     /** Same where the response comes from a backend after the received part of the request. */
     @Test
-    void clientWithholdingRestAfterEarlyResponseIsDisconnected() throws IOException, ConfigError {
+    void clientWithholdingRestAfterEarlyResponseIsDisconnected() throws IOException, ConfigException {
         Proxy proxy = startProxyOnOwnLoop(startBackend(1));
         ClientConnection client = new ClientConnection(proxy)
                 .send("POST /p/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nabc");
@@ -231,7 +231,7 @@
     }
 
     @Test
-    void clientOverConnectionLimitGets503() throws IOException, ConfigError {
+    void clientOverConnectionLimitGets503() throws IOException, ConfigException {
         ForwardingPolicy defaults = ForwardingPolicy.defaults();
         Proxy proxy = startProxyOnOwnLoop(new ForwardingPolicy(defaults.headTimeoutNs(), defaults.stallTimeoutNs(),
                 defaults.responseTimeoutNs(), defaults.maxReplayBytes(), 9, 9, 99, 2, 1, 503, 1, defaults.leaseNs(), -1,
@@ -252,20 +252,20 @@
             excess.get(i).connection.pause();
         }
         net.runFor(10 * MS);
-        assertTrue(net.connectionsOf(proxyLoop) < 100, net.connectionsOf(proxyLoop) + " connections open");
+        assertTrue(net.openConnectionCount(proxyLoop) < 100, net.openConnectionCount(proxyLoop) + " connections open");
     }
 
     /** The close of a pooled connection has arrived but is unread when a request needs a connection. */
     @Test
-    void pooledConnectionWithUnreadCloseIsNotUsedForUnsafeRequest() throws IOException, ConfigError {
+    void pooledConnectionWithUnreadCloseIsNotUsedForUnsafeRequest() throws IOException, ConfigException {
         Proxy proxy = startProxyOnOwnLoop(startBackend(1));
         ClientConnection client = keepAliveClient(proxy);
         Connection kept = backendConnections.get(0).connection;
-        net.freeze(proxyLoop, true);
+        net.setFrozen(proxyLoop, true);
         client.send(getRequest("/p/2"));
-        kept.end();
+        kept.closeGracefully();
         net.runFor(20 * MS);
-        net.freeze(proxyLoop, false);
+        net.setFrozen(proxyLoop, false);
         net.runFor(20 * MS);
         assertEquals(2, backendConnections.size(), client.received.toString());
         backendConnections.get(1).send(OK);
@@ -274,7 +274,7 @@
 
     /** A backend that closes an idle connection may state that a crossing request never ran, so that it can be retried. */
     @Test
-    void neverRanTimeoutFromBackendIsRetried() throws IOException, ConfigError {
+    void neverRanTimeoutFromBackendIsRetried() throws IOException, ConfigException {
         Proxy proxy = startProxyOnOwnLoop(startBackend(1), startBackend(2));
         ClientConnection client = new ClientConnection(proxy).send(getRequest("/p/1"));
         backendConnections.get(0).send("HTTP/1.1 408 Request Timeout\r\nX-Never-Ran: 1\r\nConnection: close\r\n"
--- a/src/test/java/rowanmoor/proxy/ProxyTest.java
+++ b/src/test/java/rowanmoor/proxy/ProxyTest.java
@@ -18,15 +18,15 @@
 import rowanmoor.channel.Frame;
 import rowanmoor.channel.FrameReader;
 import rowanmoor.channel.ReportReceiver;
-import rowanmoor.config.ConfigError;
+import rowanmoor.config.ConfigException;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 
 /** Tests how a proxy handles requests, responses, limits and its controller stream. */
 class ProxyTest extends ProxyFixture {
 
     @Test
-    void requestAndResponseAreForwardedAndConnectionsKept() throws IOException, ConfigError {
+    void requestAndResponseAreForwardedAndConnectionsKept() throws IOException, ConfigException {
         Proxy proxy = startProxy(startBackend(1));
         ClientConnection client = new ClientConnection(proxy)
                 .send(getRequest("/r/1", "X-Request-Id: 7\r\nConnection: x-hop\r\nX-Hop: 1\r\n"));
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void slowClientAppliesBackpressureToLargeResponse() throws IOException, ConfigError {
+    void slowClientAppliesBackpressureToLargeResponse() throws IOException, ConfigException {
         Proxy proxy = startProxy(startBackend(1));
         ClientConnection client = new ClientConnection(proxy).send(getRequest("/r/1"));
         client.connection.pause();
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void backendConnectionPausedByLastBodyPartIsResumedForNextResponse() throws IOException, ConfigError {
+    void backendConnectionPausedByLastBodyPartIsResumedForNextResponse() throws IOException, ConfigException {
         for (int size = 40_000; size <= 400_000; size += 20_000) {
             backendConnections.clear();
             Proxy proxy = startProxy(startBackend(1));
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void slowBackendAppliesBackpressureToLargeRequest() throws IOException, ConfigError {
+    void slowBackendAppliesBackpressureToLargeRequest() throws IOException, ConfigException {
         Proxy proxy = startProxy(startBackend(1));
         ClientConnection client = new ClientConnection(proxy)
                 .send("POST /p/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 8000000\r\n\r\n");
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void chunksTrailersAndInterimResponsesAreForwarded() throws IOException, ConfigError {
+    void chunksTrailersAndInterimResponsesAreForwarded() throws IOException, ConfigException {
         Proxy proxy = startProxy(startBackend(1));
         ClientConnection client = new ClientConnection(proxy)
                 .send("POST /r/1 HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\n" + "Transfer-Encoding: chunked\r\n\r\n");
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void headResponseHasLengthAndNoContent() throws IOException, ConfigError {
+    void headResponseHasLengthAndNoContent() throws IOException, ConfigException {
         Proxy proxy = startProxy(startBackend(1));
         ClientConnection client = new ClientConnection(proxy).send("HEAD /r/1 HTTP/1.1\r\nHost: h\r\n\r\n");
         backendConnections.get(0).send("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n");
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void rejectedExpectContinueCannotTurnNextRequestIntoContent() throws IOException, ConfigError {
+    void rejectedExpectContinueCannotTurnNextRequestIntoContent() throws IOException, ConfigException {
         Proxy proxy = startProxy();
         ClientConnection client = new ClientConnection(proxy).send("POST /p/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 40\r\n"
                 + "Expect: 100-continue\r\n\r\n");
@@ -164,7 +164,7 @@
     }
 
     @Test
-    void http10ClientGetsUnchunkedContentAndClose() throws IOException, ConfigError {
+    void http10ClientGetsUnchunkedContentAndClose() throws IOException, ConfigException {
         Proxy proxy = startProxy(startBackend(1));
         ClientConnection client = new ClientConnection(proxy).send("GET /r/1 HTTP/1.0\r\nHost: h\r\n\r\n");
         backendConnections.get(0).send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n");
@@ -174,7 +174,7 @@
 
     @Test
     void refusedConnectionIsRetriedEvenForUnsafeClass()
-            throws IOException, ConfigError {
+            throws IOException, ConfigException {
         Proxy proxy = startProxy(refusingAddress(), startBackend(2));
         for (int i = 0; i < 4; i++) {
             ClientConnection client = new ClientConnection(proxy)
@@ -187,7 +187,7 @@
     }
 
     @Test
-    void resetAfterWriteIsRetriedForSafeClassOnly() throws IOException, ConfigError {
+    void resetAfterWriteIsRetriedForSafeClassOnly() throws IOException, ConfigException {
         Proxy proxy = startProxy(startBackend(1), startBackend(2));
         ClientConnection unsafe = new ClientConnection(proxy).send(getRequest("/p/1"));
         backendConnections.get(0).connection.reset("test");
@@ -203,7 +203,7 @@
     }
 
     @Test
-    void closeOfPooledConnectionDuringWriteIsNotRetriedForUnsafeClass() throws IOException, ConfigError {
+    void closeOfPooledConnectionDuringWriteIsNotRetriedForUnsafeClass() throws IOException, ConfigException {
         Proxy proxy = startProxy(startBackend(1), startBackend(2));
         new ClientConnection(proxy).send(getRequest("/r/1"));
         backendConnections.get(0).send(OK);
@@ -212,14 +212,14 @@
         ClientConnection client = new ClientConnection(proxy).send(getRequest("/p/3"));
         BackendConnection used = backendConnections.get(0).received.toString().contains("/p/3")
                 ? backendConnections.get(0) : backendConnections.get(1);
-        used.connection.end();
+        used.connection.closeGracefully();
         net.runFor(50 * MS);
         assertTrue(client.received.toString().startsWith("HTTP/1.1 502"), client.received.toString());
         assertEquals(2, backendConnections.size());
     }
 
     @Test
-    void responseBeforeWholeRequestClosesBackendConnectionOnly() throws IOException, ConfigError {
+    void responseBeforeWholeRequestClosesBackendConnectionOnly() throws IOException, ConfigException {
         Proxy proxy = startProxy(startBackend(1));
         ClientConnection client = new ClientConnection(proxy)
                 .send("POST /r/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nabc");
@@ -233,7 +233,7 @@
     }
 
     @Test
-    void unsolicitedResponsesAreNotForwarded() throws IOException, ConfigError {
+    void unsolicitedResponsesAreNotForwarded() throws IOException, ConfigException {
         Proxy proxy = startProxy(startBackend(1));
         ClientConnection first = new ClientConnection(proxy).send(getRequest("/r/1"));
         backendConnections.get(0).send(OK + "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nforged");
@@ -249,7 +249,7 @@
     }
 
     @Test
-    void silentBackendYields504AtDeadline() throws IOException, ConfigError {
+    void silentBackendYields504AtDeadline() throws IOException, ConfigException {
         Proxy proxy = startProxy(startBackend(1));
         ClientConnection client = new ClientConnection(proxy).send(getRequest("/p/1"));
         net.runFor(1900 * MS);
@@ -261,7 +261,7 @@
     }
 
     @Test
-    void clientDeadlineIsHonouredAndForwardedWithElapsedTimeDeducted() throws IOException, ConfigError {
+    void clientDeadlineIsHonouredAndForwardedWithElapsedTimeDeducted() throws IOException, ConfigException {
         Proxy proxy = startProxy(startBackend(1));
         ClientConnection client = new ClientConnection(proxy).send(getRequest("/p/1", "X-Deadline-Ms: 300\r\n"));
         String heard = backendConnections.get(0).received.toString();
@@ -274,7 +274,7 @@
     }
 
     @Test
-    void clientDisconnectCancelsTry() throws IOException, ConfigError {
+    void clientDisconnectCancelsTry() throws IOException, ConfigException {
         Proxy proxy = startProxy(startBackend(1));
         ClientConnection client = new ClientConnection(proxy).send(getRequest("/r/1"));
         client.connection.reset("test");
@@ -285,7 +285,7 @@
     }
 
     @Test
-    void truncatedResponseClosesClientConnection() throws IOException, ConfigError {
+    void truncatedResponseClosesClientConnection() throws IOException, ConfigException {
         Proxy proxy = startProxy(startBackend(1), startBackend(2));
         ClientConnection client = new ClientConnection(proxy).send(getRequest("/r/1"));
         backendConnections.get(0).send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc");
@@ -296,7 +296,7 @@
     }
 
     @Test
-    void slowRequestHeadTimesOutWithoutAffectingOthers() throws IOException, ConfigError {
+    void slowRequestHeadTimesOutWithoutAffectingOthers() throws IOException, ConfigException {
         Proxy proxy = startProxy(startBackend(1));
         ClientConnection slow = new ClientConnection(proxy);
         String head = getRequest("/r/1");
@@ -311,7 +311,7 @@
     }
 
     @Test
-    void ambiguousRequestFramingNeverReachesBackend() throws IOException, ConfigError {
+    void ambiguousRequestFramingNeverReachesBackend() throws IOException, ConfigException {
         Proxy proxy = startProxy(startBackend(1));
         for (String framing : List.of("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
                 "Content-Length: 5\r\nContent-Length: 6\r\n", "Transfer-Encoding: chunked, identity\r\n",
@@ -326,7 +326,7 @@
     }
 
     @Test
-    void emptyTableYields503AtOnce() throws IOException, ConfigError {
+    void emptyTableYields503AtOnce() throws IOException, ConfigException {
         Proxy proxy = startProxy();
         ClientConnection client = new ClientConnection(proxy).send(getRequest("/r/1"));
         assertTrue(client.received.toString().startsWith("HTTP/1.1 503"), client.received.toString());
@@ -334,7 +334,7 @@
     }
 
     @Test
-    void requestAndConnectionLimitsAreEnforced() throws IOException, ConfigError {
+    void requestAndConnectionLimitsAreEnforced() throws IOException, ConfigException {
         ForwardingPolicy defaults = ForwardingPolicy.defaults();
         Proxy proxy = startProxy(c -> new ForwardingPolicy(defaults.headTimeoutNs(), defaults.stallTimeoutNs(),
                 defaults.responseTimeoutNs(), defaults.maxReplayBytes(), 2, 2, 3, 5, 1, 429, 7,
@@ -352,7 +352,7 @@
     }
 
     @Test
-    void stoppingProxyFinishesActiveRequestsAndAcceptsNoMore() throws IOException, ConfigError {
+    void stoppingProxyFinishesActiveRequestsAndAcceptsNoMore() throws IOException, ConfigException {
         Proxy proxy = startProxy(startBackend(1));
         ClientConnection client = new ClientConnection(proxy).send(getRequest("/r/1"));
         ClientConnection idle = new ClientConnection(proxy);
@@ -373,7 +373,7 @@
     }
 
     @Test
-    void tenThousandIdleClientsDoNotDelayRequests() throws IOException, ConfigError {
+    void tenThousandIdleClientsDoNotDelayRequests() throws IOException, ConfigException {
         ForwardingPolicy defaults = ForwardingPolicy.defaults();
         Proxy proxy = Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(refusingAddress()), 0,
                 300 * MS, 3 * SECOND, List.of(startBackend(1)), 15 * SECOND, 250 * MS, 20_000, defaults), loop,
@@ -392,7 +392,7 @@
     private final ReportReceiver receiver = new ReportReceiver();
 
     /** A backend that counts requests and picks its reaction to each at random. */
-    private final class RandomBackend implements Handler {
+    private final class RandomBackend implements ConnectionHandler {
         private final SplittableRandom random;
         private final long[] requestCount;
         private final StringBuilder received = new StringBuilder();
@@ -403,7 +403,7 @@
         }
 
         @Override
-        public void received(Connection from, ByteBuffer bytes) {
+        public void onData(Connection from, ByteBuffer bytes) {
             received.append(StandardCharsets.ISO_8859_1.decode(bytes));
             for (int end = received.indexOf("\r\n\r\n"); end >= 0; end = received.indexOf("\r\n\r\n")) {
                 received.delete(0, end + 4);
@@ -420,7 +420,7 @@
     }
 
     /** A controller that binds no table and sums the reported counts, each numbered report once. */
-    private final class ReportCollector implements Handler {
+    private final class ReportCollector implements ConnectionHandler {
         private final FrameReader reader = new FrameReader(ChannelLimits.defaults());
         private final long[] totals;
         private int proxy;
@@ -430,7 +430,7 @@
         }
 
         @Override
-        public void received(Connection from, ByteBuffer bytes) {
+        public void onData(Connection from, ByteBuffer bytes) {
             try {
                 while (bytes.hasRemaining()) {
                     Frame frame = reader.next(bytes);
@@ -464,11 +464,11 @@
     }
 
     @Test
-    void proxyReturnsToFirstControllerOnceItIsReachable() throws IOException, ConfigError {
+    void proxyReturnsToFirstControllerOnceItIsReachable() throws IOException, ConfigException {
         ForwardingPolicy defaults = ForwardingPolicy.defaults();
         InetSocketAddress home = refusingAddress();
         int[] joined = new int[2];
-        InetSocketAddress other = loop.listen(ANY, Connection.Options.usual(), c -> {
+        InetSocketAddress other = loop.listen(ANY, Connection.Options.defaults(), c -> {
             joined[1]++;
             return new ReportCollector(new long[4]);
         }).address();
@@ -480,7 +480,7 @@
         net.runFor(20 * SECOND);
         assertTrue(proxy.isJoined());
         assertEquals(1, joined[1], "the proxy stays while its first controller is unreachable");
-        loop.listen(home, Connection.Options.usual(), c -> {
+        loop.listen(home, Connection.Options.defaults(), c -> {
             joined[0]++;
             return new ReportCollector(new long[4]);
         });
@@ -493,13 +493,13 @@
     }
 
     @Test
-    void reportedCountsMatchClientsAndBackendsExactly() throws IOException, ConfigError {
+    void reportedCountsMatchClientsAndBackendsExactly() throws IOException, ConfigException {
         SplittableRandom random = new SplittableRandom(3);
         long[] requestCount = new long[1];
         long[] totals = new long[4];
         InetSocketAddress[] backends = new InetSocketAddress[3];
         for (int b = 0; b < 3; b++) {
-            backends[b] = loop.listen(ANY, Connection.Options.usual(),
+            backends[b] = loop.listen(ANY, Connection.Options.defaults(),
                     c -> new RandomBackend(random.split(), requestCount)).address();
         }
         InetSocketAddress controller = refusingAddress();
@@ -513,7 +513,7 @@
             client.connection.send(bytes(getRequest((i % 2 == 0 ? "/r/" : "/p/") + i)));
             net.runFor(10 * MS);
             if (i == 300) { // unreachable until now: counts wait at the proxy
-                loop.listen(controller, Connection.Options.usual().idleAfter(60 * SECOND), c -> new ReportCollector(totals));
+                loop.listen(controller, Connection.Options.defaults().idleAfter(60 * SECOND), c -> new ReportCollector(totals));
             }
         }
         net.runFor(2100 * MS);
@@ -530,7 +530,7 @@
     }
 
     @Test
-    void withoutAnotherBackendErrorIsForwardedAndNoRetryCreditSpent() throws IOException, ConfigError {
+    void withoutAnotherBackendErrorIsForwardedAndNoRetryCreditSpent() throws IOException, ConfigException {
         ForwardingPolicy defaults = ForwardingPolicy.defaults();
         InetSocketAddress only = startBackend(1);
         Router[] routers = new Router[1];
@@ -547,7 +547,7 @@
     }
 
     @Test
-    void requestRefusedByInFlightLimitUsesNoAdmissionToken() throws IOException, ConfigError {
+    void requestRefusedByInFlightLimitUsesNoAdmissionToken() throws IOException, ConfigException {
         ForwardingPolicy defaults = ForwardingPolicy.defaults();
         InetSocketAddress backend = startBackend(1);
         Proxy proxy = Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(refusingAddress()), 0, 300 * MS,
@@ -572,17 +572,17 @@
      * Sends 80 requests whose clients disconnect at random times and returns counts: requests with a whole head, good
      * responses, requests at backends, then the reported requests, failed requests, tries and failed tries.
      */
-    private long[] runWithCancellations(long seed, boolean streamsBreak) throws IOException, ConfigError {
+    private long[] runWithCancellations(long seed, boolean streamsBreak) throws IOException, ConfigException {
         SplittableRandom random = new SplittableRandom(seed);
         long[] requestCount = new long[1];
         long[] totals = new long[4];
         InetSocketAddress[] backends = new InetSocketAddress[3];
         for (int b = 0; b < 3; b++) {
-            backends[b] = loop.listen(ANY, Connection.Options.usual(),
+            backends[b] = loop.listen(ANY, Connection.Options.defaults(),
                     c -> new RandomBackend(random.split(), requestCount)).address();
         }
         List<Connection> streams = new ArrayList<>();
-        InetSocketAddress controller = loop.listen(ANY, Connection.Options.usual(), c -> {
+        InetSocketAddress controller = loop.listen(ANY, Connection.Options.defaults(), c -> {
             streams.add(c);
             return new ReportCollector(totals);
         }).address();
@@ -623,7 +623,7 @@
     }
 
     @Test
-    void countsAddUpAtWhateverPointClientsDisconnect() throws IOException, ConfigError {
+    void countsAddUpAtWhateverPointClientsDisconnect() throws IOException, ConfigException {
         for (long seed = 1; seed <= 25; seed++) {
             long[] counts = runWithCancellations(seed, false);
             assertEquals(counts[0], counts[3], "requests with a complete head, seed " + seed);
@@ -639,7 +639,7 @@
      * Reports are numbered and sent again until they are acknowledged.
      */
     @Test
-    void countsAreExactWhenStreamsBreakWithReportInTransit() throws IOException, ConfigError {
+    void countsAreExactWhenStreamsBreakWithReportInTransit() throws IOException, ConfigException {
         for (long seed = 1; seed <= 10; seed++) {
             long[] counts = runWithCancellations(seed, true);
             assertEquals(counts[0], counts[3], "requests, seed " + seed);
@@ -647,12 +647,12 @@
     }
 
     @Test
-    void tapStopsOnFullDiskAndStreamContinues() throws IOException, ConfigError {
+    void tapStopsOnFullDiskAndStreamContinues() throws IOException, ConfigException {
         java.nio.file.Path full = java.nio.file.Path.of("/dev/full"); // every write to it fails with "no space left"
         org.junit.jupiter.api.Assumptions.assumeTrue(java.nio.file.Files.exists(full));
         TapFile tap = new TapFile(full);
         long[] totals = new long[4];
-        InetSocketAddress controller = loop.listen(ANY, Connection.Options.usual(),
+        InetSocketAddress controller = loop.listen(ANY, Connection.Options.defaults(),
                 c -> new ReportCollector(totals)).address();
         Proxy proxy = Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(controller), 0, 300 * MS,
                 60 * SECOND, List.of(startBackend(1)), 15 * SECOND, 250 * MS, 5000, ForwardingPolicy.defaults()), loop,
@@ -665,21 +665,21 @@
     }
 
     @Test
-    void snapshotRequestRefusedByFullQueueIsRepeated() throws IOException, ConfigError {
+    void snapshotRequestRefusedByFullQueueIsRepeated() throws IOException, ConfigException {
         Connection[] stream = new Connection[1];
         int[] snapshotRequests = new int[1];
-        InetSocketAddress controller = loop.listen(ANY, Connection.Options.usual().bound(new rowanmoor.net.Bound(1 << 24,
-                1 << 20, rowanmoor.net.Bound.Policy.REFUSE)), c -> new Handler() {
+        InetSocketAddress controller = loop.listen(ANY, Connection.Options.defaults().bound(new rowanmoor.net.WriteLimit(1 << 24,
+                1 << 20, rowanmoor.net.WriteLimit.OverflowPolicy.REFUSE)), c -> new ConnectionHandler() {
                     private final FrameReader reader = new FrameReader(ChannelLimits.defaults());
 
                     @Override
-                    public void opened(Connection from) {
+                    public void onOpen(Connection from) {
                         stream[0] = from;
                         from.send(Codec.encode(new Frame.Snapshot(1, 0, 0, 0, List.of(), List.of(), List.of(), List.of())));
                     }
 
                     @Override
-                    public void received(Connection from, ByteBuffer bytes) {
+                    public void onData(Connection from, ByteBuffer bytes) {
                         try {
                             while (bytes.hasRemaining()) {
                                 snapshotRequests[0] += reader.next(bytes) instanceof Frame.Resync ? 1 : 0;
--- a/src/test/java/rowanmoor/proxy/ReportQueueTest.java
+++ b/src/test/java/rowanmoor/proxy/ReportQueueTest.java
@@ -17,9 +17,9 @@
 import rowanmoor.channel.Frame;
 import rowanmoor.channel.FrameReader;
 import rowanmoor.channel.ReportReceiver;
-import rowanmoor.config.ConfigError;
+import rowanmoor.config.ConfigException;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 
 /** Tests report acknowledgement between a proxy and scripted controllers that use the product's report receiver. */
 class ReportQueueTest extends ProxyFixture {
@@ -37,15 +37,15 @@
         private long reportedRequests;
 
         ScriptedController() throws IOException {
-            address = loop.listen(ANY, Connection.Options.usual(), c -> new ControllerStream()).address();
+            address = loop.listen(ANY, Connection.Options.defaults(), c -> new ControllerStream()).address();
         }
 
-        private final class ControllerStream implements Handler {
+        private final class ControllerStream implements ConnectionHandler {
             private final FrameReader reader = new FrameReader(ChannelLimits.defaults());
             private int proxy;
 
             @Override
-            public void received(Connection from, ByteBuffer bytes) {
+            public void onData(Connection from, ByteBuffer bytes) {
                 try {
                     while (bytes.hasRemaining() && from.isOpen()) {
                         Frame frame = reader.next(bytes);
@@ -79,7 +79,7 @@
             private void join(Connection from, Frame.Hello hello) {
                 if (hello.protocolVersion() > supportedProtocol) {
                     from.send(Codec.encode(new Frame.Goodbye(Frame.Reason.VERSION, "too new")));
-                    from.end();
+                    from.closeGracefully();
                     return;
                 }
                 proxy = hello.proxy();
@@ -102,7 +102,7 @@
         return report.usages().stream().mapToLong(Frame.Use::requests).sum();
     }
 
-    private Proxy startJoinedProxy(ScriptedController... controllers) throws IOException, ConfigError {
+    private Proxy startJoinedProxy(ScriptedController... controllers) throws IOException, ConfigException {
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (ScriptedController controller : controllers) {
             addresses.add(controller.address);
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void reportsUnacknowledgedAtStreamBreakAreResentAndCountOnce() throws IOException, ConfigError {
+    void reportsUnacknowledgedAtStreamBreakAreResentAndCountOnce() throws IOException, ConfigException {
         ScriptedController controller = new ScriptedController();
         Proxy proxy = startJoinedProxy(controller);
         for (int round = 0; round < 10; round++) {
@@ -141,7 +141,7 @@
 
     /** The acknowledgement is lost, not the report, which is sent again and must not be counted again. */
     @Test
-    void reportWithLostAcknowledgementIsResentAndCountsOnce() throws IOException, ConfigError {
+    void reportWithLostAcknowledgementIsResentAndCountsOnce() throws IOException, ConfigException {
         ScriptedController controller = new ScriptedController();
         Proxy proxy = startJoinedProxy(controller);
         sendRequests(proxy, 3);
@@ -157,7 +157,7 @@
      * A count at both controllers looks like a little more load for one period; a count at neither would hide load.
      */
     @Test
-    void proxyResendsUnacknowledgedReportsToNextController() throws IOException, ConfigError {
+    void proxyResendsUnacknowledgedReportsToNextController() throws IOException, ConfigException {
         ScriptedController first = new ScriptedController();
         ScriptedController second = new ScriptedController();
         Proxy proxy = startJoinedProxy(first, second);
@@ -175,7 +175,7 @@
     }
 
     @Test
-    void restartedControllerGetsUnacknowledgedReports() throws IOException, ConfigError {
+    void restartedControllerGetsUnacknowledgedReports() throws IOException, ConfigException {
         ScriptedController controller = new ScriptedController();
         Proxy proxy = startJoinedProxy(controller);
         sendRequests(proxy, 4);
@@ -191,7 +191,7 @@
     }
 
     @Test
-    void unacknowledgedReportsAreBoundedAndNoCountIsLost() throws IOException, ConfigError {
+    void unacknowledgedReportsAreBoundedAndNoCountIsLost() throws IOException, ConfigException {
         ScriptedController controller = new ScriptedController();
         Proxy proxy = startJoinedProxy(controller);
         controller.acknowledges = false;
@@ -207,7 +207,7 @@
     }
 
     @Test
-    void oldProtocolControllerGetsUnnumberedReports() throws IOException, ConfigError {
+    void oldProtocolControllerGetsUnnumberedReports() throws IOException, ConfigException {
         ScriptedController old = new ScriptedController();
         old.supportedProtocol = Frame.MIN_PROTOCOL_VERSION;
         Proxy proxy = Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(old.address), 0, 300 * MS,
@@ -228,7 +228,7 @@
     }
 
     @Test
-    void acknowledgementOfUnsentReportEndsStream() throws IOException, ConfigError {
+    void acknowledgementOfUnsentReportEndsStream() throws IOException, ConfigException {
         ScriptedController controller = new ScriptedController();
         startJoinedProxy(controller);
         controller.acknowledge(controller.newest(), 5);
@@ -237,7 +237,7 @@
     }
 
     @Test
-    void stoppingProxyWaitsBoundedTimeForLastAcknowledgement() throws IOException, ConfigError {
+    void stoppingProxyWaitsBoundedTimeForLastAcknowledgement() throws IOException, ConfigException {
         for (boolean answered : new boolean[] {true, false}) {
             ScriptedController controller = new ScriptedController();
             Proxy proxy = startJoinedProxy(controller);
--- a/src/test/java/rowanmoor/proxy/RouterTest.java
+++ b/src/test/java/rowanmoor/proxy/RouterTest.java
@@ -14,7 +14,7 @@
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.RetryPolicy;
 import rowanmoor.channel.Frame;
-import rowanmoor.config.ConfigError;
+import rowanmoor.config.ConfigException;
 import rowanmoor.config.Site;
 
 /** Tests routing state and decisions of a proxy. Class 0 is safe to repeat, class 1 is not. */
@@ -28,7 +28,7 @@
     private Router router;
 
     @BeforeEach
-    void createRouter() throws ConfigError {
+    void createRouter() throws ConfigException {
         site = ProxyConfig.read(Path.of("conf/proxy.kdl")).get(0).site();
         router = new Router(site, List.of(A, B), new SplittableRandom(1), 0);
     }
@@ -151,13 +151,13 @@
 
     @Test
     void backendWithConsecutiveFailuresIsEjectedWhileOthersExist() {
-        for (int i = 0; i < site.ejects(); i++) {
+        for (int i = 0; i < site.ejectAfterFailures(); i++) {
             router.onTrySent(A);
             router.onTryEnded(A, false, SECOND);
         }
         assertEquals(Set.of(B), picks(0));
         assertEquals(A, router.pick(0, Set.of(B), SECOND), "an ejected backend is used if there is no other");
-        assertTrue(router.pick(0, Set.of(B), SECOND + site.ejectFor()) == A);
+        assertTrue(router.pick(0, Set.of(B), SECOND + site.ejectNs()) == A);
     }
 
     @Test
