--- a/src/main/java/rowanmoor/proxy/Router.java
+++ b/src/main/java/rowanmoor/proxy/Router.java
@@ -16,39 +16,41 @@
 import rowanmoor.config.Site;
 
 /**
- * What a proxy holds of its tables, and the choices that it makes by them: what is let in, which line is
- * picked, whether a try may be followed by another. No I/O; time and randomness are passed in.
+ * Routing state of a proxy: holds the tables published by the controller and decides which requests are
+ * admitted, which backend serves a try, and whether a failed try may be retried. Does no I/O; time and
+ * randomness are passed in.
  *
- * <p>Holding: what came last stays in force until it is replaced, whatever becomes of the stream. A new
- * stream begins with a snapshot; one without bindings changes nothing. The first table that a stream binds
- * ends withdrawals from streams before it.
+ * <p>State received last stays in force until it is replaced, even when the stream ends. A new stream
+ * begins with a snapshot; a snapshot without bindings changes nothing. The first table that a stream binds
+ * clears the withdrawals of earlier streams.
  */
 public class Router {
 
-    /** What became of a message. */
+    /** Outcome of applying an update. */
     public enum UpdateResult {
-        /** It is in force; its marks are to be answered. */
+        /** The update is in force; its marks must be acknowledged. */
         APPLIED,
-        /** It does not follow on what is held: a snapshot must be asked for. */
+        /** The update does not follow the current version: a snapshot must be requested. */
         GAP,
-        /** A snapshot has been asked for, and this came before it. */
+        /** The update arrived before the snapshot that the stream is waiting for. */
         SKIPPED
     }
 
-    /** Part of a second's level that may be used at once after a silence; one request always may. */
-    private static final double BURST = 0.25;
-    /** No try follows with less of the deadline left than this part of it. */
-    private static final double LEAST_LEFT = 0.1;
-    private static final double SECOND = 1e9;
-    /** So many backends may be remembered beside the tables before those that no table names are let go. */
-    private static final int FORGET_FROM = 1024;
-    /** Tries that may follow at once after a quiet time, from a budget that is a part of first tries. */
-    private static final double BUDGET_MOST = 10;
-    /** Draws that may meet a line that is shunned or was tried, before all lines are looked through. */
-    private static final int DRAWS_MOST = 8;
+    /** Seconds of a level's rate that may be used at once after an idle time; one request always may. */
+    private static final double BURST_SECONDS = 0.25;
+    /** Fraction of the deadline that must remain for a retry. */
+    private static final double MIN_REMAINING_DEADLINE_FRACTION = 0.1;
+    private static final double NS_PER_SECOND = 1e9;
+    /** Number of remembered backends from which state of those in no table is dropped. */
+    private static final int FORGET_THRESHOLD_BACKENDS = 1024;
+    /** Retries that may be sent at once after an idle time; credits are a fraction of first tries. */
+    private static final double MAX_RETRY_CREDITS = 10;
+    /** Random draws that may hit an ejected or already tried backend before all backends are scanned. */
+    private static final int MAX_RANDOM_DRAWS = 8;
 
+    /** Weights of backends and, per class, the level; null where there is none. */
     private static final class Table {
-        private final TreeMap<Backend, Double> lines = new TreeMap<>();
+        private final TreeMap<Backend, Double> weights = new TreeMap<>();
         private final Frame.Level[] levels;
 
         Table(int classes) {
@@ -56,161 +58,176 @@
         }
     }
 
-    /** One backend, as this proxy's own requests find it. */
-    private static final class Path {
-        private int out;
-        private int failedInARow;
-        private long shunnedUntil = Long.MIN_VALUE;
+    /** State of one backend as observed by this proxy's own requests. */
+    private static final class BackendState {
+        private int triesInFlight;
+        private int consecutiveFailures;
+        private long ejectedUntilNs = Long.MIN_VALUE;
     }
 
     private final Site site;
-    private final ForwardingPolicy conduct;
+    private final ForwardingPolicy policy;
     private final RandomGenerator random;
-    private final double[] levelBefore;
-    private double budget;
-    private long heardAt;
-    private final Table standing;
-    private final Table[] held;
+    private final double[] previousLevels;
+    private double retryCredits;
+    private long controllerHeardNs;
+    private final Table initialTable;
+    private final Table[] boundTables;
     private final TreeMap<Integer, Table> tables = new TreeMap<>();
     private final TreeSet<Backend> withdrawn = new TreeSet<>();
-    private final Frame.Level[] overall;
-    private final TreeMap<Backend, Path> paths = new TreeMap<>();
-    private final double[] credit;
-    private final long[] creditAt;
-    private final Choices[] choices;
+    private final Frame.Level[] overallLevels;
+    private final TreeMap<Backend, BackendState> backendStates = new TreeMap<>();
+    private final double[] admissionTokens;
+    private final long[] tokensRefilledNs;
+    private final Candidates[] candidatesByClass;
     private long epoch;
     private long version;
-    private boolean inStep;
-    private boolean bound;
-
-    /** @param standingTable backends used, evenly, for every class until a controller says otherwise */
-    public Router(Site site, Collection<Backend> standingTable, RandomGenerator random, long now) {
-        this(site, ForwardingPolicy.defaults(), standingTable, random, now);
-    }
-
-    /** @param conduct its retry budget, lease and safe level count here */
-    public Router(Site site, ForwardingPolicy conduct, Collection<Backend> standingTable, RandomGenerator random,
-            long now) {
-        this.conduct = conduct;
-        this.budget = BUDGET_MOST;
-        this.heardAt = now;
-        this.levelBefore = new double[site.classes().size()];
-        Arrays.fill(levelBefore, Double.POSITIVE_INFINITY);
+    private boolean inSync;
+    private boolean boundOnStream;
+
+    /**
+     * A router with the default forwarding policy.
+     *
+     * @param standingTable backends used with equal weights for every class until a controller binds a table
+     */
+    public Router(Site site, Collection<Backend> standingTable, RandomGenerator random, long nowNs) {
+        this(site, ForwardingPolicy.defaults(), standingTable, random, nowNs);
+    }
+
+    /**
+     * A router with the given forwarding policy.
+     *
+     * @param policy only its retry budget, lease and safe level are used
+     * @param standingTable backends used with equal weights for every class until a controller binds a table
+     */
+    public Router(Site site, ForwardingPolicy policy, Collection<Backend> standingTable,
+            RandomGenerator random, long nowNs) {
+        this.policy = policy;
+        this.retryCredits = MAX_RETRY_CREDITS;
+        this.controllerHeardNs = nowNs;
+        this.previousLevels = new double[site.classes().size()];
+        Arrays.fill(previousLevels, Double.POSITIVE_INFINITY);
         int classes = site.classes().size();
         this.site = site;
         this.random = random;
-        this.standing = new Table(classes);
-        standingTable.forEach(b -> standing.lines.put(b, 1.0));
-        this.held = new Table[classes];
-        Arrays.fill(held, standing);
-        this.overall = new Frame.Level[classes];
-        this.choices = new Choices[classes];
-        this.credit = new double[classes];
-        this.creditAt = new long[classes];
-        Arrays.fill(creditAt, now);
-        Arrays.fill(credit, 1);
+        this.initialTable = new Table(classes);
+        standingTable.forEach(b -> initialTable.weights.put(b, 1.0));
+        this.boundTables = new Table[classes];
+        Arrays.fill(boundTables, initialTable);
+        this.overallLevels = new Frame.Level[classes];
+        this.candidatesByClass = new Candidates[classes];
+        this.admissionTokens = new double[classes];
+        this.tokensRefilledNs = new long[classes];
+        Arrays.fill(tokensRefilledNs, nowNs);
+        Arrays.fill(admissionTokens, 1);
     }
 
-    // ---- the stream ----------------------------------------------------------------------------------
+    // ---- controller stream ---------------------------------------------------------------------------
 
-    /** A stream has begun: nothing of it is in step before its snapshot. */
+    /** Begins a new stream: updates are skipped until its snapshot arrives. */
     public void onStreamOpened() {
-        inStep = false;
-        bound = false;
+        inSync = false;
+        boundOnStream = false;
         tables.clear();
     }
 
-    /** Whether it still has only its standing table. */
+    /** Whether every class still uses the standing table. */
     public boolean hasOnlyStandingTable() {
-        return Arrays.stream(held).allMatch(t -> t == standing);
+        return Arrays.stream(boundTables).allMatch(t -> t == initialTable);
     }
 
+    /** Epoch of the state in force; 0 before the first snapshot. */
     public long epoch() {
         return epoch;
     }
 
+    /** Version within the epoch. */
     public long version() {
         return version;
     }
 
-    /** Takes a snapshot in. */
+    /** Replaces the state by a snapshot, unless the snapshot binds no table. */
     public void apply(Frame.Snapshot snapshot) {
-        Arrays.fill(choices, null);
+        Arrays.fill(candidatesByClass, null);
         epoch = snapshot.epoch();
         version = snapshot.version();
-        inStep = true;
+        inSync = true;
         if (snapshot.bindings().isEmpty()) {
             return;
         }
-        bound = true;
+        boundOnStream = true;
         tables.clear();
         withdrawn.clear();
         withdrawn.addAll(snapshot.withdrawn());
-        Arrays.fill(overall, null);
-        snapshot.globalLevels().forEach(level -> set(overall, level));
-        snapshot.tables().forEach(this::put);
-        snapshot.bindings().forEach(b -> hold(b.classMask(), tables.computeIfAbsent(b.table(),
-                n -> new Table(held.length))));
+        Arrays.fill(overallLevels, null);
+        snapshot.globalLevels().forEach(level -> setLevels(overallLevels, level));
+        snapshot.tables().forEach(this::replaceTable);
+        snapshot.bindings().forEach(b -> bindClasses(b.classMask(), tables.computeIfAbsent(b.table(),
+                n -> new Table(boundTables.length))));
     }
 
-    /** Takes an update in, if it is the next one. */
+    /** Applies an update if it directly follows the current version. */
     public UpdateResult apply(Frame.Update update) {
-        if (!inStep) {
+        if (!inSync) {
             return UpdateResult.SKIPPED;
         }
         if (update.epoch() != epoch || update.version() != version + 1) {
-            inStep = false;
+            inSync = false;
             return UpdateResult.GAP;
         }
         version = update.version();
-        Arrays.fill(choices, null);
+        Arrays.fill(candidatesByClass, null);
         update.orders().forEach(this::apply);
-        forget();
+        forgetUnlistedBackends();
         return UpdateResult.APPLIED;
     }
 
-    /** What no table names any more, and no try is out to, is let go: machines are replaced for years. */
-    private void forget() {
-        if (remembered() < FORGET_FROM) {
+    /**
+     * Drops state of backends that are in no table and have no try in flight. Without this, state would grow
+     * for as long as machines are replaced.
+     */
+    private void forgetUnlistedBackends() {
+        if (rememberedBackends() < FORGET_THRESHOLD_BACKENDS) {
             return;
         }
-        Set<Backend> named = new TreeSet<>();
-        tables.values().forEach(t -> named.addAll(t.lines.keySet()));
-        Arrays.stream(held).forEach(t -> named.addAll(t.lines.keySet()));
-        withdrawn.retainAll(named);
-        paths.entrySet().removeIf(e -> e.getValue().out == 0 && !named.contains(e.getKey()));
+        Set<Backend> listed = new TreeSet<>();
+        tables.values().forEach(t -> listed.addAll(t.weights.keySet()));
+        Arrays.stream(boundTables).forEach(t -> listed.addAll(t.weights.keySet()));
+        withdrawn.retainAll(listed);
+        backendStates.entrySet().removeIf(e -> e.getValue().triesInFlight == 0
+                && !listed.contains(e.getKey()));
     }
 
-    /** Backends of which something is kept beside the tables. */
-    int remembered() {
-        return paths.size() + withdrawn.size();
+    /** Number of backends with state outside the tables, for tests. */
+    int rememberedBackends() {
+        return backendStates.size() + withdrawn.size();
     }
 
     private void apply(Frame.Order order) {
         if (order instanceof Frame.SetLine o) {
-            setLine(tables.computeIfAbsent(o.table(), n -> new Table(held.length)), o.line());
+            setWeight(tables.computeIfAbsent(o.table(), n -> new Table(boundTables.length)), o.line());
         } else if (order instanceof Frame.Clear o) {
-            Table table = tables.computeIfAbsent(o.table(), n -> new Table(held.length));
-            table.lines.clear();
+            Table table = tables.computeIfAbsent(o.table(), n -> new Table(boundTables.length));
+            table.weights.clear();
             Arrays.fill(table.levels, null);
         } else if (order instanceof Frame.Withdraw o) {
-            withdraw(o.backend(), o.withdrawn());
+            setWithdrawn(o.backend(), o.withdrawn());
         } else if (order instanceof Frame.Admit o) {
-            set(o.table() == ControlApi.ALL_TABLES ? overall : tables.computeIfAbsent(o.table(),
-                    n -> new Table(held.length)).levels, o.level());
+            setLevels(o.table() == ControlApi.ALL_TABLES ? overallLevels : tables.computeIfAbsent(o.table(),
+                    n -> new Table(boundTables.length)).levels, o.level());
         } else if (order instanceof Frame.Bind o) {
-            if (!bound) {
-                bound = true;
+            if (!boundOnStream) {
+                boundOnStream = true;
                 withdrawn.clear();
-                Arrays.fill(overall, null);
+                Arrays.fill(overallLevels, null);
             }
-            o.table().lines().forEach(line -> withdraw(line.backend(), false));
-            o.withdrawn().forEach(backend -> withdraw(backend, true));
-            hold(o.classMask(), put(o.table()));
+            o.table().lines().forEach(line -> setWithdrawn(line.backend(), false));
+            o.withdrawn().forEach(backend -> setWithdrawn(backend, true));
+            bindClasses(o.classMask(), replaceTable(o.table()));
         }
     }
 
-    private void withdraw(Backend backend, boolean out) {
+    private void setWithdrawn(Backend backend, boolean out) {
         if (out) {
             withdrawn.add(backend);
         } else {
@@ -218,24 +235,24 @@
         }
     }
 
-    private Table put(Frame.Table whole) {
-        Table table = tables.computeIfAbsent(whole.number(), n -> new Table(held.length));
-        table.lines.clear();
+    private Table replaceTable(Frame.Table contents) {
+        Table table = tables.computeIfAbsent(contents.number(), n -> new Table(boundTables.length));
+        table.weights.clear();
         Arrays.fill(table.levels, null);
-        whole.lines().forEach(line -> setLine(table, line));
-        whole.levels().forEach(level -> set(table.levels, level));
+        contents.lines().forEach(line -> setWeight(table, line));
+        contents.levels().forEach(level -> setLevels(table.levels, level));
         return table;
     }
 
-    private static void setLine(Table table, Frame.Line line) {
+    private static void setWeight(Table table, Frame.Line line) {
         if (line.weight() > 0) {
-            table.lines.put(line.backend(), line.weight());
+            table.weights.put(line.backend(), line.weight());
         } else {
-            table.lines.remove(line.backend());
+            table.weights.remove(line.backend());
         }
     }
 
-    private void set(Frame.Level[] levels, Frame.Level level) {
+    private void setLevels(Frame.Level[] levels, Frame.Level level) {
         for (int c = 0; c < levels.length; c++) {
             if (level.classMask() == 0 || (level.classMask() >> c & 1) == 1) {
                 levels[c] = level;
@@ -243,86 +260,91 @@
         }
     }
 
-    private void hold(int classes, Table table) {
-        for (int c = 0; c < held.length; c++) {
+    private void bindClasses(int classes, Table table) {
+        for (int c = 0; c < boundTables.length; c++) {
             if (classes == 0 || (classes >> c & 1) == 1) {
-                held[c] = table;
+                boundTables[c] = table;
             }
         }
     }
 
-    // ---- choices -------------------------------------------------------------------------------------
+    // ---- routing decisions ---------------------------------------------------------------------------
 
-    /** Whether a request of a class is let in now; one that is not must be refused at once. */
-    public boolean tryAdmit(int cls, long now) {
+    /** Whether a request of a class is admitted now; if not, it must be refused at once. May use a token. */
+    public boolean tryAdmit(int cls, long nowNs) {
         double level = Double.POSITIVE_INFINITY;
-        level = overall[cls] == null ? level : Math.min(level, overall[cls].level());
-        level = held[cls].levels[cls] == null ? level : Math.min(level, held[cls].levels[cls].level());
-        if (conduct.safeLevel() >= 0 && now - heardAt > conduct.leaseNs()) {
-            return earned(within(cls, Math.min(rate(level), conduct.safeLevel()), now));
+        level = overallLevels[cls] == null ? level : Math.min(level, overallLevels[cls].level());
+        level = boundTables[cls].levels[cls] == null ? level
+                : Math.min(level, boundTables[cls].levels[cls].level());
+        if (policy.safeLevel() >= 0 && nowNs - controllerHeardNs > policy.leaseNs()) {
+            return creditRetryBudget(takeToken(cls, Math.min(rateLimit(level), policy.safeLevel()), nowNs));
         }
         if (site.admission() == AdmissionMode.OFF || Double.isInfinite(level)) {
-            levelBefore[cls] = Double.POSITIVE_INFINITY;
-            return earned(true);
+            previousLevels[cls] = Double.POSITIVE_INFINITY;
+            return creditRetryBudget(true);
         }
         if (site.admission() == AdmissionMode.SHARE) {
-            return earned(level >= 1 || random.nextDouble() < level);
+            return creditRetryBudget(level >= 1 || random.nextDouble() < level);
         }
-        return earned(within(cls, level, now));
+        return creditRetryBudget(takeToken(cls, level, nowNs));
     }
 
-    /** A level as a rate: where levels are shares or off, they bound no rate. */
-    private double rate(double level) {
+    /** The level as a rate limit; infinite if levels are shares or switched off. */
+    private double rateLimit(double level) {
         return site.admission() == AdmissionMode.RATE ? level : Double.POSITIVE_INFINITY;
     }
 
-    /** A bucket that fills at the lower of two levels while one follows the other: a rise is no burst. */
-    private boolean within(int cls, double level, long now) {
-        double most = Math.max(1, level * BURST);
-        double fill = Math.min(level, levelBefore[cls]);
-        levelBefore[cls] = level;
-        credit[cls] = Math.min(most, credit[cls] + fill * (now - creditAt[cls]) / SECOND);
-        creditAt[cls] = now;
-        if (credit[cls] < 1) {
+    /**
+     * Token bucket of a class. Time since the last call is credited at the lower of the previous and the
+     * current level, so that a raised level grants no burst.
+     */
+    private boolean takeToken(int cls, double level, long nowNs) {
+        double capacity = Math.max(1, level * BURST_SECONDS);
+        double fillRate = Math.min(level, previousLevels[cls]);
+        previousLevels[cls] = level;
+        admissionTokens[cls] = Math.min(capacity, admissionTokens[cls]
+                + fillRate * (nowNs - tokensRefilledNs[cls]) / NS_PER_SECOND);
+        tokensRefilledNs[cls] = nowNs;
+        if (admissionTokens[cls] < 1) {
             return false;
         }
-        credit[cls]--;
+        admissionTokens[cls]--;
         return true;
     }
 
-    private boolean earned(boolean admitted) {
+    private boolean creditRetryBudget(boolean admitted) {
         if (admitted) {
-            budget = Math.min(BUDGET_MOST, budget + conduct.retryBudget());
+            retryCredits = Math.min(MAX_RETRY_CREDITS, retryCredits + policy.retryBudget());
         }
         return admitted;
     }
 
-    /** A controller was heard: levels and tables stand for another lease. */
-    public void onControllerMessage(long now) {
-        heardAt = now;
+    /** Renews the lease of levels and tables: a controller was heard at {@code nowNs}. */
+    public void onControllerMessage(long nowNs) {
+        controllerHeardNs = nowNs;
     }
 
-    /** A class's lines that are not withdrawn, laid out so that a pick allocates nothing. */
-    private static final class Choices {
+    /** Backends of a class's table that are not withdrawn, in arrays so that a pick allocates nothing. */
+    private static final class Candidates {
         private final Backend[] backends;
         private final double[] weights;
-        private final Path[] paths;
-        private final double[] turns;
-        private int[] alias;
-        private double[] keeps;
+        private final BackendState[] states;
+        private final double[] roundRobinCredits;
+        private int[] aliases;
+        private double[] keepProbabilities;
 
-        Choices(int count) {
+        Candidates(int count) {
             backends = new Backend[count];
             weights = new double[count];
-            paths = new Path[count];
-            turns = new double[count];
+            states = new BackendState[count];
+            roundRobinCredits = new double[count];
         }
 
-        /** Lays lines out so that a draw looks at two of them (Vose's alias method). */
-        void settle() {
+        /** Prepares weighted draws that look at no more than two backends (Vose's alias method). */
+        void buildAliasTable() {
             int n = backends.length;
-            alias = new int[n];
-            keeps = new double[n];
+            aliases = new int[n];
+            keepProbabilities = new double[n];
             double sum = 0;
             for (double weight : weights) {
                 sum += weight;
@@ -332,9 +354,9 @@
             int smalls = 0;
             int larges = 0;
             for (int i = 0; i < n; i++) {
-                keeps[i] = weights[i] * n / sum;
-                alias[i] = i;
-                if (keeps[i] < 1) {
+                keepProbabilities[i] = weights[i] * n / sum;
+                aliases[i] = i;
+                if (keepProbabilities[i] < 1) {
                     small[smalls++] = i;
                 } else {
                     large[larges++] = i;
@@ -343,99 +365,107 @@
             while (smalls > 0 && larges > 0) {
                 int less = small[--smalls];
                 int more = large[larges - 1];
-                alias[less] = more;
-                keeps[more] -= 1 - keeps[less];
-                if (keeps[more] < 1) {
+                aliases[less] = more;
+                keepProbabilities[more] -= 1 - keepProbabilities[less];
+                if (keepProbabilities[more] < 1) {
                     larges--;
                     small[smalls++] = more;
                 }
             }
             while (smalls > 0) {
-                keeps[small[--smalls]] = 1; // what rounding has left
+                keepProbabilities[small[--smalls]] = 1; // left over from rounding
             }
         }
 
         int draw(RandomGenerator random) {
-            double at = random.nextDouble() * backends.length;
-            int i = (int) at;
-            return at - i < keeps[i] ? i : alias[i];
+            double position = random.nextDouble() * backends.length;
+            int i = (int) position;
+            return position - i < keepProbabilities[i] ? i : aliases[i];
         }
 
-        /** Whether a line may be picked; {@code openOnly} leaves shunned backends out. */
-        boolean fits(int i, Set<Backend> tried, long now, boolean openOnly) {
-            return !(openOnly && paths[i].shunnedUntil > now) && (tried.isEmpty()
+        /** Whether a backend may be picked; {@code notEjected} leaves out ejected ones. */
+        boolean isEligible(int i, Set<Backend> tried, long nowNs, boolean notEjected) {
+            return !(notEjected && states[i].ejectedUntilNs > nowNs) && (tried.isEmpty()
                     || !tried.contains(backends[i]));
         }
     }
 
-    private Choices choices(int cls) {
-        if (choices[cls] == null) {
-            List<Backend> open = held[cls].lines.keySet().stream().filter(b -> !withdrawn.contains(b))
-                    .toList();
-            Choices made = new Choices(open.size());
-            for (int i = 0; i < open.size(); i++) {
-                made.backends[i] = open.get(i);
-                made.weights[i] = held[cls].lines.get(open.get(i));
-                made.paths[i] = path(open.get(i));
+    private Candidates candidates(int cls) {
+        if (candidatesByClass[cls] == null) {
+            List<Backend> available = boundTables[cls].weights.keySet().stream()
+                    .filter(b -> !withdrawn.contains(b)).toList();
+            Candidates created = new Candidates(available.size());
+            for (int i = 0; i < available.size(); i++) {
+                created.backends[i] = available.get(i);
+                created.weights[i] = boundTables[cls].weights.get(available.get(i));
+                created.states[i] = backendState(available.get(i));
             }
-            made.settle();
-            choices[cls] = made;
+            created.buildAliasTable();
+            candidatesByClass[cls] = created;
         }
-        return choices[cls];
+        return candidatesByClass[cls];
     }
 
-    /** The backend for a try, or null if the table has none that was not tried; shunned ones come last. */
-    public Backend pick(int cls, Set<Backend> tried, long now) {
-        Choices all = choices(cls);
+    /**
+     * The backend for a try, or null if the table has no backend that is not in {@code tried}. Ejected
+     * backends are used only if there is no other.
+     */
+    public Backend pick(int cls, Set<Backend> tried, long nowNs) {
+        Candidates all = candidates(cls);
         if (site.backendChoice() == Site.BackendChoice.ROUND_ROBIN) {
-            return turn(all, tried, now);
+            return pickRoundRobin(all, tried, nowNs);
         }
-        int one = draw(all, tried, now);
-        if (one >= 0 && site.backendChoice() == Site.BackendChoice.POWER_OF_TWO) {
-            int other = draw(all, tried, now);
-            one = all.paths[other].out < all.paths[one].out ? other : one;
+        int picked = drawCandidate(all, tried, nowNs);
+        if (picked >= 0 && site.backendChoice() == Site.BackendChoice.POWER_OF_TWO) {
+            int other = drawCandidate(all, tried, nowNs);
+            picked = all.states[other].triesInFlight < all.states[picked].triesInFlight ? other : picked;
         }
-        return one < 0 ? null : all.backends[one];
+        return picked < 0 ? null : all.backends[picked];
     }
 
-    /** A line by weight: at once where most lines fit, else by looking through all. -1 if none fits. */
-    private int draw(Choices all, Set<Backend> tried, long now) {
-        for (int i = 0; i < DRAWS_MOST && all.backends.length > 0; i++) {
+    /**
+     * Index of a backend drawn by weight: by a few random draws, which suffice where most backends are
+     * eligible, else by a scan of all. -1 if none is eligible.
+     */
+    private int drawCandidate(Candidates all, Set<Backend> tried, long nowNs) {
+        for (int i = 0; i < MAX_RANDOM_DRAWS && all.backends.length > 0; i++) {
             int drawn = all.draw(random);
-            if (all.fits(drawn, tried, now, true)) {
+            if (all.isEligible(drawn, tried, nowNs, true)) {
                 return drawn;
             }
         }
-        double open = sum(all, tried, now, true);
-        if (open > 0) {
-            return draw(all, tried, now, true, open);
+        double notEjectedWeight = eligibleWeight(all, tried, nowNs, true);
+        if (notEjectedWeight > 0) {
+            return drawCandidate(all, tried, nowNs, true, notEjectedWeight);
         }
-        double any = sum(all, tried, now, false);
-        return any > 0 ? draw(all, tried, now, false, any) : -1;
+        double weight = eligibleWeight(all, tried, nowNs, false);
+        return weight > 0 ? drawCandidate(all, tried, nowNs, false, weight) : -1;
     }
 
-    private Backend turn(Choices all, Set<Backend> tried, long now) {
-        double open = sum(all, tried, now, true);
-        double any = open > 0 ? open : sum(all, tried, now, false);
-        return any > 0 ? all.backends[next(all, tried, now, open > 0, any)] : null;
+    private Backend pickRoundRobin(Candidates all, Set<Backend> tried, long nowNs) {
+        double notEjectedWeight = eligibleWeight(all, tried, nowNs, true);
+        double weight = notEjectedWeight > 0 ? notEjectedWeight : eligibleWeight(all, tried, nowNs, false);
+        return weight > 0 ? all.backends[nextRoundRobin(all, tried, nowNs, notEjectedWeight > 0, weight)]
+                : null;
     }
 
-    private static double sum(Choices all, Set<Backend> tried, long now, boolean openOnly) {
+    private static double eligibleWeight(Candidates all, Set<Backend> tried, long nowNs, boolean notEjected) {
         double sum = 0;
         for (int i = 0; i < all.backends.length; i++) {
-            sum += all.fits(i, tried, now, openOnly) ? all.weights[i] : 0;
+            sum += all.isEligible(i, tried, nowNs, notEjected) ? all.weights[i] : 0;
         }
         return sum;
     }
 
-    private int draw(Choices all, Set<Backend> tried, long now, boolean openOnly, double sum) {
-        double at = random.nextDouble() * sum;
+    private int drawCandidate(Candidates all, Set<Backend> tried, long nowNs, boolean notEjected,
+            double sum) {
+        double remaining = random.nextDouble() * sum;
         int last = -1;
         for (int i = 0; i < all.backends.length; i++) {
-            if (all.fits(i, tried, now, openOnly)) {
+            if (all.isEligible(i, tried, nowNs, notEjected)) {
                 last = i;
-                at -= all.weights[i];
-                if (at < 0) {
+                remaining -= all.weights[i];
+                if (remaining < 0) {
                     return i;
                 }
             }
@@ -443,99 +473,109 @@
         return last;
     }
 
-    /** Smooth weighted turns: each gains its weight, the richest is picked and pays the sum. */
-    private static int next(Choices all, Set<Backend> tried, long now, boolean openOnly, double sum) {
+    /** Smooth weighted round robin: all gain their weight, the richest pays the sum. */
+    private static int nextRoundRobin(Candidates all, Set<Backend> tried, long nowNs, boolean notEjected,
+            double sum) {
         int best = -1;
         for (int i = 0; i < all.backends.length; i++) {
-            if (all.fits(i, tried, now, openOnly)) {
-                all.turns[i] += all.weights[i];
-                best = best < 0 || all.turns[i] > all.turns[best] ? i : best;
+            if (all.isEligible(i, tried, nowNs, notEjected)) {
+                all.roundRobinCredits[i] += all.weights[i];
+                best = best < 0 || all.roundRobinCredits[i] > all.roundRobinCredits[best] ? i : best;
             }
         }
-        all.turns[best] -= sum;
+        all.roundRobinCredits[best] -= sum;
         return best;
     }
 
-    private Path path(Backend backend) {
-        return paths.computeIfAbsent(backend, b -> new Path());
+    private BackendState backendState(Backend backend) {
+        return backendStates.computeIfAbsent(backend, b -> new BackendState());
     }
 
-    /** A try has gone out. */
+    /** A try was sent to a backend. */
     public void onTrySent(Backend backend) {
-        path(backend).out++;
+        backendState(backend).triesInFlight++;
     }
 
-    /** A try is over. After so many failures in a row the backend is shunned for some seconds. */
-    public void onTryEnded(Backend backend, boolean good, long now) {
-        Path path = path(backend);
-        path.out--;
-        path.failedInARow = good ? 0 : path.failedInARow + 1;
-        if (site.ejectAfterFailures() > 0 && path.failedInARow >= site.ejectAfterFailures()) {
-            path.failedInARow = 0;
-            path.shunnedUntil = now + site.ejectNs();
+    /** A try ended. A backend with as many consecutive failures as the site states is ejected for a time. */
+    public void onTryEnded(Backend backend, boolean good, long nowNs) {
+        BackendState state = backendState(backend);
+        state.triesInFlight--;
+        state.consecutiveFailures = good ? 0 : state.consecutiveFailures + 1;
+        if (site.ejectAfterFailures() > 0 && state.consecutiveFailures >= site.ejectAfterFailures()) {
+            state.consecutiveFailures = 0;
+            state.ejectedUntilNs = nowNs + site.ejectNs();
         }
     }
 
-    /** A try was given up by its client, or never left this proxy: it says nothing of the backend. */
+    /** A try was cancelled by its client or never left this proxy: the backend's failures do not change. */
     public void onTryAbandoned(Backend backend) {
-        path(backend).out--;
+        backendState(backend).triesInFlight--;
     }
 
-    /** Whether a class has a backend that was not tried. */
+    /** Whether a class has an available backend that is not in {@code tried}. */
     public boolean hasUntriedBackend(int cls, Set<Backend> tried) {
-        return Arrays.stream(choices(cls).backends).anyMatch(b -> !tried.contains(b));
+        return Arrays.stream(candidates(cls).backends).anyMatch(b -> !tried.contains(b));
     }
 
-    /** Tries out to all backends. */
+    /** Tries in flight to all backends. */
     public int triesInFlight() {
-        return paths.values().stream().mapToInt(p -> p.out).sum();
+        return backendStates.values().stream().mapToInt(p -> p.triesInFlight).sum();
     }
 
     /**
-     * Whether another try may follow a failed one: as the controller orders, or as usual where it has not,
-     * and only with proof that the failed one never ran, unless the class is safe to repeat.
+     * Whether a failed try may be retried, which uses up a retry credit if so. Follows the controller's
+     * order, or the site's default without one; a class that is not safe to repeat also needs proof that the
+     * failed try never ran.
+     *
+     * @param tries tries so far
+     * @param neverRan whether the failed try is proven not to have run
+     * @param remainingNs time to the deadline
      */
-    public boolean mayRetry(int cls, int tries, boolean neverRan, long left) {
-        Frame.Level level = held[cls].levels[cls] == null ? overall[cls] : held[cls].levels[cls];
-        RetryPolicy how = level == null ? site.retryPolicy() : level.retry();
+    public boolean mayRetry(int cls, int tries, boolean neverRan, long remainingNs) {
+        Frame.Level level = boundTables[cls].levels[cls] == null ? overallLevels[cls]
+                : boundTables[cls].levels[cls];
+        RetryPolicy order = level == null ? site.retryPolicy() : level.retry();
         boolean safe = neverRan || isSafeToRepeat(cls);
-        boolean ordered = switch (how) {
+        boolean ordered = switch (order) {
             case NEVER -> false;
             case ONCE_UNRUN -> tries == 1 && neverRan;
             case ONCE -> tries == 1;
             case TWICE -> tries <= 2;
         };
-        return ordered && safe && left > LEAST_LEFT * site.classes().get(cls).deadline() && spend();
+        return ordered && safe
+                && remainingNs > MIN_REMAINING_DEADLINE_FRACTION * site.classes().get(cls).deadline()
+                && spendRetryCredit();
     }
 
-    /** The budget can only lower what is ordered. */
-    private boolean spend() {
-        if (conduct.retryBudget() >= 1) {
+    /** Uses up a retry credit; the budget can only reduce the retries that are ordered. */
+    private boolean spendRetryCredit() {
+        if (policy.retryBudget() >= 1) {
             return true;
         }
-        if (budget < 1) {
+        if (retryCredits < 1) {
             return false;
         }
-        budget--;
+        retryCredits--;
         return true;
     }
 
-    /** Whether a request that may have run may be sent again. */
+    /** Whether a request that may have run already may be sent again. */
     protected boolean isSafeToRepeat(int cls) {
         return site.classes().get(cls).idempotency() == Idempotency.SAFE;
     }
 
-    /** Nanoseconds a try may take when another might follow; 0 for no such bound. */
+    /** Nanoseconds that a try may take if it can be retried; 0 for no limit. */
     public long tryTimeoutNs(int cls) {
-        Frame.Level level = held[cls].levels[cls] == null ? overall[cls] : held[cls].levels[cls];
-        RetryPolicy how = level == null ? site.retryPolicy() : level.retry();
-        boolean bounded = (how == RetryPolicy.ONCE || how == RetryPolicy.TWICE) && isSafeToRepeat(cls);
+        Frame.Level level = boundTables[cls].levels[cls] == null ? overallLevels[cls]
+                : boundTables[cls].levels[cls];
+        RetryPolicy order = level == null ? site.retryPolicy() : level.retry();
+        boolean bounded = (order == RetryPolicy.ONCE || order == RetryPolicy.TWICE) && isSafeToRepeat(cls);
         return bounded ? (long) (site.tryTimeoutAims() * site.classes().get(cls).aim()) : 0;
     }
 
     /** Whether any class may still send to a backend. */
     public boolean uses(Backend backend) {
-        return !withdrawn.contains(backend) && Arrays.stream(held).anyMatch(t -> t.lines
+        return !withdrawn.contains(backend) && Arrays.stream(boundTables).anyMatch(t -> t.weights
                 .containsKey(backend));
     }
 }
