--- a/src/main/java/rowanmoor/cli/PlanCommand.java
+++ b/src/main/java/rowanmoor/cli/PlanCommand.java
@@ -104,7 +104,7 @@
     private int planned() throws ConfigException, IOException {
         Path fleet = fleets.get(0);
         DayFile day = DayFile.read(fleet);
-        Model model = EmulatorModels.of(day, 1).model().troubles(List.of()).length(seconds * SECOND);
+        Model model = EmulatorModels.of(day, 1).model().withFaults(List.of()).withDurationNs(seconds * SECOND);
         SimulationRunner runs = (m, which) -> which.parallelStream().map(s -> Emulator.run(m, s)).toList();
         say("goal: service %.3f%s", service, worst > 0 ? String.format(Locale.ROOT, ", worst 10 s %.3f",
                 worst) : "");
@@ -119,7 +119,7 @@
             notes.addAll(found.notes());
         }
         if (rate != null) {
-            model = model.rate(rate);
+            model = model.withRequestsPerSecond(rate);
         }
         List<String[]> given = given(model, fleet, estimates);
         estimates.forEach(e -> say("%-34s %9.3f %-2s (%.3f to %.3f) from %s: %s", e.name(), e.value(),
@@ -134,7 +134,7 @@
                 ? planner.sensitivity(model, breaks.rate().mean()) : List.of();
         moves.forEach(s -> say("  the breaking rate moves by %+.0f%% with %s", 100 * s.relativeChange(), s.input()));
         Planner.FleetSize enough = howMany(planner, model);
-        List<Planner.LossImpact> losses = planner.evaluateLosses(model.length(50 * SECOND), 10 * SECOND, 15 * SECOND);
+        List<Planner.LossImpact> losses = planner.evaluateLosses(model.withDurationNs(50 * SECOND), 10 * SECOND, 15 * SECOND);
         for (Planner.LossImpact l : losses) {
             say("loss of %-32s before %.3f, during %.3f, worst 10 s %.3f, back after %s%s;"
                     + " queue at %.0f%% of limit",
--- a/src/main/java/rowanmoor/emulator/Model.java
+++ b/src/main/java/rowanmoor/emulator/Model.java
@@ -57,7 +57,7 @@
     }
 
     /** Mean work of a request, seconds. */
-    public double meanWork() {
+    public double meanWorkSeconds() {
         double sum = 0;
         double all = 0;
         for (int c = 0; c < classShares.length; c++) {
@@ -68,7 +68,7 @@
     }
 
     /** The same at another rate. */
-    public Model rate(double other) {
+    public Model withRequestsPerSecond(double other) {
         return new Model(site, settleNs, durationNs, rampNs, controllerZones, proxyZones, proxyWeights, backends,
                 rosterDelayNs,
                 sameZoneDelayNs, crossZoneDelayNs, other, classShares, workSeconds, workCv, maxClientRetries, retryBackoffNs, tryTimeoutFraction, faults);
@@ -80,41 +80,41 @@
     }
 
     /** The same with other troubles. */
-    public Model troubles(List<Fault> others) {
+    public Model withFaults(List<Fault> others) {
         return new Model(site, settleNs, durationNs, rampNs, controllerZones, proxyZones, proxyWeights, backends,
                 rosterDelayNs,
                 sameZoneDelayNs, crossZoneDelayNs, requestsPerSecond, classShares, workSeconds, workCv, maxClientRetries, retryBackoffNs, tryTimeoutFraction, List.copyOf(others));
     }
 
     /** The same with other backends. */
-    public Model machines(List<BackendSpec> others) {
+    public Model withBackends(List<BackendSpec> others) {
         return new Model(site, settleNs, durationNs, rampNs, controllerZones, proxyZones, proxyWeights,
                 List.copyOf(others),
                 rosterDelayNs, sameZoneDelayNs, crossZoneDelayNs, requestsPerSecond, classShares, workSeconds, workCv, maxClientRetries, retryBackoffNs, tryTimeoutFraction, faults);
     }
 
     /** The same with other shares of the classes. */
-    public Model shares(double[] others) {
+    public Model withClassShares(double[] others) {
         return new Model(site, settleNs, durationNs, rampNs, controllerZones, proxyZones, proxyWeights, backends,
                 rosterDelayNs,
                 sameZoneDelayNs, crossZoneDelayNs, requestsPerSecond, others, workSeconds, workCv, maxClientRetries, retryBackoffNs, tryTimeoutFraction, faults);
     }
 
     /** The same with other proxies. */
-    public Model proxies(int[] zones, double[] weights) {
+    public Model withProxies(int[] zones, double[] weights) {
         return new Model(site, settleNs, durationNs, rampNs, controllerZones, zones, weights, backends, rosterDelayNs,
                 sameZoneDelayNs, crossZoneDelayNs, requestsPerSecond, classShares, workSeconds, workCv, maxClientRetries, retryBackoffNs, tryTimeoutFraction, faults);
     }
 
     /** The same with other work of requests and another spread of it. */
-    public Model work(double[] otherWork, double[] otherCv) {
+    public Model withWork(double[] otherWork, double[] otherCv) {
         return new Model(site, settleNs, durationNs, rampNs, controllerZones, proxyZones, proxyWeights, backends,
                 rosterDelayNs, sameZoneDelayNs, crossZoneDelayNs, requestsPerSecond, classShares, otherWork, otherCv, maxClientRetries, retryBackoffNs, tryTimeoutFraction,
                 faults);
     }
 
     /** The same for another length. */
-    public Model length(long other) {
+    public Model withDurationNs(long other) {
         return new Model(site, settleNs, other, rampNs, controllerZones, proxyZones, proxyWeights, backends,
                 rosterDelayNs,
                 sameZoneDelayNs, crossZoneDelayNs, requestsPerSecond, classShares, workSeconds, workCv, maxClientRetries, retryBackoffNs, tryTimeoutFraction, faults);
--- a/src/main/java/rowanmoor/lab/Ground.java
+++ b/src/main/java/rowanmoor/lab/Ground.java
@@ -326,7 +326,7 @@
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
                 }
-                RosterServer.Instance anew = listed.started(wall.getAsLong(), stage.now());
+                RosterServer.Instance anew = listed.restarted(wall.getAsLong(), stage.now());
                 stage.after(day.notice(), () -> roster.update(anew));
             });
         }
--- a/src/main/java/rowanmoor/plan/Estimator.java
+++ b/src/main/java/rowanmoor/plan/Estimator.java
@@ -94,13 +94,13 @@
         if (all == 0 || whole.isEmpty()) {
             notes.add(all == 0 ? "the capture has no request: the rate is 0"
                     : "the capture is too short: nothing is estimated but the rate");
-            return new Result(all == 0 ? model.rate(0) : model, estimates, notes);
+            return new Result(all == 0 ? model.withRequestsPerSecond(0) : model, estimates, notes);
         }
         double rate = rate(whole);
         double[] shares = mix(byClass, all);
-        Model its = withProxies(model.shares(shares).rate(rate), byProxy, zones);
+        Model its = withProxies(model.withClassShares(shares).withRequestsPerSecond(rate), byProxy, zones);
         skew(byProxy);
-        its = its.rate(rate * repeats(whole));
+        its = its.withRequestsPerSecond(rate * repeats(whole));
         List<Row> quiet = quiet(whole);
         return new Result(quiet.size() < QUIET_LEAST ? tooFew(its) : withWork(its, quiet), estimates,
                 notes);
@@ -188,7 +188,7 @@
         int[] where = byProxy.keySet().stream().mapToInt(zones::get).toArray();
         double[] weights = byProxy.values().stream().mapToDouble(c -> Math.max(1e-6, Arrays.stream(c).sum()))
                 .toArray();
-        return its.proxies(where, weights);
+        return its.withProxies(where, weights);
     }
 
     private void skew(Map<Integer, double[]> byProxy) {
@@ -276,7 +276,7 @@
             spreads[i] = workSpread(drawn, one);
         }
         double spread = workSpread(rows, raw);
-        Model found = its.work(raw, cv(raw, spread));
+        Model found = its.withWork(raw, cv(raw, spread));
         double waiting = waiting(found, rows);
         for (int c = 0; c < raw.length; c++) {
             raw[c] /= waiting;
@@ -290,7 +290,7 @@
         }
         estimates.add(interval("spread of work", spread, spreads, "",
                 "scatter about the regression; 1 is exponential"));
-        return its.work(raw, cv(raw, spread));
+        return its.withWork(raw, cv(raw, spread));
     }
 
     private static double[] cv(double[] work, double spread) {
@@ -368,7 +368,7 @@
         for (int i = 0; i < CORRECTIONS; i++) {
             double by = factor;
             double[] less = Arrays.stream(found.workSeconds()).map(w -> w / by).toArray();
-            Outcome o = runs.run(found.rate(rate).work(less, found.workCv()), List.of(seed)).get(0);
+            Outcome o = runs.run(found.withRequestsPerSecond(rate).withWork(less, found.workCv()), List.of(seed)).get(0);
             double stay = 0;
             double alone = 0;
             for (int b = 0; b < o.backends().size(); b++) {
--- a/src/main/java/rowanmoor/plan/Planner.java
+++ b/src/main/java/rowanmoor/plan/Planner.java
@@ -78,11 +78,11 @@
     /** Raises the load, mix as it is, until the goal fails. */
     public BreakingPoint findBreakingPoint(Model model) {
         played = 0;
-        if (!(model.capacity() > 0) || !(model.meanWork() > 0)) {
+        if (!(model.capacity() > 0) || !(model.meanWorkSeconds() > 0)) {
             return new BreakingPoint(Interval.of(List.of()), List.of(), 1, 0,
                     "nothing is asked for or there is no fleet");
         }
-        double full = model.capacity() / model.meanWork();
+        double full = model.capacity() / model.meanWorkSeconds();
         List<Double> rates = new ArrayList<>();
         List<Finding> findings = List.of();
         double serviceAt = 1;
@@ -90,7 +90,7 @@
             double held = 0;
             double broken = full;
             int doublings = 0;
-            while (kept(model.rate(broken), seed)) {
+            while (kept(model.withRequestsPerSecond(broken), seed)) {
                 held = broken;
                 broken *= 2;
                 if (++doublings > DOUBLINGS_MOST) {
@@ -100,22 +100,22 @@
             }
             while (broken - held > PRECISION * broken) {
                 double middle = (held + broken) / 2;
-                if (kept(model.rate(middle), seed)) {
+                if (kept(model.withRequestsPerSecond(middle), seed)) {
                     held = middle;
                 } else {
                     broken = middle;
                 }
                 if (held == 0 && broken * model.durationNs() / SECOND < MEASURABLE) {
-                    Outcome at = play(model.rate(broken), List.of(seed)).get(0);
-                    return new BreakingPoint(new Interval(0, 0, 0, 1), Diagnosis.of(model.rate(broken), at),
+                    Outcome at = play(model.withRequestsPerSecond(broken), List.of(seed)).get(0);
+                    return new BreakingPoint(new Interval(0, 0, 0, 1), Diagnosis.of(model.withRequestsPerSecond(broken), at),
                             at.service(),
                             played, "the goal fails at any rate");
                 }
             }
             rates.add((held + broken) / 2);
             if (findings.isEmpty()) {
-                Outcome at = play(model.rate(broken), List.of(seed)).get(0);
-                findings = Diagnosis.of(model.rate(broken), at);
+                Outcome at = play(model.withRequestsPerSecond(broken), List.of(seed)).get(0);
+                findings = Diagnosis.of(model.withRequestsPerSecond(broken), at);
                 serviceAt = at.service();
             }
         }
@@ -126,7 +126,7 @@
     public List<CurvePoint> serviceCurve(Model model, double around) {
         List<CurvePoint> points = new ArrayList<>();
         for (double part : CURVE) {
-            points.add(new CurvePoint(part * around, Interval.of(play(model.rate(part * around), seen()).stream()
+            points.add(new CurvePoint(part * around, Interval.of(play(model.withRequestsPerSecond(part * around), seen()).stream()
                     .map(Outcome::service).toList())));
         }
         return points;
@@ -150,7 +150,7 @@
         }
         int now = model.backends().size();
         int low = 0;
-        int high = Math.max(1, (int) Math.ceil(now * model.requestsPerSecond() * model.meanWork() / model.capacity()));
+        int high = Math.max(1, (int) Math.ceil(now * model.requestsPerSecond() * model.meanWorkSeconds() / model.capacity()));
         double before = -1;
         while (!holds(sized(model, high), lost, seen())) {
             double service = mean(sized(model, high), seen());
@@ -186,7 +186,7 @@
         Outcome at = play(model, seen().subList(0, 1)).get(0);
         String begin = "no number of backends does: with " + model.backends().size();
         if (goal.isMet(at) && !lost.isEmpty()) {
-            double worst = lost.stream().mapToDouble(l -> mean(model.troubles(l.apply(model)), seen())).min()
+            double worst = lost.stream().mapToDouble(l -> mean(model.withFaults(l.apply(model)), seen())).min()
                     .orElse(0);
             return String.format(Locale.ROOT,
                     "%s service is %.3f while nothing is lost, but %.3f over a run in which a"
@@ -204,7 +204,7 @@
         if (!play(model, which).stream().allMatch(goal::isMet)) {
             return false;
         }
-        return lost.stream().allMatch(l -> play(model.troubles(l.apply(model)), which).stream()
+        return lost.stream().allMatch(l -> play(model.withFaults(l.apply(model)), which).stream()
                 .allMatch(goal::isMet));
     }
 
@@ -219,7 +219,7 @@
         for (int i = 0; i < count; i++) {
             machines.add(model.backends().get((int) ((long) i * have / count)));
         }
-        return model.machines(machines);
+        return model.withBackends(machines);
     }
 
     // ---- what a loss does ----------------------------------------------------------------------------
@@ -253,7 +253,7 @@
     }
 
     private LossImpact loss(String what, Model model, Model.Fault trouble) {
-        Outcome o = play(model.troubles(List.of(trouble)), seen().subList(0, 1)).get(0);
+        Outcome o = play(model.withFaults(List.of(trouble)), seen().subList(0, 1)).get(0);
         int from = (int) (trouble.startNs() / SECOND);
         int to = (int) ((trouble.startNs() + trouble.durationNs()) / SECOND);
         int end = (int) (model.durationNs() / SECOND);
@@ -294,7 +294,7 @@
                 m.maxClientRetries())));
         all.add(moved("one more retry of clients", model, rate, m -> with(m, m.workSeconds(), m.workCv(),
                 m.maxClientRetries() + 1)));
-        all.add(moved("a fifth more waiting room", model, rate, m -> m.machines(m.backends().stream().map(x ->
+        all.add(moved("a fifth more waiting room", model, rate, m -> m.withBackends(m.backends().stream().map(x ->
                 new Model.BackendSpec(x.zone(), x.kind(), x.weight(), x.cores(), x.speed(), x.slots(),
                         (int) Math.ceil(x.queueCapacity() * 1.2), x.maxConnections(), x.coldSpeedFraction(),
                                 x.warmUpNs())).toList())));
--- a/src/main/java/rowanmoor/standin/RosterServer.java
+++ b/src/main/java/rowanmoor/standin/RosterServer.java
@@ -35,7 +35,7 @@
             return new Instance(backend, zone, kind, weight, other, startedAtMs, startedAtNs);
         }
 
-        public Instance started(long wall, long at) {
+        public Instance restarted(long wall, long at) {
             return new Instance(backend, zone, kind, weight, Availability.READY, wall, at);
         }
     }
--- a/src/test/java/rowanmoor/emulator/EmulatorTest.java
+++ b/src/test/java/rowanmoor/emulator/EmulatorTest.java
@@ -162,14 +162,14 @@
         Outcome nothing = Emulator.run(fleet(0, List.of()), 1);
         assertEquals(0, nothing.classes().get(0).offered);
         assertEquals(1.0, nothing.service());
-        Model one = fleet(10, List.of()).machines(Collections.nCopies(1, new Model.BackendSpec(0, 0, 1, 2, 1, 4, 20,
+        Model one = fleet(10, List.of()).withBackends(Collections.nCopies(1, new Model.BackendSpec(0, 0, 1, 2, 1, 4, 20,
                 200, 0.25, SECOND)));
         assertTrue(Emulator.run(one, 1).service() > 0.95);
     }
 
     @Test
     void aBackendTakesNoMoreConnectionsThanItsLimit() throws ConfigException {
-        Model few = fleet(200, List.of()).machines(Collections.nCopies(10, new Model.BackendSpec(0, 0, 2, 2, 1, 40, 200,
+        Model few = fleet(200, List.of()).withBackends(Collections.nCopies(10, new Model.BackendSpec(0, 0, 2, 2, 1, 40, 200,
                 12, 0.25, SECOND)));
         Outcome outcome = Emulator.run(few, 1);
         assertTrue(outcome.backends().stream().allMatch(b -> b.maxConnections <= 12));
--- a/src/test/java/rowanmoor/plan/PlannerTest.java
+++ b/src/test/java/rowanmoor/plan/PlannerTest.java
@@ -75,7 +75,7 @@
     void previewHeavyLoadBreaksLaterThanApproveHeavyLoad() throws ConfigException {
         Model model = fleet(site("2000/s", ""), machines(10, 20, 0), 50, READS, 0);
         Planner.BreakingPoint reads = planner(0.9).findBreakingPoint(model);
-        Planner.BreakingPoint pays = planner(0.9).findBreakingPoint(model.shares(PAYS));
+        Planner.BreakingPoint pays = planner(0.9).findBreakingPoint(model.withClassShares(PAYS));
         assertEquals(Finding.Resource.CORES, reads.findings().get(0).resource(), reads.toString());
         assertTrue(reads.rate().mean() > 1.4 * pays.rate().mean(), reads.rate() + " and " + pays.rate());
         // 0.11 s of work a request, 20 s of work a second.
@@ -88,7 +88,7 @@
         for (int b = 0; b < 8; b++) {
             lopsided.add(machine(0, 0, 20, 0));
         }
-        Model model = fleet(site("2000/s", ""), lopsided, 100, READS, 0).length(50 * SECOND);
+        Model model = fleet(site("2000/s", ""), lopsided, 100, READS, 0).withDurationNs(50 * SECOND);
         List<Planner.LossImpact> losses = planner(0.9).evaluateLosses(model, 10 * SECOND, 15 * SECOND);
         double large = losses.get(0).during();
         double small = losses.get(1).during();
@@ -137,16 +137,16 @@
         Model calm = fleet(site("2000/s", ""), machines(10, 60, 0), 50, READS, 0);
         Model eager = fleet(site("2000/s", ""), machines(10, 60, 0), 50, READS, 4);
         // At full load repeats add to what is too much already: the same arrivals are served worse.
-        double without = RUNS.run(calm.rate(200), List.of(1L)).get(0).service();
-        double with = RUNS.run(eager.rate(200), List.of(1L)).get(0).service();
+        double without = RUNS.run(calm.withRequestsPerSecond(200), List.of(1L)).get(0).service();
+        double with = RUNS.run(eager.withRequestsPerSecond(200), List.of(1L)).get(0).service();
         assertTrue(with < without, with + " with repeats, " + without + " without");
     }
 
     @Test
     void clientsRetriesTurnALossIntoAJamThatStaysAfterIt() throws ConfigException {
         // Tries are given up after 0.45 s, and what runs runs on: repeats are work for nothing.
-        Model calm = fleet(site("2000/s", ""), machines(10, 60, 0), 100, READS, 0).length(60 * SECOND);
-        Model m = fleet(site("2000/s", ""), machines(10, 60, 0), 100, READS, 6).length(60 * SECOND);
+        Model calm = fleet(site("2000/s", ""), machines(10, 60, 0), 100, READS, 0).withDurationNs(60 * SECOND);
+        Model m = fleet(site("2000/s", ""), machines(10, 60, 0), 100, READS, 6).withDurationNs(60 * SECOND);
         Model eager = new Model(m.site(), m.settleNs(), m.durationNs(), m.rampNs(), m.controllerZones(), m.proxyZones(),
                 m.proxyWeights(), m.backends(), m.rosterDelayNs(), m.sameZoneDelayNs(), m.crossZoneDelayNs(), m.requestsPerSecond(), m.classShares(),
                 m.workSeconds(), m.workCv(), m.maxClientRetries(), m.retryBackoffNs(), 0.3, m.faults());
