--- a/src/main/java/rowanmoor/cli/Commands.java
+++ b/src/main/java/rowanmoor/cli/Commands.java
@@ -322,8 +322,8 @@
     @Command(name = "emulate", description = "Plays a day file in the emulator and tells what clients met.")
     int emulate(@Parameters(paramLabel = "FILE") Path file,
             @Option(names = "--seed", defaultValue = "1") long seed) throws ConfigException {
-        EmulatorModels.Modelled modelled = EmulatorModels.of(DayFile.read(file), seed);
-        modelled.leftOut().forEach(l -> out().println("left out: " + l));
+        EmulatorModels.Conversion modelled = EmulatorModels.of(DayFile.read(file), seed);
+        modelled.skippedTroubles().forEach(l -> out().println("left out: " + l));
         long before = System.nanoTime();
         Outcome outcome = Emulator.run(modelled.model(), seed);
         double seconds = (System.nanoTime() - before) / 1e9;
@@ -348,11 +348,11 @@
 
     /** Writes the bench's day as a day file, and says what of it cannot be played. */
     private Path convert(Path bench, double scale, Path directory) throws IOException {
-        BenchDayConverter.Converted converted = BenchDayConverter.convert(bench, scale);
+        BenchDayConverter.Conversion converted = BenchDayConverter.convert(bench, scale);
         Path file = directory.resolve("from-bench.kdl");
         Files.writeString(file, converted.text());
         out().println("day file: " + file);
-        converted.leftOut().forEach(l -> out().println("left out: " + l));
+        converted.skippedTroubles().forEach(l -> out().println("left out: " + l));
         out().flush();
         return file;
     }
@@ -363,10 +363,10 @@
             @Option(names = "--seconds", defaultValue = "10") int seconds,
             @Option(names = "--seed", defaultValue = "1") long seed) {
         long end = System.nanoTime() + seconds * 1_000_000_000L;
-        Fuzzer.Found found = new Fuzzer(target, seed).run(Long.MAX_VALUE, () -> System.nanoTime() < end);
+        Fuzzer.Result found = new Fuzzer(target, seed).run(Long.MAX_VALUE, () -> System.nanoTime() < end);
         out().printf("%s, seed %d: %d inputs, %d refused, at most %d bytes allocated for one%n", target, seed,
-                found.inputs(), found.refused(), found.mostAllocated());
-        found.refusals().forEach((why, times) -> out().printf("%10d  %s%n", times, why));
+                found.inputs(), found.rejected(), found.maxAllocatedBytes());
+        found.rejections().forEach((why, times) -> out().printf("%10d  %s%n", times, why));
         out().println(found.failure() == null ? "nothing found" : "FAILED: " + found.failure());
         out().flush();
         return found.failure() == null ? 0 : 1;
--- a/src/main/java/rowanmoor/cli/PlanCommand.java
+++ b/src/main/java/rowanmoor/cli/PlanCommand.java
@@ -206,8 +206,8 @@
         if (System.getProperty(Commands.LOG_LEVEL) == null) {
             System.setProperty(Commands.LOG_LEVEL, "OFF");
         }
-        List<Trial> trials = new ForecastVerifier(new Goal(service, worst), simulated ? ForecastVerifier.Ways.SIMULATED
-                : ForecastVerifier.Ways.SOCKETS, seconds * SECOND, abreast, directory, line -> say("%s",
+        List<Trial> trials = new ForecastVerifier(new Goal(service, worst), simulated ? ForecastVerifier.RunMode.SIMULATED
+                : ForecastVerifier.RunMode.SOCKETS, seconds * SECOND, abreast, directory, line -> say("%s",
                         line)).run(all);
         String table = ForecastVerifier.table(trials);
         Files.writeString(directory.resolve("accuracy.txt"), table);
--- a/src/main/java/rowanmoor/lab/BenchDayConverter.java
+++ b/src/main/java/rowanmoor/lab/BenchDayConverter.java
@@ -19,7 +19,7 @@
 public final class BenchDayConverter {
 
     /** The file's text, and a line for each trouble left out. */
-    public record Converted(String text, List<String> leftOut) { }
+    public record Conversion(String text, List<String> skippedTroubles) { }
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final double MICROS = 1e6;
@@ -35,7 +35,7 @@
     }
 
     /** @param scale part of the fleet and the rate to keep, above 0 and up to 1 */
-    public static Converted convert(Path file, double scale) throws IOException {
+    public static Conversion convert(Path file, double scale) throws IOException {
         JsonNode day = JSON.readTree(Files.readString(file));
         if (day == null || !day.path("family").asText().equals("control") || !day.has("troubles")) {
             throw new IOException(file + ": family: is no day of a control service");
@@ -57,7 +57,7 @@
         return String.join(" ", all);
     }
 
-    private Converted converted() {
+    private Conversion converted() {
         JsonNode tier = day.get("tiers").get(0);
         int proxies = Math.max(2, (int) Math.round(day.get("balancers").size() * scale));
         line("day \"%s %s\" {", day.path("site").asText(), day.path("kind").asText());
@@ -73,7 +73,7 @@
         day.get("troubles").forEach(this::trouble);
         line("}");
         leftOut.forEach(l -> line("// left out: %s", l));
-        return new Converted(out.toString(), List.copyOf(leftOut));
+        return new Conversion(out.toString(), List.copyOf(leftOut));
     }
 
     private void site(JsonNode tier, int proxies) {
--- a/src/main/java/rowanmoor/lab/Charts.java
+++ b/src/main/java/rowanmoor/lab/Charts.java
@@ -91,7 +91,7 @@
         List<Frame.Level> all = order instanceof Frame.Admit a ? List.of(a.level())
                 : order instanceof Frame.Bind b ? b.table().levels() : List.of();
         for (Frame.Level level : all) {
-            for (int c = 0; c < played.met().size(); c++) {
+            for (int c = 0; c < played.classTotals().size(); c++) {
                 if ((level.classMask() >> c & 1) == 1 && level.level() < OPEN) {
                     double[] its = levels.computeIfAbsent(played.day().site().classNames().get(c),
                             k -> new double[seconds]);
--- a/src/main/java/rowanmoor/lab/DayFile.java
+++ b/src/main/java/rowanmoor/lab/DayFile.java
@@ -28,13 +28,13 @@
  */
 public record DayFile(String name, long seed, long length, long settle, Site site,
         List<Integer> controllerZones,
-        int proxies, double proxySkew, List<Group> groups, long notice, long rosterWait, long emptyHold,
+        int proxies, double proxySkew, List<BackendGroup> groups, long notice, long rosterWait, long emptyHold,
         double rate, long rise, double swing, long swingOver, double[] shares, double[] work,
                 Clients.RetryPolicy habits,
         List<Trouble> troubles, Map<String, Double> expectations) {
 
     /** Backends of one kind, in one zone or (-1) spread over all. */
-    public record Group(int kind, int zone, int count, double weight, int connections,
+    public record BackendGroup(int kind, int zone, int count, double weight, int connections,
             BackendModel.Spec spec) { }
 
     private static final String WHOLE = "service";
@@ -55,7 +55,7 @@
             }
             controllers.add(Math.max(0, site.zones().indexOf(zone)));
         }
-        List<Group> groups = new ArrayList<>();
+        List<BackendGroup> groups = new ArrayList<>();
         for (Section b : f.sections("backends")) {
             groups.add(group(b, site));
         }
@@ -101,7 +101,7 @@
         return day;
     }
 
-    private static Group group(Section b, Site site) {
+    private static BackendGroup group(Section b, Site site) {
         int kind = site.kinds().indexOf(b.label());
         if (kind < 0) {
             b.addProblem("", "is not a kind of the site");
@@ -115,7 +115,7 @@
         if (b.has("zone") && zone < 0) {
             b.addProblem("zone", "is not a zone of the site");
         }
-        Group group = new Group(Math.max(0, kind), zone, b.integer("count", 1, 10000),
+        BackendGroup group = new BackendGroup(Math.max(0, kind), zone, b.integer("count", 1, 10000),
                 b.number("weight", 0.001, 1e6, 1), b.integer("connections", 1, 100000, 1000), spec);
         b.rejectUnknownKeys();
         return group;
@@ -179,14 +179,14 @@
     }
 
     /** The same day at another rate, of another length, without troubles and swing. */
-    public DayFile calm(double otherRate, long otherLength) {
+    public DayFile withoutTroubles(double otherRate, long otherLength) {
         return new DayFile(name, seed, otherLength, settle, site, controllerZones, proxies, proxySkew, groups,
                 notice, rosterWait, emptyHold, otherRate, rise, 0, swingOver, shares, work, habits, List.of(),
                 Map.of());
     }
 
     /** Another rate, length and mix, so many backends in the same proportions, with or without troubles. */
-    public DayFile variant(double otherRate, long otherLength, double[] otherShares, int backends,
+    public DayFile withVariant(double otherRate, long otherLength, double[] otherShares, int backends,
             boolean withTroubles) {
         return new DayFile(name, seed, otherLength, settle, site, controllerZones, proxies, proxySkew,
                 sized(backends), notice, rosterWait, emptyHold, otherRate, rise, swing, swingOver,
@@ -195,7 +195,7 @@
     }
 
     /** So many backends, dealt to groups in proportion: what rounding leaves goes to the largest rests. */
-    private List<Group> sized(int backends) {
+    private List<BackendGroup> sized(int backends) {
         int now = backendCount();
         if (backends == now) {
             return groups;
@@ -217,11 +217,11 @@
             counts[most]++;
             rests[most] = -1;
         }
-        List<Group> all = new ArrayList<>();
+        List<BackendGroup> all = new ArrayList<>();
         for (int g = 0; g < counts.length; g++) {
-            Group its = groups.get(g);
+            BackendGroup its = groups.get(g);
             if (counts[g] > 0) {
-                all.add(new Group(its.kind(), its.zone(), counts[g], its.weight(), its.connections(),
+                all.add(new BackendGroup(its.kind(), its.zone(), counts[g], its.weight(), its.connections(),
                         its.spec()));
             }
         }
@@ -230,7 +230,7 @@
 
     /** How many backends there are. */
     public int backendCount() {
-        return groups.stream().mapToInt(Group::count).sum();
+        return groups.stream().mapToInt(BackendGroup::count).sum();
     }
 
     /** Requests a second over the day, bursts in it. */
--- a/src/main/java/rowanmoor/lab/DayReport.java
+++ b/src/main/java/rowanmoor/lab/DayReport.java
@@ -34,8 +34,8 @@
         }
         line(text, "%n%-16s %8s %8s %6s %7s %8s %10s %10s", "class", "offered", "good", "late", "failed",
                 "service", "p50 ms", "p99 ms");
-        for (int c = 0; c < played.met().size(); c++) {
-            Clients.ClassStats met = played.met().get(c);
+        for (int c = 0; c < played.classTotals().size(); c++) {
+            Clients.ClassStats met = played.classTotals().get(c);
             line(text, "%-16s %8d %8d %6d %7d %8.3f %10.1f %10.1f", day.site().classNames().get(c),
                     met.offered,
                     met.good, met.late, met.failed, played.service(c),
@@ -44,11 +44,11 @@
         }
         line(text, "%-16s %8s %8s %6s %7s %8.3f", "all, by worth", "", "", "", "", played.service(-1));
         changes(text, played);
-        line(text, "most sent to a cold backend: %.2f of its capacity (it falls at %.2f)", played.worstPush(),
+        line(text, "most sent to a cold backend: %.2f of its capacity (it falls at %.2f)", played.worstColdOverload(),
                 day.site().rules().overloadFactor());
         stats(text, played);
         played.faults().forEach(f -> line(text, "fault: %s", f));
-        played.unmet().forEach(u -> line(text, "expectation: %s", u));
+        played.unmetExpectations().forEach(u -> line(text, "expectation: %s", u));
         line(text, "%n%s", played.passed() ? "passed" : "FAILED");
         return text.toString();
     }
@@ -58,7 +58,7 @@
     }
 
     private static void changes(StringBuilder text, DayResult played) {
-        List<Double> took = new ArrayList<>(played.changeMillis());
+        List<Double> took = new ArrayList<>(played.changeLatenciesMs());
         took.sort(null);
         if (!took.isEmpty()) {
             line(text, "%nfrom a roster change to the last proxy's next message: %d changes, p50 %.0f ms,"
--- a/src/main/java/rowanmoor/lab/EmulatorModels.java
+++ b/src/main/java/rowanmoor/lab/EmulatorModels.java
@@ -15,14 +15,14 @@
     private EmulatorModels() { }
 
     /** A model, and a line for each trouble that was left out. */
-    public record Modelled(Model model, List<String> leftOut) { }
+    public record Conversion(Model model, List<String> skippedTroubles) { }
 
     /** The day with its troubles; victims are drawn from the seed. */
-    public static Modelled of(DayFile day, long seed) {
+    public static Conversion of(DayFile day, long seed) {
         int zones = day.site().zones().size();
         List<Model.BackendSpec> machines = new ArrayList<>();
         int number = 0;
-        for (DayFile.Group group : day.groups()) {
+        for (DayFile.BackendGroup group : day.groups()) {
             for (int i = 0; i < group.count(); i++) {
                 int zone = group.zone() >= 0 ? group.zone() : number % zones;
                 number++;
@@ -48,7 +48,7 @@
                 troubles.add(its);
             }
         }
-        return new Modelled(new Model(day.site(), day.settle(), day.length(), day.rise(),
+        return new Conversion(new Model(day.site(), day.settle(), day.length(), day.rise(),
                 day.controllerZones(),
                 proxyZones,
                 weights, List.copyOf(machines), day.notice(), MILLI / 5, MILLI, day.rate(), day.shares(),
--- a/src/main/java/rowanmoor/lab/Experiment.java
+++ b/src/main/java/rowanmoor/lab/Experiment.java
@@ -55,9 +55,9 @@
         }
     }
 
-    /** All that was played. {@code found} has the rate that each variant's search came to,
+    /** All that was played. {@code failingRates} has the rate that each variant's search came to,
             if one was asked. */
-    public record Grid(String name, List<Cell> cells, Map<Variant, Double> found, int played, int kept) { }
+    public record Grid(String name, List<Cell> cells, Map<Variant, Double> failingRates, int played, int cached) { }
 
     private record Fleet(String name, Path file, byte[] bytes, DayFile day) { }
 
@@ -182,7 +182,7 @@
 
     private DayFile day(Variant v, double rate) {
         DayFile day = fleet(v).day();
-        return day.variant(rate, length == 0 ? day.length() : length, v.mix().isEmpty() ? day.shares()
+        return day.withVariant(rate, length == 0 ? day.length() : length, v.mix().isEmpty() ? day.shares()
                 : mixes.get(v.mix()), v.backends(), v.troubles());
     }
 
@@ -291,7 +291,7 @@
                 if (!run1.faults().isEmpty()) {
                     throw new IOException(run1.faults().get(0));
                 }
-                return result(run1.seen());
+                return result(run1.outcome());
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             } catch (InterruptedException e) {
@@ -314,7 +314,7 @@
     /** A table for people. */
     public static String table(Grid grid) {
         StringBuilder text = new StringBuilder(String.format(Locale.ROOT,
-                "%s: %d runs played, %d kept from before%n", grid.name(), grid.played(), grid.kept()));
+                "%s: %d runs played, %d kept from before%n", grid.name(), grid.played(), grid.cached()));
         text.append(String.format("%-44s %10s %26s %10s %9s %8s%n", "variant", "rate", "service (95%)",
                 "worst 10 s", "busiest", "lines"));
         for (Cell c : grid.cells()) {
@@ -324,7 +324,7 @@
                     c.interval(Result::worst).mean(), c.interval(Result::busiest).mean(),
                     c.interval(Result::mostLines).mean()));
         }
-        grid.found().forEach((variant, rate) -> text.append(String.format(Locale.ROOT,
+        grid.failingRates().forEach((variant, rate) -> text.append(String.format(Locale.ROOT,
                 "%-44s %s%n", variant, rate == 0 ? "fails at the lowest rate"
                         : rate == Double.POSITIVE_INFINITY
                         ? "holds at the highest rate" : String.format(Locale.ROOT, "fails at %.1f/s",
--- a/src/main/java/rowanmoor/lab/ForecastVerifier.java
+++ b/src/main/java/rowanmoor/lab/ForecastVerifier.java
@@ -33,14 +33,14 @@
 public final class ForecastVerifier {
 
     /** How steps are played: on loopback sockets with processes, or on the network in memory. */
-    public enum Ways { SOCKETS, SIMULATED }
+    public enum RunMode { SOCKETS, SIMULATED }
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int FORECAST_SEEDS = 3;
     private static final int LISTED = 3;
 
     private final Goal goal;
-    private final Ways ways;
+    private final RunMode ways;
     private final long length;
     private final int abreast;
     private final Path directory;
@@ -51,7 +51,7 @@
      * @param abreast how many fleets are played at a time
      * @param directory for forecasts, results and what the runs leave
      */
-    public ForecastVerifier(Goal goal, Ways ways, long length, int abreast, Path directory,
+    public ForecastVerifier(Goal goal, RunMode ways, long length, int abreast, Path directory,
             Consumer<String> progress) {
         this.goal = goal;
         this.ways = ways;
@@ -100,7 +100,7 @@
     }
 
     private Model model(DayFile day, double rate) {
-        return EmulatorModels.of(day.calm(rate, length), day.seed()).model();
+        return EmulatorModels.of(day.withoutTroubles(rate, length), day.seed()).model();
     }
 
     private Trial.Forecast forecast(DayFile day) {
@@ -113,9 +113,9 @@
     private void steps(Fleet fleet, Trial trial) throws IOException, InterruptedException {
         int number = 0;
         for (double rate = trial.nextRate(); rate > 0; rate = trial.nextRate()) {
-            DayFile day = fleet.day().calm(rate, length).seed(fleet.day().seed() + number);
+            DayFile day = fleet.day().withoutTroubles(rate, length).seed(fleet.day().seed() + number);
             DayResult played;
-            if (ways == Ways.SIMULATED) {
+            if (ways == RunMode.SIMULATED) {
                 played = DayRunner.simulate(day);
             } else {
                 Path own = directory.resolve(fleet.day().name().replace(' ', '-') + "-" + number);
@@ -126,8 +126,8 @@
             if (!played.faults().isEmpty()) {
                 throw new IOException(fleet.file() + ": " + played.faults().get(0));
             }
-            Trial.Step step = new Trial.Step(rate, played.seen().service(), goal.isMet(played.seen()),
-                    Diagnosis.of(model(day, rate), played.seen()));
+            Trial.Step step = new Trial.Step(rate, played.outcome().service(), goal.isMet(played.outcome()),
+                    Diagnosis.of(model(day, rate), played.outcome()));
             trial.recordStep(step);
             progress.accept(String.format(Locale.ROOT, "%s: %.1f/s, service %.3f, %s", fleet.day().name(),
                     rate, step.service(), words(step.findings())));
--- a/src/main/java/rowanmoor/lab/Fuzzer.java
+++ b/src/main/java/rowanmoor/lab/Fuzzer.java
@@ -39,7 +39,7 @@
     }
 
     /** What a run found; {@code failure} is null if nothing. */
-    public record Found(long inputs, long refused, Map<String, Long> refusals, long mostAllocated,
+    public record Result(long inputs, long rejected, Map<String, Long> rejections, long maxAllocatedBytes,
             String failure) { }
 
     private static final ChannelLimits CHANNEL_LIMITS = new ChannelLimits(1 << 16, 512, 64);
@@ -62,7 +62,7 @@
     }
 
     /** Tries inputs until a count is reached or this answers false. */
-    public Found run(long inputs, java.util.function.BooleanSupplier goOn) {
+    public Result run(long inputs, java.util.function.BooleanSupplier goOn) {
         var threads = (com.sun.management.ThreadMXBean) java.lang.management.ManagementFactory
                 .getThreadMXBean();
         long most = 0;
@@ -75,18 +75,18 @@
             try {
                 whole = story(input, input.length);
             } catch (RuntimeException | StackOverflowError e) {
-                return new Found(tried, refused, refusals, most, e + " on " + hex(input));
+                return new Result(tried, refused, refusals, most, e + " on " + hex(input));
             }
             long allocated = threads.getCurrentThreadAllocatedBytes() - before;
             most = Math.max(most, allocated);
             if (allocated > ALLOCATION_MOST) {
-                return new Found(tried, refused, refusals, most, allocated + " bytes on " + hex(input));
+                return new Result(tried, refused, refusals, most, allocated + " bytes on " + hex(input));
             }
             if (target != Target.KDL && !whole.equals(story(input, 1 + random.nextInt(16)))) {
-                return new Found(tried, refused, refusals, most, "pieces differ on " + hex(input));
+                return new Result(tried, refused, refusals, most, "pieces differ on " + hex(input));
             }
         }
-        return new Found(tried, refused, refusals, most, null);
+        return new Result(tried, refused, refusals, most, null);
     }
 
     private static String hex(byte[] input) {
--- a/src/main/java/rowanmoor/lab/Ground.java
+++ b/src/main/java/rowanmoor/lab/Ground.java
@@ -101,7 +101,7 @@
         roster = new RosterServer(stage, anyPort(), "backends");
         SplittableRandom random = random(2);
         int number = 0;
-        for (DayFile.Group group : day.groups()) {
+        for (DayFile.BackendGroup group : day.groups()) {
             for (int i = 0; i < group.count(); i++) {
                 BackendServer server = new BackendServer(stage, anyPort(), group.spec(), group.connections(),
                         random.split(), ledger);
--- a/src/test/java/rowanmoor/lab/BenchDayTest.java
+++ b/src/test/java/rowanmoor/lab/BenchDayTest.java
@@ -42,8 +42,8 @@
     void aDayIsConvertedScaledAndPlayedAndWhatCannotBeIsNamed(@TempDir Path dir) throws IOException, ConfigException {
         Path json = dir.resolve("day.json");
         Files.writeString(json, DAY);
-        BenchDayConverter.Converted converted = BenchDayConverter.convert(json, 0.5);
-        assertEquals(List.of("neighbour at 1000ms for 3000ms: no stand-in plays it"), converted.leftOut());
+        BenchDayConverter.Conversion converted = BenchDayConverter.convert(json, 0.5);
+        assertEquals(List.of("neighbour at 1000ms for 3000ms: no stand-in plays it"), converted.skippedTroubles());
         DayFile day = TestDays.of(converted.text());
         assertEquals(4, day.proxies());
         assertEquals(5, day.backendCount());
--- a/src/test/java/rowanmoor/lab/ExperimentTest.java
+++ b/src/test/java/rowanmoor/lab/ExperimentTest.java
@@ -36,7 +36,7 @@
         assertEquals(first.cells(), again.cells());
         Experiment.Grid more = Experiment.read(file("\"50/s\" \"100/s\" \"600/s\"")).run(store, line -> { });
         assertEquals(4, more.played());
-        assertEquals(8, more.kept());
+        assertEquals(8, more.cached());
         double calm = more.cells().get(0).interval(Experiment.Result::service).mean();
         double jammed = more.cells().get(2).interval(Experiment.Result::service).mean();
         double larger = more.cells().get(5).interval(Experiment.Result::service).mean();
@@ -62,7 +62,7 @@
                 """);
         Path store = dir.resolve("s.mv");
         Experiment.Grid grid = Experiment.read(file).run(store, line -> { });
-        double[] found = grid.found().values().stream().mapToDouble(v -> v).toArray();
+        double[] found = grid.failingRates().values().stream().mapToDouble(v -> v).toArray();
         assertEquals(2, found.length);
         assertTrue(found[0] > 200 && found[1] > 1.5 * found[0] && found[1] < 2000, Experiment.table(grid));
         assertEquals(0, Experiment.read(file).run(store, line -> { }).played());
--- a/src/test/java/rowanmoor/lab/FuzzTest.java
+++ b/src/test/java/rowanmoor/lab/FuzzTest.java
@@ -12,9 +12,9 @@
     @ParameterizedTest
     @EnumSource(Fuzzer.Target.class)
     void noMutantBreaksAParser(Fuzzer.Target target) {
-        Fuzzer.Found found = new Fuzzer(target, 42).run(10_000, () -> true);
+        Fuzzer.Result found = new Fuzzer(target, 42).run(10_000, () -> true);
         assertNull(found.failure());
-        assertTrue(found.refused() > 1000 && found.refused() < 10_000, found.refused() + " refused");
-        assertTrue(found.refusals().size() >= 8, found.refusals().toString());
+        assertTrue(found.rejected() > 1000 && found.rejected() < 10_000, found.rejected() + " refused");
+        assertTrue(found.rejections().size() >= 8, found.rejections().toString());
     }
 }
