--- a/src/main/java/rowanmoor/lab/Verifier.java
+++ b/src/main/java/rowanmoor/lab/ForecastVerifier.java
@@ -30,17 +30,17 @@
  * Holds the planner's forecasts against stand-ins, proxies and controllers that run. All forecasts are made
  * and written down, with a hash of each fleet's file, before the first step is played.
  */
-public final class Verifier {
+public final class ForecastVerifier {
 
     /** How steps are played: on loopback sockets with processes, or on the network in memory. */
-    public enum Ways { SOCKETS, SIMULATED }
+    public enum RunMode { SOCKETS, SIMULATED }
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int FORECAST_SEEDS = 3;
     private static final int LISTED = 3;
 
     private final Goal goal;
-    private final Ways ways;
+    private final RunMode ways;
     private final long length;
     private final int abreast;
     private final Path directory;
@@ -51,7 +51,7 @@
      * @param abreast how many fleets are played at a time
      * @param directory for forecasts, results and what the runs leave
      */
-    public Verifier(Goal goal, Ways ways, long length, int abreast, Path directory,
+    public ForecastVerifier(Goal goal, RunMode ways, long length, int abreast, Path directory,
             Consumer<String> progress) {
         this.goal = goal;
         this.ways = ways;
@@ -100,35 +100,35 @@
     }
 
     private Model model(DayFile day, double rate) {
-        return Models.of(day.calm(rate, length), day.seed()).model();
+        return EmulatorModels.of(day.withoutTroubles(rate, length), day.seed()).model();
     }
 
     private Trial.Forecast forecast(DayFile day) {
         Planner planner = new Planner(goal, (m, which) -> which.parallelStream().map(s ->
-                Emulator.play(m, s)).toList(), FORECAST_SEEDS);
-        Planner.Breaks breaks = planner.whatBreaks(model(day, day.rate()));
+                Emulator.run(m, s)).toList(), FORECAST_SEEDS);
+        Planner.BreakingPoint breaks = planner.findBreakingPoint(model(day, day.rate()));
         return new Trial.Forecast(day.name(), breaks.rate(), breaks.findings());
     }
 
     private void steps(Fleet fleet, Trial trial) throws IOException, InterruptedException {
         int number = 0;
-        for (double rate = trial.next(); rate > 0; rate = trial.next()) {
-            DayFile day = fleet.day().calm(rate, length).seed(fleet.day().seed() + number);
-            Played played;
-            if (ways == Ways.SIMULATED) {
-                played = Player.simulate(day);
+        for (double rate = trial.nextRate(); rate > 0; rate = trial.nextRate()) {
+            DayFile day = fleet.day().withoutTroubles(rate, length).seed(fleet.day().seed() + number);
+            DayResult played;
+            if (ways == RunMode.SIMULATED) {
+                played = DayRunner.simulate(day);
             } else {
                 Path own = directory.resolve(fleet.day().name().replace(' ', '-') + "-" + number);
                 Files.createDirectories(own);
-                played = Player.play(day, fleet.file(), own);
+                played = DayRunner.runOnSockets(day, fleet.file(), own);
             }
             number++;
             if (!played.faults().isEmpty()) {
                 throw new IOException(fleet.file() + ": " + played.faults().get(0));
             }
-            Trial.Step step = new Trial.Step(rate, played.seen().service(), goal.kept(played.seen()),
-                    Diagnosis.of(model(day, rate), played.seen()));
-            trial.played(step);
+            Trial.Step step = new Trial.Step(rate, played.outcome().service(), goal.isMet(played.outcome()),
+                    Diagnosis.of(model(day, rate), played.outcome()));
+            trial.recordStep(step);
             progress.accept(String.format(Locale.ROOT, "%s: %.1f/s, service %.3f, %s", fleet.day().name(),
                     rate, step.service(), words(step.findings())));
         }
@@ -167,7 +167,7 @@
             put(one, trial.forecast());
             for (Trial.Step step : trial.steps()) {
                 ObjectNode its = one.withArray("steps").addObject().put("rate", step.rate())
-                        .put("service", step.service()).put("kept", step.kept());
+                        .put("service", step.service()).put("kept", step.goalMet());
                 step.findings().stream().limit(LISTED).forEach(its.withArray("findings")::addPOJO);
             }
             one.putPOJO("verdict", trial.verdict());
@@ -182,7 +182,7 @@
     }
 
     private static String words(List<Finding> findings) {
-        return findings.isEmpty() ? "nothing" : findings.get(0).resource() + ", " + findings.get(0).place()
+        return findings.isEmpty() ? "nothing" : findings.get(0).resource() + ", " + findings.get(0).location()
                 + " (" + findings.get(0).evidence() + ")";
     }
 
@@ -195,17 +195,17 @@
         for (Trial trial : trials) {
             Trial.Verdict v = trial.verdict();
             Trial.Forecast f = trial.forecast();
-            right += v.rateRight() && v.failureRight() ? 1 : 0;
+            right += v.rateMatches() && v.resourceMatches() ? 1 : 0;
             text.append(String.format(Locale.ROOT, "%-26s %8.1f/s %6.1f/s %+6.1f%% %-6s %-38s %-38s %s%n",
-                    f.fleet(), f.rate().mean(), v.rate(), 100 * v.off(), v.rateRight() ? "" : "MISSED",
-                    name(f.findings().isEmpty() ? null : f.findings().get(0)), name(v.seen()),
-                    v.failureRight() ? "" : "MISSED"));
+                    f.fleet(), f.rate().mean(), v.rate(), 100 * v.relativeError(), v.rateMatches() ? "" : "MISSED",
+                    name(f.findings().isEmpty() ? null : f.findings().get(0)), name(v.observed()),
+                    v.resourceMatches() ? "" : "MISSED"));
         }
         return text.append(String.format("%d of %d forecasts right in rate and failure%n", right,
                 trials.size())).toString();
     }
 
     private static String name(Finding finding) {
-        return finding == null ? "nothing" : finding.resource() + ", " + finding.place();
+        return finding == null ? "nothing" : finding.resource() + ", " + finding.location();
     }
 }
--- a/src/main/java/rowanmoor/lab/Fuzz.java
+++ b/src/main/java/rowanmoor/lab/Fuzzer.java
@@ -25,7 +25,7 @@
  * parser's own error; the same bytes in other pieces give the same; and no more is allocated than the
  * limits allow.
  */
-public final class Fuzz {
+public final class Fuzzer {
 
     /** What can be fuzzed. */
     public enum Target {
@@ -39,7 +39,7 @@
     }
 
     /** What a run found; {@code failure} is null if nothing. */
-    public record Found(long inputs, long refused, Map<String, Long> refusals, long mostAllocated,
+    public record Result(long inputs, long rejected, Map<String, Long> rejections, long maxAllocatedBytes,
             String failure) { }
 
     private static final ChannelLimits CHANNEL_LIMITS = new ChannelLimits(1 << 16, 512, 64);
@@ -55,14 +55,14 @@
     private final Map<String, Long> refusals = new TreeMap<>();
     private long refused;
 
-    public Fuzz(Target target, long seed) {
+    public Fuzzer(Target target, long seed) {
         this.target = target;
         this.random = new SplittableRandom(seed);
         this.corpus = corpus(target);
     }
 
     /** Tries inputs until a count is reached or this answers false. */
-    public Found run(long inputs, java.util.function.BooleanSupplier goOn) {
+    public Result run(long inputs, java.util.function.BooleanSupplier goOn) {
         var threads = (com.sun.management.ThreadMXBean) java.lang.management.ManagementFactory
                 .getThreadMXBean();
         long most = 0;
@@ -75,18 +75,18 @@
             try {
                 whole = story(input, input.length);
             } catch (RuntimeException | StackOverflowError e) {
-                return new Found(tried, refused, refusals, most, e + " on " + hex(input));
+                return new Result(tried, refused, refusals, most, e + " on " + hex(input));
             }
             long allocated = threads.getCurrentThreadAllocatedBytes() - before;
             most = Math.max(most, allocated);
             if (allocated > ALLOCATION_MOST) {
-                return new Found(tried, refused, refusals, most, allocated + " bytes on " + hex(input));
+                return new Result(tried, refused, refusals, most, allocated + " bytes on " + hex(input));
             }
             if (target != Target.KDL && !whole.equals(story(input, 1 + random.nextInt(16)))) {
-                return new Found(tried, refused, refusals, most, "pieces differ on " + hex(input));
+                return new Result(tried, refused, refusals, most, "pieces differ on " + hex(input));
             }
         }
-        return new Found(tried, refused, refusals, most, null);
+        return new Result(tried, refused, refusals, most, null);
     }
 
     private static String hex(byte[] input) {
@@ -200,7 +200,7 @@
 
     private static List<byte[]> corpus(Target target) {
         return switch (target) {
-            case CHANNEL -> frames().stream().map(f -> Codec.encode(f).array()).map(Fuzz::trimmed).toList();
+            case CHANNEL -> frames().stream().map(f -> Codec.encode(f).array()).map(Fuzzer::trimmed).toList();
             case HTTP_REQUEST -> texts("GET /a/1?x=y HTTP/1.1\r\nHost: h\r\nConnection: keep-alive\r\n\r\n",
                     "POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello",
                     "POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/src/main/java/rowanmoor/proxy/ReportQueue.java
+++ b/src/main/java/rowanmoor/proxy/ReportQueue.java
@@ -6,54 +6,61 @@
 import rowanmoor.channel.Frame;
 
 /**
- * A proxy's half of report acknowledgement: numbers reports within the process and keeps each until a
- * controller has acknowledged it. What is under way when a stream breaks is sent again on the next one. No
- * I/O.
+ * The proxy's side of report acknowledgement: numbers reports within the process and keeps each until a
+ * controller has acknowledged it. Reports in transit when a stream breaks are sent again on the next one.
+ * Does no I/O.
  *
- * <p>At most {@value #UNACKNOWLEDGED_MOST} reports wait. Beyond that counts stay in the tallies, so that the
- * next report covers a longer span and nothing is lost.
+ * <p>At most {@value #MAX_UNACKNOWLEDGED} reports wait. Beyond that, counts stay in the tallies, so that the
+ * next report covers a longer span and no count is lost.
  */
 final class ReportQueue {
 
-    static final int UNACKNOWLEDGED_MOST = 8;
+    static final int MAX_UNACKNOWLEDGED = 8;
 
     private final Tallies tallies;
     private final ArrayDeque<Frame.NumberedReport> unacknowledged = new ArrayDeque<>();
-    private long lastNumber;
-    private long sentUpTo;
+    private long lastReportNumber;
+    private long lastSentNumber;
 
     ReportQueue(Tallies tallies) {
         this.tallies = tallies;
     }
 
-    /** Makes a report of what was counted since the last one, if there is anything and room for it. */
-    void cut(long now) {
-        if (unacknowledged.size() < UNACKNOWLEDGED_MOST) {
-            Frame.Report report = tallies.takeReport(now);
+    /** Queues a report of the counts since the last one, if there are any and the queue has room. */
+    void enqueueReport(long nowNs) {
+        if (unacknowledged.size() < MAX_UNACKNOWLEDGED) {
+            Frame.Report report = tallies.takeReport(nowNs);
             if (!report.tallies().isEmpty() || !report.usages().isEmpty()) {
-                unacknowledged.add(new Frame.NumberedReport(++lastNumber, report));
+                unacknowledged.add(new Frame.NumberedReport(++lastReportNumber, report));
             }
         }
     }
 
-    /** On a new stream all that is not acknowledged has to be sent again. */
-    void streamBegins() {
-        sentUpTo = unacknowledged.isEmpty() ? lastNumber : unacknowledged.peek().number() - 1;
+    /** On a new stream, all unacknowledged reports must be sent again. */
+    void onStreamOpened() {
+        lastSentNumber = unacknowledged.isEmpty() ? lastReportNumber : unacknowledged.peek().number() - 1;
     }
 
-    /** Sends what has not been sent on this stream, in order, as far as the stream takes it. */
-    void send(Predicate<Frame> stream) {
+    /**
+     * Sends, in order, the reports that have not been sent on this stream.
+     *
+     * @param stream sends a frame; false if it has no room, which ends this call
+     */
+    void sendPending(Predicate<Frame> stream) {
         for (Frame.NumberedReport report : unacknowledged) {
-            if (report.number() > sentUpTo) {
+            if (report.number() > lastSentNumber) {
                 if (!stream.test(report)) {
                     return;
                 }
-                sentUpTo = report.number();
+                lastSentNumber = report.number();
             }
         }
     }
 
-    /** The same towards a controller that acknowledges nothing: what its stream has taken is forgotten. */
+    /**
+     * Sends reports to a controller whose protocol has no acknowledgements; a report is dropped once the
+     * stream has taken it.
+     */
     void sendUnnumbered(Predicate<Frame> stream) {
         for (Iterator<Frame.NumberedReport> all = unacknowledged.iterator(); all.hasNext();) {
             if (!stream.test(all.next().report())) {
@@ -63,24 +70,24 @@
         }
     }
 
-    /** All reports up to a number were taken; false if there is none of that number yet. */
+    /** Drops the reports up to a number; returns false if that number has not been assigned yet. */
     boolean acknowledge(long upTo) {
-        if (upTo > lastNumber) {
+        if (upTo > lastReportNumber) {
             return false;
         }
-        sentUpTo = Math.max(sentUpTo, upTo);
+        lastSentNumber = Math.max(lastSentNumber, upTo);
         while (!unacknowledged.isEmpty() && unacknowledged.peek().number() <= upTo) {
             unacknowledged.poll();
         }
         return true;
     }
 
-    /** Whether all that was counted is acknowledged. */
+    /** Whether all counts are acknowledged. */
     boolean isSettled() {
         return unacknowledged.isEmpty() && tallies.isEmpty();
     }
 
-    int unacknowledged() {
+    int unacknowledgedCount() {
         return unacknowledged.size();
     }
 }
