--- a/src/main/java/rowanmoor/net/Connection.java
+++ b/src/main/java/rowanmoor/net/Connection.java
@@ -34,7 +34,8 @@
     private Timer idleTimer;
     private Timer connectTimer;
 
-    Connection(Loop loop, ByteStream stream, ConnectionHandler handler, Options options, boolean established) {
+    Connection(Loop loop, ByteStream stream, ConnectionHandler handler, Options options,
+            boolean established) {
         this.loop = loop;
         this.stream = stream;
         this.handler = handler;
@@ -333,7 +334,7 @@
                 queue.poll();
             }
             if (queue.isEmpty() && state == State.CLOSING) {
-                shutDownOutput();
+                finishClosing();
             }
         } catch (IOException e) {
             close(CloseReason.RESET, e.getMessage());
@@ -345,7 +346,7 @@
         }
     }
 
-    private void shutDownOutput() throws IOException {
+    private void finishClosing() throws IOException {
         if (inputEnded) {
             close(CloseReason.ENDED, "both sides closed");
         } else if (!outputEnded) {
