--- a/src/main/java/rowanmoor/discovery/Addresses.java
+++ b/src/main/java/rowanmoor/discovery/Addresses.java
@@ -11,7 +11,7 @@
     private Addresses() { }
 
     public static Backend toBackend(InetSocketAddress at) {
-        return RosterAnswer.backend(at);
+        return RosterResponse.toBackend(at);
     }
 
     public static InetSocketAddress toSocketAddress(Backend backend) {
--- a/src/main/java/rowanmoor/discovery/Prober.java
+++ b/src/main/java/rowanmoor/discovery/Prober.java
@@ -21,22 +21,22 @@
 public final class Prober {
 
     public static final int STATUS_OK = 10;
-    private static final int ERROR = 20;
-    private static final int FULL = 30;
-    private static final int TIMEOUT = 40;
+    private static final int STATUS_ERROR = 20;
+    private static final int STATUS_OVERLOADED = 30;
+    private static final int STATUS_TIMEOUT = 40;
     public static final int STATUS_UNREACHABLE = 50;
     public static final int STATUS_CONNECTION_LOST = 60;
-    private static final int BODY_MOST = 4096;
+    private static final int MAX_BODY_BYTES = 4096;
 
     private final Loop loop;
     private final String path;
-    private final long within;
-    private final int atOnce;
-    private final Function<Backend, InetSocketAddress> where;
-    private final Function<Message.Response, List<Double>> load;
-    private final Consumer<Probed> told;
-    private final LinkedHashSet<Backend> waiting = new LinkedHashSet<>();
-    private final ArrayDeque<Backend> working = new ArrayDeque<>();
+    private final long timeoutNs;
+    private final int maxConcurrent;
+    private final Function<Backend, InetSocketAddress> addressOf;
+    private final Function<Message.Response, List<Double>> loadParser;
+    private final Consumer<Probed> onProbed;
+    private final LinkedHashSet<Backend> queued = new LinkedHashSet<>();
+    private final ArrayDeque<Backend> active = new ArrayDeque<>();
 
     /**
      * @param where a backend's address now, or null if it has none
@@ -46,40 +46,40 @@
             Function<Message.Response, List<Double>> load, Consumer<Probed> told) {
         this.loop = loop;
         this.path = path;
-        this.within = within;
-        this.atOnce = atOnce;
-        this.where = where;
-        this.load = load;
-        this.told = told;
+        this.timeoutNs = within;
+        this.maxConcurrent = atOnce;
+        this.addressOf = where;
+        this.loadParser = load;
+        this.onProbed = told;
     }
 
     /** Probes a backend, now or when there is room; one that already waits is not asked twice. */
     public void probe(Backend backend) {
-        waiting.add(backend);
-        next();
+        queued.add(backend);
+        startQueued();
     }
 
-    private void next() {
-        while (working.size() < atOnce && !waiting.isEmpty()) {
-            Backend backend = waiting.iterator().next();
-            waiting.remove(backend);
-            working.add(backend);
-            ask(backend);
+    private void startQueued() {
+        while (active.size() < maxConcurrent && !queued.isEmpty()) {
+            Backend backend = queued.iterator().next();
+            queued.remove(backend);
+            active.add(backend);
+            sendProbe(backend);
         }
     }
 
-    private void ask(Backend backend) {
+    private void sendProbe(Backend backend) {
         long from = loop.now();
-        InetSocketAddress at = where.apply(backend);
+        InetSocketAddress at = addressOf.apply(backend);
         if (at == null) {
-            loop.after(0, () -> done(at, new Probed(backend, false, STATUS_UNREACHABLE, 0, List.of())));
+            loop.after(0, () -> finish(at, new Probed(backend, false, STATUS_UNREACHABLE, 0, List.of())));
             return;
         }
         ClientConnection connection = ClientConnection.open(loop, null, at,
-                Connection.Options.usual().connectWithin(within), Limits.usual().body(BODY_MOST), c -> { });
-        Timer patience = loop.after(within, () -> {
+                Connection.Options.usual().connectWithin(timeoutNs), Limits.usual().body(MAX_BODY_BYTES), c -> { });
+        Timer patience = loop.after(timeoutNs, () -> {
             connection.cancel();
-            done(at, new Probed(backend, false, TIMEOUT, loop.now() - from, List.of()));
+            finish(at, new Probed(backend, false, STATUS_TIMEOUT, loop.now() - from, List.of()));
         });
         connection.ask(Message.Request.get(path, "Host", at.getHostString() + ":" + at.getPort(),
                 "Connection", "close"),
@@ -88,26 +88,26 @@
                     public void answered(Message.Response response) {
                         patience.cancel();
                         connection.cancel(); // asked to close it, a backend may still leave it open
-                        int status = response.status() == 200 ? STATUS_OK : response.status() == 503 ? FULL : ERROR;
-                        done(at, new Probed(backend, status == STATUS_OK, status, loop.now() - from,
-                                load.apply(response)));
+                        int status = response.status() == 200 ? STATUS_OK : response.status() == 503 ? STATUS_OVERLOADED : STATUS_ERROR;
+                        finish(at, new Probed(backend, status == STATUS_OK, status, loop.now() - from,
+                                loadParser.apply(response)));
                     }
 
                     @Override
                     public void failed(boolean neverRan, Close why, String detail) {
                         patience.cancel();
-                        int status = why == Close.CONNECT_TIMEOUT ? TIMEOUT : neverRan ? STATUS_UNREACHABLE : STATUS_CONNECTION_LOST;
-                        done(at, new Probed(backend, false, status, loop.now() - from, List.of()));
+                        int status = why == Close.CONNECT_TIMEOUT ? STATUS_TIMEOUT : neverRan ? STATUS_UNREACHABLE : STATUS_CONNECTION_LOST;
+                        finish(at, new Probed(backend, false, status, loop.now() - from, List.of()));
                     }
                 });
     }
 
     /** One that has moved meanwhile was not asked: what is said at its old address says nothing of it. */
-    private void done(InetSocketAddress at, Probed probed) {
-        working.remove(probed.backend());
-        if (Objects.equals(at, where.apply(probed.backend()))) {
-            told.accept(probed);
+    private void finish(InetSocketAddress at, Probed probed) {
+        active.remove(probed.backend());
+        if (Objects.equals(at, addressOf.apply(probed.backend()))) {
+            onProbed.accept(probed);
         }
-        next();
+        startQueued();
     }
 }
--- a/src/main/java/rowanmoor/discovery/RosterClient.java
+++ b/src/main/java/rowanmoor/discovery/RosterClient.java
@@ -20,26 +20,26 @@
  */
 public final class RosterClient {
 
-    private static final int ANSWER_MOST = 16 << 20;
-    private static final long SLACK = 1_000_000_000L;
-    private static final long CONNECT_WITHIN = 1_000_000_000L;
-    private static final long LEAST_GAP = 20_000_000L;
+    private static final int MAX_RESPONSE_BYTES = 16 << 20;
+    private static final long RESPONSE_SLACK_NS = 1_000_000_000L;
+    private static final long CONNECT_TIMEOUT_NS = 1_000_000_000L;
+    private static final long MIN_QUERY_GAP_NS = 20_000_000L;
 
     private final Loop loop;
-    private final InetSocketAddress at;
+    private final InetSocketAddress address;
     private final String path;
-    private final String asker;
-    private final long wait;
+    private final String userAgent;
+    private final long waitNs;
     private final List<String> zones;
     private final List<String> kinds;
     private final RosterView view;
     private final LongSupplier wall;
-    private final Consumer<Members> told;
+    private final Consumer<Members> onMembers;
     private final Consumer<String> log;
     private ClientConnection connection;
-    private Timer patience;
+    private Timer responseTimer;
     private boolean watching;
-    private boolean asking;
+    private boolean queryPending;
     private long index;
 
     public RosterClient(Loop loop, InetSocketAddress at, String service, String asker, long wait,
@@ -47,15 +47,15 @@
             List<String> zones, List<String> kinds, LongSupplier wall, Consumer<Members> told,
             Consumer<String> log) {
         this.loop = loop;
-        this.at = at;
+        this.address = at;
         this.path = "/v1/health/service/" + service;
-        this.asker = asker;
-        this.wait = wait;
+        this.userAgent = asker;
+        this.waitNs = wait;
         this.zones = zones;
         this.kinds = kinds;
         this.view = new RosterView(emptyHold);
         this.wall = wall;
-        this.told = told;
+        this.onMembers = told;
         this.log = log;
     }
 
@@ -68,93 +68,93 @@
         watching = on;
         index = 0;
         view.restart();
-        if (on && !asking) {
-            ask();
+        if (on && !queryPending) {
+            sendQuery();
         } else if (!on) {
             stop();
         }
     }
 
     private void stop() {
-        if (patience != null) {
-            patience.cancel();
+        if (responseTimer != null) {
+            responseTimer.cancel();
         }
-        asking = false;
+        queryPending = false;
         if (connection != null) {
             connection.cancel();
             connection = null;
         }
     }
 
-    private void ask() {
-        asking = true;
+    private void sendQuery() {
+        queryPending = true;
         if (connection == null || !connection.free()) {
-            connection = ClientConnection.open(loop, null, at, Connection.Options.usual()
-                    .connectWithin(CONNECT_WITHIN), Limits.usual().body(ANSWER_MOST), c -> { });
+            connection = ClientConnection.open(loop, null, address, Connection.Options.usual()
+                    .connectWithin(CONNECT_TIMEOUT_NS), Limits.usual().body(MAX_RESPONSE_BYTES), c -> { });
         }
-        String query = index == 0 ? "" : "?index=" + index + "&wait=" + wait / 1_000_000 + "ms";
+        String query = index == 0 ? "" : "?index=" + index + "&wait=" + waitNs / 1_000_000 + "ms";
         // A roster may hold a question a sixteenth longer than asked (Consul, Blocking Queries).
-        long most = (index == 0 ? 0 : wait + wait / 16) + SLACK;
+        long most = (index == 0 ? 0 : waitNs + waitNs / 16) + RESPONSE_SLACK_NS;
         ClientConnection asked = connection;
-        patience = loop.after(most, () -> {
+        responseTimer = loop.after(most, () -> {
             asked.cancel();
             fail("no answer within " + most / 1_000_000 + " ms");
         });
-        asked.ask(Message.Request.get(path + query, "Host", at.getHostString() + ":" + at.getPort(),
-                "User-Agent", asker),
+        asked.ask(Message.Request.get(path + query, "Host", address.getHostString() + ":" + address.getPort(),
+                "User-Agent", userAgent),
                 new ClientConnection.Answer() {
                     @Override
                     public void answered(Message.Response response) {
-                        patience.cancel();
-                        take(response);
+                        responseTimer.cancel();
+                        handleResponse(response);
                     }
 
                     @Override
                     public void failed(boolean neverRan, Close why, String detail) {
-                        patience.cancel();
+                        responseTimer.cancel();
                         fail(why + ": " + detail);
                     }
                 });
     }
 
     private void fail(String why) {
-        asking = false;
+        queryPending = false;
         connection = null;
         watching = false;
         log.accept("roster: " + why);
-        told.accept(view.failed());
+        onMembers.accept(view.failed());
     }
 
-    private void take(Message.Response response) {
-        asking = false;
+    private void handleResponse(Message.Response response) {
+        queryPending = false;
         if (response.status() != 200) {
             fail("status " + response.status());
             return;
         }
-        RosterAnswer answer;
+        RosterResponse answer;
         long newIndex;
         try {
-            answer = RosterAnswer.parse(response.body(), zones, kinds);
+            answer = RosterResponse.parse(response.body(), zones, kinds);
             newIndex = Long.parseLong(response.fields().get("x-consul-index", "0"));
         } catch (IOException | NumberFormatException e) {
             fail("an answer that cannot be read: " + e.getMessage());
             return;
         }
         answer.problems().forEach(p -> log.accept("roster: " + p));
-        RosterView.Step step = view.answer(loop.now(), wall.getAsLong(), newIndex, answer);
-        if (!step.usable()) {
+        RosterView.Result step = view.apply(loop.now(), wall.getAsLong(), newIndex, answer);
+        if (!step.accepted()) {
             fail("an empty list, not believed yet");
             return;
         }
         index = step.index();
         if (step.event() != null) {
-            told.accept(step.event());
+            onMembers.accept(step.event());
         }
         if (watching) {
             // A roster that answers at once each time must not be asked in a spin.
-            loop.after(LEAST_GAP, () -> {
-                if (watching && !asking) {
-                    ask();
+            loop.after(MIN_QUERY_GAP_NS, () -> {
+                if (watching && !queryPending) {
+                    sendQuery();
                 }
             });
         }
--- a/src/main/java/rowanmoor/discovery/RosterAnswer.java
+++ b/src/main/java/rowanmoor/discovery/RosterResponse.java
@@ -17,18 +17,18 @@
  *
  * @param problems one line for each entry that could not be read
  */
-record RosterAnswer(List<Entry> entries, List<String> problems) {
+record RosterResponse(List<Entry> entries, List<String> problems) {
 
-    /** {@code started} is 0 where it is not said; an entry that is not whole has only its address. */
-    record Entry(Backend backend, int zone, int kind, int cell, Listed listed, double weight, long started,
-            boolean whole) { }
+    /** {@code startedAtMs} is 0 where it is not said; an entry that is not whole has only its address. */
+    record Entry(Backend backend, int zone, int kind, int cell, Listed listed, double weight, long startedAtMs,
+            boolean complete) { }
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int ENTRIES_MOST = 65536;
+    private static final int MAX_ENTRIES = 65536;
 
-    static RosterAnswer parse(byte[] body, List<String> zones, List<String> kinds) throws IOException {
+    static RosterResponse parse(byte[] body, List<String> zones, List<String> kinds) throws IOException {
         JsonNode root = JSON.readTree(body);
-        if (root == null || !root.isArray() || root.size() > ENTRIES_MOST) {
+        if (root == null || !root.isArray() || root.size() > MAX_ENTRIES) {
             throw new IOException("the roster's answer is not a list of instances");
         }
         List<Entry> entries = new ArrayList<>();
@@ -42,14 +42,14 @@
                 problems.add("instance " + id + ": Service.Address and Service.Port are no IPv4 address");
                 continue;
             }
-            if (passes(instance.path("Checks"))) {
-                entries.add(entry(service, backend(at), zones, kinds, id, problems));
+            if (isPassing(instance.path("Checks"))) {
+                entries.add(parseEntry(service, toBackend(at), zones, kinds, id, problems));
             }
         }
-        return new RosterAnswer(entries, problems);
+        return new RosterResponse(entries, problems);
     }
 
-    private static boolean passes(JsonNode checks) {
+    private static boolean isPassing(JsonNode checks) {
         for (JsonNode check : checks) {
             if (check.path("Status").asText().equals("critical")) {
                 return false;
@@ -58,7 +58,7 @@
         return true;
     }
 
-    private static Entry entry(JsonNode service, Backend backend, List<String> zones, List<String> kinds,
+    private static Entry parseEntry(JsonNode service, Backend backend, List<String> zones, List<String> kinds,
             String id, List<String> problems) {
         JsonNode meta = service.path("Meta");
         int zone = zones.indexOf(meta.path("zone").asText());
@@ -81,7 +81,7 @@
                 whole);
     }
 
-    static Backend backend(InetSocketAddress at) {
+    static Backend toBackend(InetSocketAddress at) {
         long id = 0;
         for (byte part : at.getAddress().getAddress()) {
             id = id << 8 | part & 0xff;
--- a/src/main/java/rowanmoor/discovery/RosterView.java
+++ b/src/main/java/rowanmoor/discovery/RosterView.java
@@ -30,23 +30,23 @@
      * @param index the index to ask with next, 0 to be answered at once
      * @param usable false ends the watch: the answer counts as failed
      */
-    record Step(Members event, long index, boolean usable) { }
+    record Result(Members event, long index, boolean accepted) { }
 
-    private static final long MILLI = 1_000_000L;
+    private static final long NS_PER_MS = 1_000_000L;
     /** An address that has been gone for so long is new when it comes back. */
-    private static final long FORGET = 600_000 * MILLI;
+    private static final long FORGET_AFTER_NS = 600_000 * NS_PER_MS;
 
-    private final long emptyHold;
-    private final TreeMap<Backend, Member> held = new TreeMap<>();
-    private final TreeMap<Backend, Long> stamps = new TreeMap<>();
+    private final long emptyListHoldNs;
+    private final TreeMap<Backend, Member> members = new TreeMap<>();
+    private final TreeMap<Backend, Long> statedStarts = new TreeMap<>();
     private final TreeMap<Backend, Long> goneAt = new TreeMap<>();
     private long index;
     private long version;
     private long emptySince = -1;
-    private boolean any;
+    private boolean answered;
 
     RosterView(long emptyHold) {
-        this.emptyHold = emptyHold;
+        this.emptyListHoldNs = emptyHold;
     }
 
     /** What the module starts with: nothing is known. */
@@ -68,36 +68,36 @@
      *
      * @param wall milliseconds since 1970, by which instances state their starts
      */
-    Step answer(long now, long wall, long newIndex, RosterAnswer answer) {
+    Result apply(long now, long wall, long newIndex, RosterResponse answer) {
         boolean asked = index == 0;
         boolean back = newIndex < index;
-        boolean none = answer.entries().isEmpty() && held.values().stream()
+        boolean none = answer.entries().isEmpty() && members.values().stream()
                 .anyMatch(m -> m.listed() != Listed.GONE);
         if (none && emptySince < 0) {
             emptySince = now;
         }
-        if (none && now - emptySince < emptyHold) {
-            return new Step(failed(), 0, false);
+        if (none && now - emptySince < emptyListHoldNs) {
+            return new Result(failed(), 0, false);
         }
         emptySince = none ? emptySince : -1;
         index = back ? 0 : Math.max(1, newIndex);
-        List<Member> changes = changes(now, wall, answer);
-        boolean first = !any;
-        any = true;
+        List<Member> changes = applyEntries(now, wall, answer);
+        boolean first = !answered;
+        answered = true;
         if (back || first) {
-            List<Member> whole = held.values().stream().filter(m -> m.listed() != Listed.GONE).toList();
-            return new Step(new Members(back ? ListKind.CACHED : ListKind.FULL, ++version, whole), index,
+            List<Member> whole = members.values().stream().filter(m -> m.listed() != Listed.GONE).toList();
+            return new Result(new Members(back ? ListKind.CACHED : ListKind.FULL, ++version, whole), index,
                     true);
         }
         boolean tell = asked || !changes.isEmpty();
-        return new Step(tell ? new Members(ListKind.DELTA, ++version, changes) : null, index, true);
+        return new Result(tell ? new Members(ListKind.DELTA, ++version, changes) : null, index, true);
     }
 
-    private List<Member> changes(long now, long wall, RosterAnswer answer) {
+    private List<Member> applyEntries(long now, long wall, RosterResponse answer) {
         TreeMap<Backend, Member> fresh = new TreeMap<>();
-        for (RosterAnswer.Entry entry : answer.entries()) {
-            Member old = held.get(entry.backend());
-            if (entry.whole()) {
+        for (RosterResponse.Entry entry : answer.entries()) {
+            Member old = members.get(entry.backend());
+            if (entry.complete()) {
                 fresh.put(entry.backend(), member(now, wall, entry, old));
             } else if (old != null) {
                 fresh.put(entry.backend(), old);
@@ -105,8 +105,8 @@
         }
         List<Member> changes = new ArrayList<>();
         goneAt.keySet().removeAll(fresh.keySet());
-        goneAt.entrySet().removeIf(e -> now - e.getValue() > FORGET && forget(e.getKey()));
-        held.replaceAll((backend, old) -> {
+        goneAt.entrySet().removeIf(e -> now - e.getValue() > FORGET_AFTER_NS && forget(e.getKey()));
+        members.replaceAll((backend, old) -> {
             if (fresh.containsKey(backend) || old.listed() == Listed.GONE) {
                 return old;
             }
@@ -115,7 +115,7 @@
             return old.gone();
         });
         fresh.forEach((backend, member) -> {
-            if (!member.equals(held.put(backend, member))) {
+            if (!member.equals(members.put(backend, member))) {
                 changes.add(member);
             }
         });
@@ -123,22 +123,22 @@
     }
 
     private boolean forget(Backend backend) {
-        stamps.remove(backend);
-        held.remove(backend);
+        statedStarts.remove(backend);
+        members.remove(backend);
         return true;
     }
 
     /** How many addresses are remembered, those gone for a while among them. */
-    int remembered() {
-        return Math.max(held.size(), Math.max(stamps.size(), goneAt.size()));
+    int trackedCount() {
+        return Math.max(members.size(), Math.max(statedStarts.size(), goneAt.size()));
     }
 
     /** A start is told in this side's clock; the same stamp always becomes the same time. */
-    private Member member(long now, long wall, RosterAnswer.Entry entry, Member old) {
-        Long stamp = stamps.put(entry.backend(), entry.started());
-        long startedAt = entry.started() == 0 ? 0
-                : Math.max(1, now - Math.max(0, wall - entry.started()) * MILLI);
-        if (old != null && stamp != null && stamp == entry.started()) {
+    private Member member(long now, long wall, RosterResponse.Entry entry, Member old) {
+        Long stamp = statedStarts.put(entry.backend(), entry.startedAtMs());
+        long startedAt = entry.startedAtMs() == 0 ? 0
+                : Math.max(1, now - Math.max(0, wall - entry.startedAtMs()) * NS_PER_MS);
+        if (old != null && stamp != null && stamp == entry.startedAtMs()) {
             startedAt = old.startedAt();
         }
         return new Member(entry.backend(), entry.zone(), entry.kind(), entry.cell(), entry.listed(),
--- a/src/main/java/rowanmoor/emulator/Agenda.java
+++ b/src/main/java/rowanmoor/emulator/Agenda.java
@@ -36,7 +36,7 @@
         set(place, at, number, itsKind, itsA, itsB);
     }
 
-    /** Takes the next event into {@link #time} and the others; false if there is none. */
+    /** Takes the next event into {@link #durationNs} and the others; false if there is none. */
     boolean next() {
         if (size == 0) {
             return false;
--- a/src/main/java/rowanmoor/net/Loop.java
+++ b/src/main/java/rowanmoor/net/Loop.java
@@ -202,7 +202,7 @@
         ports.close();
     }
 
-    /** Ends {@link #run} after its turn; from any thread. */
+    /** Ends {@link #runFor} after its turn; from any thread. */
     public void stop() {
         stopped = true;
         ports.wakeup();
--- a/src/main/java/rowanmoor/plan/Trial.java
+++ b/src/main/java/rowanmoor/plan/Trial.java
@@ -82,7 +82,7 @@
         }
     }
 
-    /** The verdict; once {@link #next} is 0. */
+    /** The verdict; once {@link #pendingWatch} is 0. */
     public Verdict verdict() {
         Step held = null;
         Step failed = null;
--- a/src/main/java/rowanmoor/platform/LineLog.java
+++ b/src/main/java/rowanmoor/platform/AsyncLineLog.java
@@ -9,33 +9,33 @@
  * The log: plain lines on a thread of its own, so that a reader that stands still never holds up the loop.
  * What does not fit is dropped and counted; the next line that fits says how many were.
  */
-final class LineLog {
+final class AsyncLineLog {
 
-    private static final int LINES_MOST = 512;
-    private static final int LINE_MOST = 2000;
+    private static final int MAX_QUEUED_LINES = 512;
+    private static final int MAX_LINE_CHARS = 2000;
 
-    private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(LINES_MOST);
+    private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
     private final AtomicLong dropped = new AtomicLong();
     private final PrintStream out;
 
-    LineLog(PrintStream out) {
+    AsyncLineLog(PrintStream out) {
         this.out = out;
-        Thread writer = new Thread(this::write, "log");
+        Thread writer = new Thread(this::writeLines, "log");
         writer.setDaemon(true);
         writer.start();
     }
 
     /** Any thread. */
-    void line(String text) {
-        if (!lines.offer(text.length() > LINE_MOST ? text.substring(0, LINE_MOST) + "..." : text)) {
+    void log(String text) {
+        if (!queue.offer(text.length() > MAX_LINE_CHARS ? text.substring(0, MAX_LINE_CHARS) + "..." : text)) {
             dropped.incrementAndGet();
         }
     }
 
-    private void write() {
+    private void writeLines() {
         try {
             while (true) {
-                out.println(lines.take());
+                out.println(queue.take());
                 long lost = dropped.getAndSet(0);
                 if (lost > 0) {
                     out.println("log lines dropped: " + lost);
--- a/src/main/java/rowanmoor/platform/CatalogView.java
+++ b/src/main/java/rowanmoor/platform/CatalogView.java
@@ -24,26 +24,26 @@
  */
 final class CatalogView {
 
-    private static final long MILLI = 1_000_000L;
+    private static final long NS_PER_MS = 1_000_000L;
     private static final Map<String, Listed> LIFECYCLES = Map.of("in_service", Listed.READY,
             "terminating", Listed.DRAINING, "terminated", Listed.GONE);
-    private static final int PROBLEMS_TOLD = 3;
+    private static final int MAX_PROBLEMS = 3;
     /** How long a list must have been empty to be believed: as long as what is told may take to arrive. */
-    private static final long EMPTY_HOLD = 6_000 * MILLI;
+    private static final long EMPTY_LIST_HOLD_NS = 6_000 * NS_PER_MS;
 
-    private record Stamp(long startedAtMs, long startedAt) { }
+    private record StartTime(long startedAtMs, long startedAt) { }
 
-    private final Told told;
-    private final Names names;
-    private final TreeMap<Backend, Member> held = new TreeMap<>();
-    private final Map<Backend, Stamp> stamps = new HashMap<>();
+    private final Told parsedSettings;
+    private final InstanceRegistry instances;
+    private final TreeMap<Backend, Member> members = new TreeMap<>();
+    private final Map<Backend, StartTime> startTimes = new HashMap<>();
     private long generation;
-    private long newest; // the highest version taken in
+    private long newestVersion; // the highest version taken in
     private long emptySince = -1;
 
-    CatalogView(Told told, Names names) {
-        this.told = told;
-        this.names = names;
+    CatalogView(Told told, InstanceRegistry names) {
+        this.parsedSettings = told;
+        this.instances = names;
     }
 
     /** The version to follow from. */
@@ -59,7 +59,7 @@
      * @param problems gets a line for each entry that cannot be read
      * @return what to tell the module, or null if nothing
      */
-    Members take(long now, long wall, Map<String, Object> object, boolean known, List<String> problems)
+    Members apply(long now, long wall, Map<String, Object> object, boolean known, List<String> problems)
             throws IOException {
         if (!(object.get("generation") instanceof Long version) || version < 0) {
             throw new IOException("generation is missing or no version");
@@ -72,39 +72,39 @@
             throw new IOException("changes up to " + version + " after version " + generation);
         }
         boolean empty = whole && !known && instances.isEmpty()
-                && held.values().stream().anyMatch(m -> m.listed() != Listed.GONE);
+                && members.values().stream().anyMatch(m -> m.listed() != Listed.GONE);
         emptySince = !empty ? -1 : emptySince < 0 ? now : emptySince;
-        if (empty && now - emptySince < EMPTY_HOLD) { // one that has just begun may know of none yet
-            throw new IOException("an empty list after one of " + held.size() + " instances");
+        if (empty && now - emptySince < EMPTY_LIST_HOLD_NS) { // one that has just begun may know of none yet
+            throw new IOException("an empty list after one of " + members.size() + " instances");
         }
-        boolean late = version < newest;
+        boolean late = version < newestVersion;
         boolean unnamed = false;
         List<Member> entries = new ArrayList<>();
         Set<Backend> mentioned = new HashSet<>();
         for (Object instance : instances) {
             String id = id(instance);
             if (id == null) {
-                problem(problems, "an entry without a usable instanceId");
+                addProblem(problems, "an entry without a usable instanceId");
                 unnamed = true;
                 continue;
             }
             Member member = member(now, wall, id, (Map<?, ?>) instance, problems);
             if (member != null && mentioned.add(member.backend())) {
-                entries.add(late ? notUndone(member) : member);
+                entries.add(late ? keepNewerState(member) : member);
             }
         }
         generation = version;
-        newest = Math.max(newest, version);
+        newestVersion = Math.max(newestVersion, version);
         if (whole) {
-            return whole(known, entries, mentioned, unnamed);
+            return applyFullList(known, entries, mentioned, unnamed);
         }
-        entries.removeIf(m -> m.equals(held.put(m.backend(), m)));
+        entries.removeIf(m -> m.equals(members.put(m.backend(), m)));
         return entries.isEmpty() ? null : new Members(ListKind.DELTA, version, List.copyOf(entries));
     }
 
     /** What was draining or gone at a newer version is so still, unless it has started anew. */
-    private Member notUndone(Member member) {
-        Member old = held.get(member.backend());
+    private Member keepNewerState(Member member) {
+        Member old = members.get(member.backend());
         boolean undone = old != null && old.listed() != Listed.READY && member.listed() == Listed.READY
                 && old.startedAt() == member.startedAt();
         return undone ? old : member;
@@ -114,17 +114,17 @@
      * A whole list that says what is held already is not told again. With an entry that names nobody, nobody
      * is gone for not being mentioned: it may be the one.
      */
-    private Members whole(boolean known, List<Member> entries, Set<Backend> mentioned, boolean unnamed) {
+    private Members applyFullList(boolean known, List<Member> entries, Set<Backend> mentioned, boolean unnamed) {
         boolean same = !known;
         for (Member member : entries) {
-            same &= member.equals(held.put(member.backend(), member));
+            same &= member.equals(members.put(member.backend(), member));
         }
-        for (Member old : List.copyOf(held.values())) {
+        for (Member old : List.copyOf(members.values())) {
             if (!mentioned.contains(old.backend()) && old.listed() != Listed.GONE) {
                 if (unnamed) {
                     entries.add(old);
                 } else {
-                    held.put(old.backend(), old.gone());
+                    members.put(old.backend(), old.gone());
                     same = false;
                 }
             }
@@ -139,23 +139,23 @@
     }
 
     private Member member(long now, long wall, String id, Map<?, ?> entry, List<String> problems) {
-        Backend backend = names.listed(id);
-        Member old = held.get(backend);
+        Backend backend = instances.register(id);
+        Member old = members.get(backend);
         Listed listed = LIFECYCLES.get(entry.get("lifecycle"));
-        int zone = told.zones().indexOf(entry.get("zone"));
-        int kind = told.kinds().indexOf(entry.get("machineType"));
+        int zone = parsedSettings.zones().indexOf(entry.get("zone"));
+        int kind = parsedSettings.kinds().indexOf(entry.get("machineType"));
         double weight = entry.get("weight") instanceof Number n ? n.doubleValue() : 1;
         double cell = entry.get("cell") instanceof Number n ? n.doubleValue() : 0;
         double started = entry.get("startedAtMs") instanceof Number n ? n.doubleValue() : 0;
         if (entry.get("hostPort") instanceof String text && Section.parseAddress(text) != null) {
-            names.reach(backend, Section.parseAddress(text));
+            instances.setAddress(backend, Section.parseAddress(text));
         }
         if (listed == Listed.GONE && old != null) {
             return old.gone(); // one that is gone need not say more
         }
         if (listed == null || zone < 0 || kind < 0 || !(weight >= 0 && weight <= 1e9)
                 || !(cell >= 0 && cell <= 65535) || !(started >= 0 && started <= 1e15)) {
-            problem(problems, "instance " + id + ": lifecycle, zone, machineType, cell, weight or startedAtMs"
+            addProblem(problems, "instance " + id + ": lifecycle, zone, machineType, cell, weight or startedAtMs"
                     + " is missing, unknown or out of range");
             return old;
         }
@@ -163,8 +163,8 @@
                 startedAt(now, wall, backend, (long) started));
     }
 
-    private static void problem(List<String> problems, String what) {
-        if (problems.size() < PROBLEMS_TOLD) {
+    private static void addProblem(List<String> problems, String what) {
+        if (problems.size() < MAX_PROBLEMS) {
             problems.add(what);
         }
     }
@@ -175,28 +175,28 @@
      */
     private long startedAt(long now, long wall, Backend backend, long startedAtMs) {
         if (startedAtMs == 0) {
-            stamps.remove(backend);
+            startTimes.remove(backend);
             return 0;
         }
-        Stamp stamp = stamps.get(backend);
+        StartTime stamp = startTimes.get(backend);
         if (stamp == null || stamp.startedAtMs() != startedAtMs) {
-            stamp = new Stamp(startedAtMs, Math.max(1, now - Math.max(0, wall - startedAtMs) * MILLI));
-            stamps.put(backend, stamp);
+            stamp = new StartTime(startedAtMs, Math.max(1, now - Math.max(0, wall - startedAtMs) * NS_PER_MS));
+            startTimes.put(backend, stamp);
         }
         return stamp.startedAt();
     }
 
     /** Lets go of one that the module has let go. */
     void forget(Backend backend) {
-        Member member = held.get(backend);
+        Member member = members.get(backend);
         if (member == null || member.listed() == Listed.GONE) {
-            held.remove(backend);
-            stamps.remove(backend);
-            names.forget(backend);
+            members.remove(backend);
+            startTimes.remove(backend);
+            instances.forget(backend);
         }
     }
 
-    int remembered() {
-        return Math.max(held.size(), stamps.size());
+    int trackedCount() {
+        return Math.max(members.size(), startTimes.size());
     }
 }
--- a/src/main/java/rowanmoor/platform/ConfigFile.java
+++ b/src/main/java/rowanmoor/platform/ConfigFile.java
@@ -18,13 +18,13 @@
 final class ConfigFile {
 
     /** Looks at the file that may be under way at once: a disk that hangs must not gather threads. */
-    private static final int LOOKS_AT_ONCE = 4;
+    private static final int MAX_CONCURRENT_CHECKS = 4;
 
     private final Map<String, String> env;
-    private final Consumer<PlatformConfig> taken;
+    private final Consumer<PlatformConfig> onConfig;
     private final Consumer<String> log;
-    private final Semaphore looks = new Semaphore(LOOKS_AT_ONCE);
-    private List<Object> read = List.of(); // which edition of the file was read last
+    private final Semaphore checkPermits = new Semaphore(MAX_CONCURRENT_CHECKS);
+    private List<Object> lastRead = List.of(); // which edition of the file was read last
 
     /**
      * @param env the platform's variables
@@ -32,33 +32,33 @@
      */
     ConfigFile(Map<String, String> env, Consumer<PlatformConfig> taken, Consumer<String> log) {
         this.env = env;
-        this.taken = taken;
+        this.onConfig = taken;
         this.log = log;
     }
 
     /** Reads it for the first time; what is wrong ends the start. */
-    synchronized PlatformConfig first() throws IOException {
-        read = edition();
+    synchronized PlatformConfig readInitial() throws IOException {
+        lastRead = fingerprint();
         return PlatformConfig.read(env);
     }
 
     /** Reads it whatever it is; of two callers at once, who reads last hands over last. */
-    synchronized void readAgain() {
+    synchronized void reload() {
         try {
-            taken.accept(first());
+            onConfig.accept(readInitial());
         } catch (IOException | IllegalArgumentException e) {
             log.accept("configuration kept as it was: " + e.getMessage());
         }
     }
 
     /** Reads it on a thread of its own if it is another than was read last; returns at once. */
-    void lookAgain() {
-        if (looks.tryAcquire()) {
+    void checkForChange() {
+        if (checkPermits.tryAcquire()) {
             Thread look = new Thread(() -> {
                 try {
-                    readIfChanged();
+                    reloadIfChanged();
                 } finally {
-                    looks.release();
+                    checkPermits.release();
                 }
             }, "configuration");
             look.setDaemon(true);
@@ -66,14 +66,14 @@
         }
     }
 
-    private synchronized void readIfChanged() {
-        if (!edition().equals(read)) {
-            readAgain();
+    private synchronized void reloadIfChanged() {
+        if (!fingerprint().equals(lastRead)) {
+            reload();
         }
     }
 
     /** What tells editions apart: when it was written, how long it is, which file it is. */
-    private List<Object> edition() {
+    private List<Object> fingerprint() {
         try {
             BasicFileAttributes its = Files.readAttributes(Path.of(env.getOrDefault("GW_CONFIG", "")),
                     BasicFileAttributes.class);
--- a/src/main/java/rowanmoor/platform/Json.java
+++ b/src/main/java/rowanmoor/platform/Json.java
@@ -13,17 +13,17 @@
 final class Json {
 
     private static final JsonFactory FACTORY = new JsonFactory();
-    private static final int DEPTH_MOST = 32;
+    private static final int MAX_DEPTH = 32;
 
     private Json() { }
 
     /** One object and nothing after it. */
-    static Map<String, Object> object(byte[] bytes, int from, int length) throws IOException {
+    static Map<String, Object> parseObject(byte[] bytes, int from, int length) throws IOException {
         try (JsonParser parser = FACTORY.createParser(bytes, from, length)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
                 throw new IOException("not a JSON object");
             }
-            Map<String, Object> object = fields(parser, 0);
+            Map<String, Object> object = readFields(parser, 0);
             if (parser.nextToken() != null) {
                 throw new IOException("something comes after the JSON object");
             }
@@ -31,30 +31,30 @@
         }
     }
 
-    private static Map<String, Object> fields(JsonParser parser, int depth) throws IOException {
+    private static Map<String, Object> readFields(JsonParser parser, int depth) throws IOException {
         Map<String, Object> fields = new LinkedHashMap<>();
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
             String name = parser.currentName();
             parser.nextToken();
-            fields.put(name, value(parser, depth + 1));
+            fields.put(name, readValue(parser, depth + 1));
         }
         return fields;
     }
 
-    private static Object value(JsonParser parser, int depth) throws IOException {
-        if (depth > DEPTH_MOST) {
-            throw new IOException("JSON nested more than " + DEPTH_MOST + " deep");
+    private static Object readValue(JsonParser parser, int depth) throws IOException {
+        if (depth > MAX_DEPTH) {
+            throw new IOException("JSON nested more than " + MAX_DEPTH + " deep");
         }
         JsonToken token = parser.currentToken();
         if (token == null) {
             throw new IOException("the JSON ends too soon");
         }
         return switch (token) {
-            case START_OBJECT -> fields(parser, depth);
+            case START_OBJECT -> readFields(parser, depth);
             case START_ARRAY -> {
                 List<Object> items = new ArrayList<>();
                 while (parser.nextToken() != JsonToken.END_ARRAY) {
-                    items.add(value(parser, depth + 1));
+                    items.add(readValue(parser, depth + 1));
                 }
                 yield items;
             }
--- a/src/main/java/rowanmoor/platform/Peer.java
+++ b/src/main/java/rowanmoor/platform/Peer.java
@@ -19,45 +19,45 @@
 final class Peer implements Handler {
 
     /** What the service does with what peers bring. */
-    interface Owner {
+    interface Listener {
 
         /** A message; throws if it makes no sense. */
-        void heard(Peer peer, List<String> parts) throws MalformedMessageException;
+        void onMessage(Peer peer, List<String> parts) throws MalformedMessageException;
 
         /** A malformed message of a proxy or collector: it alone is dropped. */
-        void dropped(Peer peer, MalformedMessageException why);
+        void onMalformed(Peer peer, MalformedMessageException why);
 
         /** Nothing more is heard of it. */
-        void over(Peer peer, String why);
+        void onEnded(Peer peer, String why);
 
         /** Its descriptor is free: at once, or after its last words were written. */
-        void closed(Peer peer);
+        void onClosed(Peer peer);
     }
 
     /** What it turned out to be. */
     enum Role { UNJOINED, PROXY, COLLECTOR }
 
-    private static final int UNJOINED_BYTES = 4096;
-    private static final int PARTS_MOST = 256;
-    private static final int MARKS_KEPT = 512;
+    private static final int MAX_UNJOINED_MESSAGE_BYTES = 4096;
+    private static final int MAX_MESSAGE_PARTS = 256;
+    private static final int MAX_PENDING_MARKS = 512;
     /** In how long its last words have to be taken, however slowly it reads. */
-    private static final long LAST_WORDS_WITHIN = 2_000_000_000L;
+    private static final long FINAL_WRITE_TIMEOUT_NS = 2_000_000_000L;
 
     private final Loop loop;
-    private final Owner owner;
-    private final long joinWithin;
-    private final RespReader reader = new RespReader(UNJOINED_BYTES, PARTS_MOST);
-    private final ArrayDeque<Integer> marks = new ArrayDeque<>();
+    private final Listener listener;
+    private final long joinTimeoutNs;
+    private final RespReader reader = new RespReader(MAX_UNJOINED_MESSAGE_BYTES, MAX_MESSAGE_PARTS);
+    private final ArrayDeque<Integer> pendingMarks = new ArrayDeque<>();
     private Connection connection;
-    private Timer patience; // for its joining, and after it is over for its last words
+    private Timer deadlineTimer; // for its joining, and after it is over for its last words
     private Role role = Role.UNJOINED;
     private int number = -1;
-    private boolean over;
+    private boolean ended;
 
-    Peer(Loop loop, Owner owner, long joinWithin) {
+    Peer(Loop loop, Listener owner, long joinWithin) {
         this.loop = loop;
-        this.owner = owner;
-        this.joinWithin = joinWithin;
+        this.listener = owner;
+        this.joinTimeoutNs = joinWithin;
     }
 
     Role role() {
@@ -70,30 +70,30 @@
     }
 
     /** From now on it is one of ours. */
-    void is(Role itsRole, int itsNumber) {
+    void assignRole(Role itsRole, int itsNumber) {
         role = itsRole;
         number = itsNumber;
-        patience.cancel();
+        deadlineTimer.cancel();
         reader.allow(RespReader.MESSAGE_MOST);
     }
 
     /** Remembers a mark that this stream was given. */
-    void marked(int mark) {
-        marks.add(mark);
-        if (marks.size() > MARKS_KEPT) {
-            marks.poll();
+    void addPendingMark(int mark) {
+        pendingMarks.add(mark);
+        if (pendingMarks.size() > MAX_PENDING_MARKS) {
+            pendingMarks.poll();
         }
     }
 
     /** Whether this stream was given the mark and has not answered it yet. */
-    boolean answers(int mark) {
-        return marks.remove(mark);
+    boolean acknowledge(int mark) {
+        return pendingMarks.remove(mark);
     }
 
     @Override
     public void opened(Connection its) {
         connection = its;
-        patience = loop.after(joinWithin, () -> end("it has not joined"));
+        deadlineTimer = loop.after(joinTimeoutNs, () -> endWithError("it has not joined"));
     }
 
     @Override
@@ -102,22 +102,22 @@
             while (bytes.hasRemaining() && connection.isOpen()) {
                 List<String> parts = reader.next(bytes);
                 if (parts != null) {
-                    take(parts);
+                    dispatch(parts);
                 }
             }
         } catch (RespError e) {
-            end(e.getMessage());
+            endWithError(e.getMessage());
         }
     }
 
-    private void take(List<String> parts) {
+    private void dispatch(List<String> parts) {
         try {
-            owner.heard(this, parts);
+            listener.onMessage(this, parts);
         } catch (MalformedMessageException e) {
             if (role == Role.UNJOINED) {
-                end(e.getMessage());
+                endWithError(e.getMessage());
             } else {
-                owner.dropped(this, e);
+                listener.onMalformed(this, e);
             }
         }
     }
@@ -127,58 +127,58 @@
     }
 
     /** Bytes that wait to be written to it. */
-    long unread() {
+    long queuedBytes() {
         return connection.queuedBytes();
     }
 
     /** Says why, but to a collector, and ends. */
-    void end(String why) {
+    void endWithError(String why) {
         if (connection.isOpen()) {
             if (role != Role.COLLECTOR) {
                 send(List.of("error", "reason", why));
             }
             connection.end();
-            over(why);
-            boundLastWords();
+            notifyEnded(why);
+            startFinalWriteTimer();
         }
     }
 
     /** What has come by now is heard, though no turn has read it yet. */
-    void hearNow() {
+    void readNow() {
         connection.readNow();
     }
 
-    private void boundLastWords() {
+    private void startFinalWriteTimer() {
         if (!connection.isClosed()) {
-            patience = loop.after(LAST_WORDS_WITHIN, () -> drop("its last words were not taken"));
+            deadlineTimer = loop.after(FINAL_WRITE_TIMEOUT_NS, () -> abort("its last words were not taken"));
         }
     }
 
     /** It has left with its end of the stream, whether or not it still takes what waits for it. */
     @Override
     public boolean ended(Connection its) {
-        over("ENDED: the peer ended");
-        boundLastWords();
+        notifyEnded("ENDED: the peer ended");
+        startFinalWriteTimer();
         return false;
     }
 
     /** Closes at once. */
-    void drop(String why) {
+    void abort(String why) {
         connection.close(Close.LOCAL, why);
     }
 
     @Override
     public void closed(Connection its, Close why, String detail) {
-        over(why + ": " + detail);
-        patience.cancel();
-        owner.closed(this);
+        notifyEnded(why + ": " + detail);
+        deadlineTimer.cancel();
+        listener.onClosed(this);
     }
 
-    private void over(String why) {
-        if (!over) {
-            over = true;
-            patience.cancel();
-            owner.over(this, why);
+    private void notifyEnded(String why) {
+        if (!ended) {
+            ended = true;
+            deadlineTimer.cancel();
+            listener.onEnded(this, why);
         }
     }
 }
--- a/src/main/java/rowanmoor/platform/PlatformConfig.java
+++ b/src/main/java/rowanmoor/platform/PlatformConfig.java
@@ -13,14 +13,14 @@
 /**
  * What the platform tells one controller, by variables and a JSON file.
  *
- * @param known the list of backends as this controller last had it, in the catalog's form; may be empty
- * @param sockets the most descriptors that the process may hold
+ * @param knownInstances the list of backends as this controller last had it, in the catalog's form; may be empty
+ * @param maxSockets the most descriptors that the process may hold
  */
-record PlatformConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
-        int sockets, Map<String, Object> known, Told told) {
+record PlatformConfig(String name, InetSocketAddress listenAddress, InetSocketAddress catalogAddress, long seed,
+        int maxSockets, Map<String, Object> knownInstances, Told parsedSettings) {
 
-    private static final int SOCKETS_LEAST = 64;
-    private static final int HEX = 16;
+    private static final int MIN_SOCKETS = 64;
+    private static final int HEX_RADIX = 16;
 
     /** Reads all of it; what is wrong is told in one line that names variable, or file and key. */
     static PlatformConfig read(Map<String, String> env) throws IOException {
@@ -28,7 +28,7 @@
         Map<String, Object> root;
         try {
             byte[] bytes = Files.readAllBytes(Path.of(file));
-            root = Json.object(bytes, 0, bytes.length);
+            root = Json.parseObject(bytes, 0, bytes.length);
         } catch (IOException e) {
             String why = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
             throw new IOException("GW_CONFIG " + file + ": cannot be read: " + why);
@@ -70,23 +70,23 @@
     private static InetSocketAddress address(String key, String text) {
         InetSocketAddress address = Section.parseAddress(text);
         if (address == null) {
-            throw new SettingsError(key + " is no IPv4 address and port: " + Messages.cut(text));
+            throw new SettingsError(key + " is no IPv4 address and port: " + Messages.sanitize(text));
         }
         return address;
     }
 
     private static long seed(String text) {
         try {
-            return Long.parseUnsignedLong(text, HEX);
+            return Long.parseUnsignedLong(text, HEX_RADIX);
         } catch (NumberFormatException e) {
-            throw new SettingsError("seed is no hexadecimal number: " + Messages.cut(text));
+            throw new SettingsError("seed is no hexadecimal number: " + Messages.sanitize(text));
         }
     }
 
     private static int sockets(Object value) {
-        if (value instanceof Number n && n.doubleValue() >= SOCKETS_LEAST && n.doubleValue() <= 1e6) {
+        if (value instanceof Number n && n.doubleValue() >= MIN_SOCKETS && n.doubleValue() <= 1e6) {
             return n.intValue();
         }
-        throw new SettingsError("limits.sockets is missing or below " + SOCKETS_LEAST);
+        throw new SettingsError("limits.sockets is missing or below " + MIN_SOCKETS);
     }
 }
--- a/src/main/java/rowanmoor/platform/Service.java
+++ b/src/main/java/rowanmoor/platform/PlatformController.java
@@ -37,53 +37,53 @@
 import rowanmoor.net.Ticks;
 
 /** One real controller of the platform: a module on one loop, with its peers, its catalog and its probes. */
-final class Service implements Peer.Owner, Catalog.Owner {
+final class PlatformController implements Peer.Listener, CatalogClient.Listener {
 
-    private static final long MILLI = 1_000_000L;
-    private static final long JOIN_WITHIN = 900 * MILLI;
-    private static final long PROBE_WITHIN = 500 * MILLI;
-    private static final int PROBES_AT_ONCE = 8;
+    private static final long NS_PER_MS = 1_000_000L;
+    private static final long JOIN_TIMEOUT_NS = 900 * NS_PER_MS;
+    private static final long PROBE_TIMEOUT_NS = 500 * NS_PER_MS;
+    private static final int MAX_CONCURRENT_PROBES = 8;
     /** Descriptors kept back: the JVM's own, the catalog's two, probes, and the listener. */
-    private static final int KEPT_BACK = 48 + PROBES_AT_ONCE;
-    private static final int UNJOINED_LEAST = 8;
-    private static final int COLLECTORS_A_ZONE = 3;
-    private static final long UNREAD_MOST = 128 << 10;
-    private static final int MESSAGES_UNREAD_MOST = 8192;
-    private static final long STATS_EVERY = 5_000 * MILLI;
-    private static final long TROUBLES_A_SECOND = 5;
+    private static final int RESERVED_DESCRIPTORS = 48 + MAX_CONCURRENT_PROBES;
+    private static final int MIN_UNJOINED_LIMIT = 8;
+    private static final int MAX_COLLECTORS_PER_ZONE = 3;
+    private static final long MAX_QUEUED_BYTES = 128 << 10;
+    private static final int MAX_QUEUED_MESSAGES = 8192;
+    private static final long STATS_PERIOD_NS = 5_000 * NS_PER_MS;
+    private static final long MAX_PROBLEM_LINES_PER_SECOND = 5;
     /** The JVM's property that switches the record of beliefs on. */
-    private static final String BELIEFS = "rowanmoor.beliefs";
-    private static final long BELIEFS_EVERY = 1_000 * MILLI;
+    private static final String STATE_LOG_PROPERTY = "rowanmoor.beliefs";
+    private static final long STATE_LOG_PERIOD_NS = 1_000 * NS_PER_MS;
 
     private final PlatformConfig config;
     private final Loop loop;
-    private final LongSupplier wall;
+    private final LongSupplier wallClock;
     private final Consumer<String> log;
-    private final Runnable lookAgain;
+    private final Runnable checkConfigFile;
     private final Settings settings;
     private final Messages messages;
-    private final Names names = new Names();
-    private final CatalogView view;
+    private final InstanceRegistry instances = new InstanceRegistry();
+    private final CatalogView catalogView;
     private final Fanout fanout;
     private final Turns turns;
     private final Translator translator;
-    private final Catalog catalog;
+    private final CatalogClient catalog;
     private final Prober prober;
     private final Loop.Listener listener;
-    private final Beliefs beliefs; // null unless it is switched on
+    private final BackendStateLog stateLog; // null unless it is switched on
     private final Map<Integer, Peer> proxies = new HashMap<>();
     private final TreeMap<Integer, ArrayDeque<Peer>> collectors = new TreeMap<>();
     private final LinkedHashSet<Peer> unjoined = new LinkedHashSet<>();
     private final Ticks ticks;
-    private int open;
-    private long troubleSecond;
-    private long troublesTold;
-    private long malformed;
-    private long turnedAway;
-    private long decides;
-    private long decideTime;
-    private long longestDecide;
-    private double lines;
+    private int openConnections;
+    private long problemSecond;
+    private long problemsThisSecond;
+    private long malformedCount;
+    private long rejectedCount;
+    private long decisionCount;
+    private long decisionTimeNs;
+    private long maxDecisionTimeNs;
+    private double orderedLines;
 
     /**
      * Listens at once; answers as soon as the loop turns.
@@ -91,76 +91,76 @@
      * @param wall milliseconds since 1970
      * @param lookAgain looks whether there is another configuration; returns at once
      */
-    Service(PlatformConfig config, Loop loop, LongSupplier wall, Consumer<String> log, Runnable lookAgain)
+    PlatformController(PlatformConfig config, Loop loop, LongSupplier wall, Consumer<String> log, Runnable lookAgain)
             throws IOException {
         this.config = config;
         this.loop = loop;
-        this.wall = wall;
+        this.wallClock = wall;
         this.log = log;
-        this.lookAgain = lookAgain;
-        this.settings = config.told().settings();
-        this.messages = new Messages(config.told());
-        this.view = new CatalogView(config.told(), names);
+        this.checkConfigFile = lookAgain;
+        this.settings = config.parsedSettings().settings();
+        this.messages = new Messages(config.parsedSettings());
+        this.catalogView = new CatalogView(config.parsedSettings(), instances);
         this.fanout = new Fanout(settings.classes().size());
         this.turns = new Turns(settings, config.seed(), System::nanoTime);
-        this.ticks = new Ticks(loop, config.told().tick(), this::turn, turns::nextAt);
-        this.translator = new Translator(config.told().classes(), names, fanout);
-        this.listener = loop.listen(config.listen(), Connection.Options.usual()
-                .bound(new Bound(UNREAD_MOST, MESSAGES_UNREAD_MOST, Bound.Policy.CLOSE)), c -> accept());
-        this.catalog = new Catalog(loop, config.discovery(), config.seed(), this);
-        this.prober = new Prober(loop, config.told().columns().isEmpty() ? "/ping" : "/_load", PROBE_WITHIN,
-                PROBES_AT_ONCE, names::address, answer -> load(answer.body()), probed -> {
+        this.ticks = new Ticks(loop, config.parsedSettings().tick(), this::runTick, turns::nextAt);
+        this.translator = new Translator(config.parsedSettings().classes(), instances, fanout);
+        this.listener = loop.listen(config.listenAddress(), Connection.Options.usual()
+                .bound(new Bound(MAX_QUEUED_BYTES, MAX_QUEUED_MESSAGES, Bound.Policy.CLOSE)), c -> accept());
+        this.catalog = new CatalogClient(loop, config.catalogAddress(), config.seed(), this);
+        this.prober = new Prober(loop, config.parsedSettings().columns().isEmpty() ? "/ping" : "/_load", PROBE_TIMEOUT_NS,
+                MAX_CONCURRENT_PROBES, instances::address, answer -> parseLoadReport(answer.body()), probed -> {
                     if (fanout.knows(probed.backend())) {
                         turns.hearProbe(probed);
                         ticks.soon();
                     }
                 });
-        this.beliefs = Boolean.getBoolean(BELIEFS) ? new Beliefs(names, log) : null;
-        if (beliefs != null) {
-            loop.after(BELIEFS_EVERY, this::believe);
+        this.stateLog = Boolean.getBoolean(STATE_LOG_PROPERTY) ? new BackendStateLog(instances, log) : null;
+        if (stateLog != null) {
+            loop.after(STATE_LOG_PERIOD_NS, this::writeStateLog);
         }
-        takeKnown();
+        applyKnownInstances();
         if (!settings.mustAsk()) {
             catalog.follow();
         }
         ticks.soon();
-        loop.after(STATS_EVERY, this::stats);
-        log.accept(config.name() + " listens at " + listener.address() + ", " + names.count()
-                + " instances known, catalog at " + config.discovery());
+        loop.after(STATS_PERIOD_NS, this::logStats);
+        log.accept(config.name() + " listens at " + listener.address() + ", " + instances.size()
+                + " instances known, catalog at " + config.catalogAddress());
     }
 
     InetSocketAddress address() {
         return listener.address();
     }
 
-    private void takeKnown() {
+    private void applyKnownInstances() {
         try {
-            tell(config.known(), true);
+            applyCatalogObject(config.knownInstances(), true);
         } catch (IOException e) {
             log.accept("known list not used: " + e.getMessage());
             turns.hearList(new Members(ListKind.CACHED, 0, List.of()));
         }
     }
 
-    private List<Double> load(byte[] body) {
+    private List<Double> parseLoadReport(byte[] body) {
         try {
-            return Messages.load("load report", new String(body, StandardCharsets.UTF_8).trim(), "=",
-                    config.told().columns());
+            return Messages.parseLoad("load report", new String(body, StandardCharsets.UTF_8).trim(), "=",
+                    config.parsedSettings().columns());
         } catch (MalformedMessageException e) {
-            malformed++;
-            trouble(e.getMessage());
+            malformedCount++;
+            logProblem(e.getMessage());
             return List.of();
         }
     }
 
     /** One line of trouble; so many a second, the rest is only counted. */
-    private void trouble(String what) {
-        long second = loop.now() / (1000 * MILLI);
-        if (second != troubleSecond) {
-            troubleSecond = second;
-            troublesTold = 0;
+    private void logProblem(String what) {
+        long second = loop.now() / (1000 * NS_PER_MS);
+        if (second != problemSecond) {
+            problemSecond = second;
+            problemsThisSecond = 0;
         }
-        if (troublesTold++ < TROUBLES_A_SECOND) {
+        if (problemsThisSecond++ < MAX_PROBLEM_LINES_PER_SECOND) {
             log.accept(what);
         }
     }
@@ -171,96 +171,96 @@
         // Real peers say who they are at once: who has been silent longest goes first. What it has said may
         // not have been read yet, and it may have joined by it.
         while (!unjoined.isEmpty() && (isFull()
-                || unjoined.size() >= Math.max(UNJOINED_LEAST, config.sockets() / 2))) {
+                || unjoined.size() >= Math.max(MIN_UNJOINED_LIMIT, config.maxSockets() / 2))) {
             Peer oldest = unjoined.iterator().next();
-            oldest.hearNow();
+            oldest.readNow();
             if (unjoined.contains(oldest)) {
-                turnedAway++;
-                oldest.drop("too many that have not joined");
+                rejectedCount++;
+                oldest.abort("too many that have not joined");
             }
         }
         if (isFull()) {
-            turnedAway++;
+            rejectedCount++;
             return null;
         }
-        Peer peer = new Peer(loop, this, JOIN_WITHIN);
+        Peer peer = new Peer(loop, this, JOIN_TIMEOUT_NS);
         unjoined.add(peer);
-        open++;
+        openConnections++;
         return peer;
     }
 
     private boolean isFull() {
-        return open >= config.sockets() - KEPT_BACK;
+        return openConnections >= config.maxSockets() - RESERVED_DESCRIPTORS;
     }
 
     @Override
-    public void heard(Peer peer, List<String> parts) throws MalformedMessageException {
-        Message message = messages.read(parts);
+    public void onMessage(Peer peer, List<String> parts) throws MalformedMessageException {
+        Message message = messages.parse(parts);
         if (message instanceof Message.Probe) {
             peer.send(List.of("alive"));
         } else if (message instanceof Message.Hello hello) {
-            expect(peer, Peer.Role.UNJOINED, "hello");
-            join(peer, hello);
+            requireRole(peer, Peer.Role.UNJOINED, "hello");
+            joinProxy(peer, hello);
         } else if (message instanceof Message.Agent agent) {
-            expect(peer, Peer.Role.UNJOINED, "agent");
-            collect(peer, agent.zone());
+            requireRole(peer, Peer.Role.UNJOINED, "agent");
+            joinCollector(peer, agent.zone());
         } else if (message instanceof Message.Ack ack) {
-            expect(peer, Peer.Role.PROXY, "ack");
-            if (ack.proxy() != peer.number() || !peer.answers(ack.mark())) {
+            requireRole(peer, Peer.Role.PROXY, "ack");
+            if (ack.proxy() != peer.number() || !peer.acknowledge(ack.mark())) {
                 throw new MalformedMessageException("ack node or nonce: not this stream's");
             }
             turns.hearStream(new Applied(ack.proxy(), ack.mark(), ack.latency()));
             ticks.soon();
         } else {
-            report(peer, message);
+            handleReport(peer, message);
         }
     }
 
-    private static void expect(Peer peer, Peer.Role role, String kind) throws MalformedMessageException {
+    private static void requireRole(Peer peer, Peer.Role role, String kind) throws MalformedMessageException {
         if (peer.role() != role) {
             throw new MalformedMessageException(kind + ": not from "
                     + (role == Peer.Role.UNJOINED ? "an unjoined connection" : "a proxy"));
         }
     }
 
-    private void join(Peer peer, Message.Hello hello) {
+    private void joinProxy(Peer peer, Message.Hello hello) {
         unjoined.remove(peer);
         Peer old = proxies.get(hello.proxy());
         if (old != null) {
-            left(old);
-            old.drop("the same proxy has joined again");
+            removeProxy(old);
+            old.abort("the same proxy has joined again");
         }
-        peer.is(Peer.Role.PROXY, hello.proxy());
+        peer.assignRole(Peer.Role.PROXY, hello.proxy());
         proxies.put(hello.proxy(), peer);
         fanout.join(hello.proxy());
         turns.hearStream(new ProxyJoined(hello.proxy(), hello.zone(), hello.rate(), hello.fresh()));
         ticks.soon();
     }
 
-    private void collect(Peer peer, int zone) {
+    private void joinCollector(Peer peer, int zone) {
         unjoined.remove(peer);
-        peer.is(Peer.Role.COLLECTOR, zone);
+        peer.assignRole(Peer.Role.COLLECTOR, zone);
         ArrayDeque<Peer> ofZone = collectors.computeIfAbsent(zone, z -> new ArrayDeque<>());
         ofZone.add(peer);
-        if (ofZone.size() > COLLECTORS_A_ZONE) {
-            ofZone.peek().drop("newer collectors of its zone have come");
+        if (ofZone.size() > MAX_COLLECTORS_PER_ZONE) {
+            ofZone.peek().abort("newer collectors of its zone have come");
         }
     }
 
-    private void report(Peer peer, Message message) throws MalformedMessageException {
+    private void handleReport(Peer peer, Message message) throws MalformedMessageException {
         if (peer.role() == Peer.Role.UNJOINED) {
             throw new MalformedMessageException("a report from one that has not joined");
         }
         if (message instanceof Message.Outcomes o) {
-            Backend backend = names.known(o.instance());
+            Backend backend = instances.find(o.instance());
             if (backend == null || !fanout.knows(backend)) {
                 throw new MalformedMessageException(
-                        "outcomes endpoint: unknown: " + Messages.cut(o.instance()));
+                        "outcomes endpoint: unknown: " + Messages.sanitize(o.instance()));
             }
             Tally tally = new Tally(backend, o.zone(), o.tries(), o.failed(), o.latency(), o.span(),
                     o.load());
-            if (beliefs != null) {
-                beliefs.hear(tally);
+            if (stateLog != null) {
+                stateLog.record(tally);
             }
             turns.hearReport(tally);
         } else if (message instanceof Message.Demand d) {
@@ -270,29 +270,29 @@
     }
 
     @Override
-    public void dropped(Peer peer, MalformedMessageException why) {
-        malformed++;
-        trouble("dropped: " + why.getMessage());
+    public void onMalformed(Peer peer, MalformedMessageException why) {
+        malformedCount++;
+        logProblem("dropped: " + why.getMessage());
     }
 
     @Override
-    public void closed(Peer peer) {
-        open--;
+    public void onClosed(Peer peer) {
+        openConnections--;
     }
 
     @Override
-    public void over(Peer peer, String why) {
+    public void onEnded(Peer peer, String why) {
         switch (peer.role()) {
             case UNJOINED -> unjoined.remove(peer);
             case COLLECTOR -> collectors.get(peer.number()).remove(peer);
-            case PROXY -> left(peer);
+            case PROXY -> removeProxy(peer);
         }
         if (peer.role() != Peer.Role.UNJOINED) {
-            trouble(peer.role() + " " + peer.number() + " over: " + why);
+            logProblem(peer.role() + " " + peer.number() + " over: " + why);
         }
     }
 
-    private void left(Peer peer) {
+    private void removeProxy(Peer peer) {
         if (proxies.remove(peer.number(), peer)) {
             fanout.leave(peer.number());
             turns.hearStream(new ProxyLeft(peer.number()));
@@ -304,20 +304,20 @@
 
     @Override
     public long generation() {
-        return view.generation();
+        return catalogView.generation();
     }
 
     @Override
-    public void take(Map<String, Object> object) throws IOException {
-        tell(object, false);
+    public void onObject(Map<String, Object> object) throws IOException {
+        applyCatalogObject(object, false);
     }
 
-    private void tell(Map<String, Object> object, boolean known) throws IOException {
+    private void applyCatalogObject(Map<String, Object> object, boolean known) throws IOException {
         List<String> problems = new ArrayList<>();
-        Members members = view.take(loop.now(), wall.getAsLong(), object, known, problems);
-        problems.forEach(p -> trouble("catalog: " + p));
+        Members members = catalogView.apply(loop.now(), wallClock.getAsLong(), object, known, problems);
+        problems.forEach(p -> logProblem("catalog: " + p));
         if (members != null) {
-            log.accept("catalog: " + members.kind() + " " + members.version() + ": " + count(members));
+            log.accept("catalog: " + members.kind() + " " + members.version() + ": " + countByState(members));
             fanout.hearList(members);
             turns.hearList(members);
             ticks.soon();
@@ -325,18 +325,18 @@
     }
 
     /** How many entries there are of each kind: one line, however long the list. */
-    private static String count(Members members) {
+    private static String countByState(Members members) {
         TreeMap<Listed, Integer> counts = new TreeMap<>();
         members.entries().forEach(m -> counts.merge(m.listed(), 1, Integer::sum));
         return counts.toString();
     }
 
     @Override
-    public boolean broken(String why) {
-        trouble("catalog: watch over: " + why);
-        lookAgain.run(); // it may be elsewhere
+    public boolean onWatchLost(String why) {
+        logProblem("catalog: watch over: " + why);
+        checkConfigFile.run(); // it may be elsewhere
         if (settings.mustAsk()) {
-            turns.hearList(new Members(ListKind.FAILED, view.generation(), List.of()));
+            turns.hearList(new Members(ListKind.FAILED, catalogView.generation(), List.of()));
             ticks.soon();
         }
         return !settings.mustAsk();
@@ -344,103 +344,103 @@
 
     /** A new configuration: a changed catalog is followed; all else holds from the next start. */
     void reload(PlatformConfig other) {
-        log.accept("configuration read again, catalog at " + other.discovery());
-        catalog.moveTo(other.discovery());
+        log.accept("configuration read again, catalog at " + other.catalogAddress());
+        catalog.setAddress(other.catalogAddress());
     }
 
     // ---- turns ---------------------------------------------------------------------------------------
 
-    private void turn(long now) {
+    private void runTick(long now) {
         Turns.Turn turn = turns.turn(now);
         if (turn != null) {
-            decides++;
-            decideTime += turn.took();
-            longestDecide = Math.max(longestDecide, turn.took());
-            carryOut(turn.actions());
+            decisionCount++;
+            decisionTimeNs += turn.took();
+            maxDecisionTimeNs = Math.max(maxDecisionTimeNs, turn.took());
+            execute(turn.actions());
         }
     }
 
-    private void carryOut(List<Action> actions) {
-        fanout.messages(actions).forEach(this::write);
+    private void execute(List<Action> actions) {
+        fanout.messages(actions).forEach(this::sendOrders);
         for (Action action : actions) {
             if (action instanceof Probe a) {
                 prober.probe(a.backend());
             } else if (action instanceof Watch a && a.on()) {
                 catalog.follow();
             } else if (action instanceof Log a) {
-                log.accept(names.named(a.text()));
+                log.accept(instances.withInstanceIds(a.text()));
             } else if (action instanceof Withdraw a && !a.out() && !fanout.knows(a.backend())) {
-                view.forget(a.backend());
+                catalogView.forget(a.backend());
             }
         }
     }
 
-    private void write(int proxy, List<Frame.Order> orders) {
+    private void sendOrders(int proxy, List<Frame.Order> orders) {
         Peer peer = proxies.get(proxy);
         if (peer != null) {
             for (Frame.Order order : orders) {
                 if (order instanceof Frame.Mark mark) {
-                    peer.marked(mark.number());
+                    peer.addPendingMark(mark.number());
                 }
             }
-            lines += settings.channel().head();
-            for (List<String> part : translator.push(proxy, orders)) {
-                lines += Translator.lines(part);
-                sendTo(proxy, part);
+            orderedLines += settings.channel().head();
+            for (List<String> part : translator.pushMessages(proxy, orders)) {
+                orderedLines += Translator.lineCount(part);
+                send(proxy, part);
             }
         }
     }
 
-    private void believe() {
-        beliefs.write(turns.beliefs(loop.now()), fanout.picks());
-        loop.after(BELIEFS_EVERY, this::believe);
+    private void writeStateLog() {
+        stateLog.write(turns.beliefs(loop.now()), fanout.picks());
+        loop.after(STATE_LOG_PERIOD_NS, this::writeStateLog);
     }
 
     // ---- figures, for the log and for tests ----------------------------------------------------------
 
-    int joinedCount() {
+    int joinedProxies() {
         return proxies.size();
     }
 
     /** Connections at the controller's address whose descriptors are held. */
-    int openPeers() {
-        return open;
+    int openConnections() {
+        return openConnections;
     }
 
-    long malformed() {
-        return malformed;
+    long malformedCount() {
+        return malformedCount;
     }
 
     /** The most that any book of backends holds. */
-    int remembered() {
-        return Math.max(Math.max(names.count(), view.remembered()), fanout.backendsKnown());
+    int trackedCount() {
+        return Math.max(Math.max(instances.size(), catalogView.trackedCount()), fanout.backendsKnown());
     }
 
     /** Bytes that wait for a joined proxy. */
-    long unread(int proxy) {
-        return proxies.get(proxy).unread();
+    long queuedBytes(int proxy) {
+        return proxies.get(proxy).queuedBytes();
     }
 
     /** Writes to a proxy's stream. */
-    void sendTo(int proxy, List<String> message) {
+    void send(int proxy, List<String> message) {
         Peer peer = proxies.get(proxy);
         if (peer != null) {
             peer.send(message);
         }
     }
 
-    private void stats() {
+    private void logStats() {
         Runtime runtime = Runtime.getRuntime();
-        log.accept("stats: " + proxies.size() + " proxies, " + unjoined.size() + " unjoined, " + open
-                + " open, " + names.count() + " names, " + view.remembered() + " listed, " + malformed
-                + " malformed, " + Math.round(lines) + " lines ordered, " + turnedAway + " turned away, "
-                + decides + " decides of mean " + decideTime / Math.max(1, decides) / 1000 + " us, longest "
-                + longestDecide / 1000 + " us, heap "
+        log.accept("stats: " + proxies.size() + " proxies, " + unjoined.size() + " unjoined, " + openConnections
+                + " open, " + instances.size() + " names, " + catalogView.trackedCount() + " listed, " + malformedCount
+                + " malformed, " + Math.round(orderedLines) + " lines ordered, " + rejectedCount + " turned away, "
+                + decisionCount + " decides of mean " + decisionTimeNs / Math.max(1, decisionCount) / 1000 + " us, longest "
+                + maxDecisionTimeNs / 1000 + " us, heap "
                 + (runtime.totalMemory() - runtime.freeMemory()) / 1024 + " KiB");
-        decides = 0;
-        decideTime = 0;
-        longestDecide = 0;
-        lines = 0;
-        loop.after(STATS_EVERY, this::stats);
+        decisionCount = 0;
+        decisionTimeNs = 0;
+        maxDecisionTimeNs = 0;
+        orderedLines = 0;
+        loop.after(STATS_PERIOD_NS, this::logStats);
     }
 }
--- a/src/main/java/rowanmoor/platform/PlatformServer.java
+++ b/src/main/java/rowanmoor/platform/PlatformServer.java
@@ -15,15 +15,15 @@
     public static int run(Map<String, String> env, PrintStream err) {
         try {
             Loop[] loop = new Loop[1];
-            LineLog log = new LineLog(err);
-            loop[0] = Loop.onSockets(cause -> fault(log, cause));
-            Service[] service = new Service[1];
-            ConfigFile file = new ConfigFile(env, c -> loop[0].post(() -> service[0].reload(c)), log::line);
-            service[0] = new Service(file.first(), loop[0], System::currentTimeMillis, log::line,
-                    file::lookAgain);
-            handle("HUP", file::readAgain);
+            AsyncLineLog log = new AsyncLineLog(err);
+            loop[0] = Loop.onSockets(cause -> logFault(log, cause));
+            PlatformController[] service = new PlatformController[1];
+            ConfigFile file = new ConfigFile(env, c -> loop[0].post(() -> service[0].reload(c)), log::log);
+            service[0] = new PlatformController(file.readInitial(), loop[0], System::currentTimeMillis, log::log,
+                    file::checkForChange);
+            onSignal("HUP", file::reload);
             // Proxies go elsewhere by themselves and nothing is kept: the end is at once.
-            handle("TERM", () -> Runtime.getRuntime().halt(0));
+            onSignal("TERM", () -> Runtime.getRuntime().halt(0));
             loop[0].run();
             return 0;
         } catch (IOException | IllegalArgumentException e) {
@@ -35,7 +35,7 @@
     /** Serves invented peers for a moment, so that the classes that a start needs can be recorded. */
     public static int rehearse(PrintStream err) {
         try {
-            Rehearsal.run(new LineLog(err));
+            Rehearsal.run(new AsyncLineLog(err));
             return 0;
         } catch (IOException e) {
             err.println("rowanmoor: " + e.getMessage());
@@ -43,9 +43,9 @@
         }
     }
 
-    private static void fault(LineLog log, Throwable cause) {
+    private static void logFault(AsyncLineLog log, Throwable cause) {
         StackTraceElement[] at = cause.getStackTrace();
-        log.line("fault: " + cause + (at.length < 2 ? "" : " at " + at[0] + ", " + at[1]));
+        log.log("fault: " + cause + (at.length < 2 ? "" : " at " + at[0] + ", " + at[1]));
     }
 
     /**
@@ -53,7 +53,7 @@
      * them is {@code sun.misc.Signal}, of the module jdk.unsupported, which javac warns of whenever it is
      * named: it is found by its name.
      */
-    private static void handle(String name, Runnable what) {
+    private static void onSignal(String name, Runnable what) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
--- a/src/main/java/rowanmoor/platform/Rehearsal.java
+++ b/src/main/java/rowanmoor/platform/Rehearsal.java
@@ -21,11 +21,11 @@
  */
 final class Rehearsal {
 
-    private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    private static final long MILLI = 1_000_000L;
-    private static final long LENGTH = 2_500 * MILLI;
-    private static final int PROXIES = 8;
-    private static final String SCRIPT = "/rowanmoor/rehearsal.json";
+    private static final InetSocketAddress LOOPBACK = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    private static final long NS_PER_MS = 1_000_000L;
+    private static final long DURATION_NS = 2_500 * NS_PER_MS;
+    private static final int PROXY_COUNT = 8;
+    private static final String SCRIPT_RESOURCE = "/rowanmoor/rehearsal.json";
 
     private final Loop loop;
     private final Map<String, Object> script;
@@ -35,36 +35,36 @@
         this.script = script;
     }
 
-    static void run(LineLog log) throws IOException {
+    static void run(AsyncLineLog log) throws IOException {
         byte[] bytes;
-        try (InputStream in = Rehearsal.class.getResourceAsStream(SCRIPT)) {
+        try (InputStream in = Rehearsal.class.getResourceAsStream(SCRIPT_RESOURCE)) {
             bytes = in.readAllBytes();
         }
-        Loop loop = Loop.onSockets(cause -> log.line("fault: " + cause));
-        new Rehearsal(loop, Json.object(bytes, 0, bytes.length)).begin(log);
-        loop.after(LENGTH, loop::stop);
+        Loop loop = Loop.onSockets(cause -> log.log("fault: " + cause));
+        new Rehearsal(loop, Json.parseObject(bytes, 0, bytes.length)).start(log);
+        loop.after(DURATION_NS, loop::stop);
         loop.run();
     }
 
     @SuppressWarnings("unchecked")
-    private void begin(LineLog log) throws IOException {
-        InetSocketAddress catalog = loop.listen(ANY, Connection.Options.usual(), c -> answer(
+    private void start(AsyncLineLog log) throws IOException {
+        InetSocketAddress catalog = loop.listen(LOOPBACK, Connection.Options.usual(), c -> respondWith(
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")).address();
-        InetSocketAddress backend = loop.listen(ANY, Connection.Options.usual(), c -> answer(
+        InetSocketAddress backend = loop.listen(LOOPBACK, Connection.Options.usual(), c -> respondWith(
                 "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nqueue=2,latency_ms=9")).address();
         Map<String, Object> known = (Map<String, Object>) script.get("known");
         for (Object entry : (List<Object>) known.get("instances")) {
             ((Map<String, Object>) entry).put("hostPort", "127.0.0.1:" + backend.getPort());
         }
-        PlatformConfig config = new PlatformConfig("rehearsal", ANY, catalog, 1, 256, known,
+        PlatformConfig config = new PlatformConfig("rehearsal", LOOPBACK, catalog, 1, 256, known,
                 SettingsReader.ofTree((Map<String, Object>) script.get("settings")));
-        Service service = new Service(config, loop, System::currentTimeMillis, log::line, () -> { });
-        for (int proxy = 0; proxy < PROXIES; proxy++) {
-            new Guest(service.address(), proxy);
+        PlatformController service = new PlatformController(config, loop, System::currentTimeMillis, log::log, () -> { });
+        for (int proxy = 0; proxy < PROXY_COUNT; proxy++) {
+            new ScriptedProxy(service.address(), proxy);
         }
     }
 
-    private static Handler answer(String text) {
+    private static Handler respondWith(String text) {
         return new Handler() {
             @Override
             public void received(Connection connection, ByteBuffer bytes) {
@@ -74,11 +74,11 @@
     }
 
     /** A proxy that says what the script has for it, over and over. */
-    private final class Guest implements Handler {
+    private final class ScriptedProxy implements Handler {
         private final int number;
         private Connection connection;
 
-        Guest(InetSocketAddress at, int number) {
+        ScriptedProxy(InetSocketAddress at, int number) {
             this.number = number;
             loop.connect(null, at, Connection.Options.usual(), this);
         }
@@ -86,20 +86,20 @@
         @Override
         public void opened(Connection its) {
             connection = its;
-            say("probe");
+            send("probe");
             String zone = number % 2 == 0 ? "north" : "south";
-            say("hello node " + number + " locality " + zone + " w 5.5 cold 1");
-            speak();
+            send("hello node " + number + " locality " + zone + " w 5.5 cold 1");
+            sendReports();
         }
 
-        private void speak() {
+        private void sendReports() {
             for (Object line : (List<?>) script.get("says")) {
-                say(line.toString().replace("NODE", Integer.toString(number)));
+                send(line.toString().replace("NODE", Integer.toString(number)));
             }
-            loop.after(100 * MILLI, this::speak);
+            loop.after(100 * NS_PER_MS, this::sendReports);
         }
 
-        private void say(String words) {
+        private void send(String words) {
             connection.send(RespWriter.encode(List.of(words.split(" "))));
         }
 
--- a/src/main/java/rowanmoor/platform/Translator.java
+++ b/src/main/java/rowanmoor/platform/Translator.java
@@ -18,8 +18,8 @@
  */
 final class Translator {
 
-    private static final int LINES_A_PART = 16_384; // well under a message's 1 MiB
-    private static final int DIGITS = 7;
+    private static final int MAX_LINES_PER_PART = 16_384; // well under a message's 1 MiB
+    private static final int SIGNIFICANT_DIGITS = 7;
 
     /** One part in the making: a table's changes for some classes. */
     private static final class Part {
@@ -34,17 +34,17 @@
     }
 
     private final List<String> classNames;
-    private final Names names;
+    private final InstanceRegistry instances;
     private final Fanout fanout;
 
-    Translator(List<String> classNames, Names names, Fanout fanout) {
+    Translator(List<String> classNames, InstanceRegistry names, Fanout fanout) {
         this.classNames = classNames;
-        this.names = names;
+        this.instances = names;
         this.fanout = fanout;
     }
 
     /** The parts of one message, in the order in which they are to be written. */
-    List<List<String>> push(int proxy, List<Frame.Order> orders) {
+    List<List<String>> pushMessages(int proxy, List<Frame.Order> orders) {
         List<Part> parts = new ArrayList<>();
         TreeMap<Integer, Frame.Level> levels = new TreeMap<>();
         LinkedHashMap<Backend, Boolean> shut = new LinkedHashMap<>();
@@ -55,15 +55,15 @@
                 part.full = true;
                 parts.add(part);
                 bind.table().lines().forEach(l -> part.lines.put(l.backend(), l.weight()));
-                eachClass(bind.classes(), levels::remove);
-                bind.table().levels().forEach(l -> eachClass(l.classes() & bind.classes(), c ->
+                forEachClass(bind.classes(), levels::remove);
+                bind.table().levels().forEach(l -> forEachClass(l.classes() & bind.classes(), c ->
                         levels.put(c, l)));
                 bind.withdrawn().forEach(b -> shut.put(b, true));
             } else if (order instanceof Frame.SetLine line) {
-                change(parts, fanout.classesOn(proxy, line.table())).lines
+                partFor(parts, fanout.classesOn(proxy, line.table())).lines
                         .put(line.line().backend(), line.line().weight());
             } else if (order instanceof Frame.Admit admit) {
-                eachClass(fanout.classesOn(proxy, admit.table()) & admit.level().classes(), c ->
+                forEachClass(fanout.classesOn(proxy, admit.table()) & admit.level().classes(), c ->
                         levels.put(c, admit.level()));
             } else if (order instanceof Frame.Withdraw withdraw) {
                 shut.put(withdraw.backend(), withdraw.out());
@@ -76,7 +76,7 @@
     }
 
     /** The part that a change of these classes' table goes into: the last one, if it is of the same. */
-    private static Part change(List<Part> parts, int classes) {
+    private static Part partFor(List<Part> parts, int classes) {
         for (int i = parts.size() - 1; i >= 0; i--) {
             if (parts.get(i).classes == classes) {
                 return parts.get(i);
@@ -94,18 +94,18 @@
         Map<List<Object>, Integer> alike = new LinkedHashMap<>();
         levels.forEach((c, level) ->
                 alike.merge(List.of(level.level(), level.retry()), 1 << c, (a, b) -> a | b));
-        alike.forEach((what, classes) -> change(parts, classes).level =
+        alike.forEach((what, classes) -> partFor(parts, classes).level =
                 levels.get(Integer.numberOfTrailingZeros(classes)));
     }
 
-    private interface OfClass {
-        void of(int cls);
+    private interface ClassVisitor {
+        void visit(int cls);
     }
 
-    private static void eachClass(int classes, OfClass each) {
+    private static void forEachClass(int classes, ClassVisitor each) {
         for (int c = 0; classes >> c != 0; c++) {
             if ((classes >> c & 1) == 1) {
-                each.of(c);
+                each.visit(c);
             }
         }
     }
@@ -114,8 +114,8 @@
         List<List<String>> messages = new ArrayList<>();
         for (Part part : parts) {
             List<Map.Entry<Backend, Double>> lines = List.copyOf(part.lines.entrySet());
-            for (int at = 0; at == 0 || at < lines.size(); at += LINES_A_PART) {
-                List<String> message = begin();
+            for (int at = 0; at == 0 || at < lines.size(); at += MAX_LINES_PER_PART) {
+                List<String> message = newPush();
                 if (part.classes != (1 << classNames.size()) - 1) {
                     message.add("routes");
                     message.add(routes(part.classes));
@@ -124,10 +124,10 @@
                     message.add("full");
                     message.add("1");
                 }
-                endpoints(message, lines.subList(at, Math.min(lines.size(), at + LINES_A_PART)));
+                addEndpoints(message, lines.subList(at, Math.min(lines.size(), at + MAX_LINES_PER_PART)));
                 if (part.level != null && at == 0) {
                     message.add("admit");
-                    message.add(number(part.level.level()));
+                    message.add(formatNumber(part.level.level()));
                     message.add("policy");
                     message.add(Integer.toString(part.level.retry().ordinal()));
                 }
@@ -135,11 +135,11 @@
             }
         }
         if (messages.isEmpty()) {
-            messages.add(begin());
+            messages.add(newPush());
         }
         List<String> last = messages.get(messages.size() - 1);
-        shutOut(last, "eject", shut, true);
-        shutOut(last, "restore", shut, false);
+        addInstanceIds(last, "eject", shut, true);
+        addInstanceIds(last, "restore", shut, false);
         if (mark >= 0) {
             last.add("nonce_out");
             last.add(Integer.toString(mark));
@@ -152,7 +152,7 @@
     }
 
     /** Lines that a part counts for in the channel; a message's head is not among them. */
-    static int lines(List<String> part) {
+    static int lineCount(List<String> part) {
         int lines = 0;
         for (int i = 1; i < part.size(); i += 2) {
             lines += switch (part.get(i)) {
@@ -165,7 +165,7 @@
         return lines;
     }
 
-    private static List<String> begin() {
+    private static List<String> newPush() {
         List<String> message = new ArrayList<>();
         message.add("push");
         return message;
@@ -173,17 +173,17 @@
 
     private String routes(int classes) {
         List<String> routes = new ArrayList<>();
-        eachClass(classes, c -> routes.add(classNames.get(c)));
+        forEachClass(classes, c -> routes.add(classNames.get(c)));
         return String.join("+", routes);
     }
 
-    private void endpoints(List<String> message, List<Map.Entry<Backend, Double>> lines) {
+    private void addEndpoints(List<String> message, List<Map.Entry<Backend, Double>> lines) {
         StringBuilder text = new StringBuilder();
         for (Map.Entry<Backend, Double> line : lines) {
-            String id = names.id(line.getKey());
+            String id = instances.id(line.getKey());
             if (id != null) { // one never listed would cost the stream
                 text.append(text.length() > 0 ? "," : "").append(id).append(':')
-                        .append(number(line.getValue()));
+                        .append(formatNumber(line.getValue()));
             }
         }
         if (text.length() > 0) {
@@ -192,11 +192,11 @@
         }
     }
 
-    private void shutOut(List<String> message, String field, Map<Backend, Boolean> shut, boolean out) {
+    private void addInstanceIds(List<String> message, String field, Map<Backend, Boolean> shut, boolean out) {
         LinkedHashSet<String> ids = new LinkedHashSet<>();
         shut.forEach((backend, is) -> {
-            if (is == out && names.id(backend) != null) {
-                ids.add(names.id(backend));
+            if (is == out && instances.id(backend) != null) {
+                ids.add(instances.id(backend));
             }
         });
         if (!ids.isEmpty()) {
@@ -206,13 +206,13 @@
     }
 
     /** A figure without an exponent, with as many digits as the simulator's wire keeps. */
-    static String number(double value) {
+    static String formatNumber(double value) {
         double rounded = Math.rint(value * 1e4) / 1e4;
         if (value >= 1 && value < 1e9) {
             return rounded == Math.rint(rounded) ? Long.toString((long) rounded)
                     : BigDecimal.valueOf(rounded).toPlainString();
         }
-        return value <= 0 ? "0" : new BigDecimal(value).round(new MathContext(DIGITS)).stripTrailingZeros()
+        return value <= 0 ? "0" : new BigDecimal(value).round(new MathContext(SIGNIFICANT_DIGITS)).stripTrailingZeros()
                 .toPlainString();
     }
 }
--- a/src/main/java/rowanmoor/standin/Clients.java
+++ b/src/main/java/rowanmoor/standin/Clients.java
@@ -219,7 +219,7 @@
 
         double at(long time);
 
-        /** Never less than any answer of {@link #at}. */
+        /** Never less than any answer of {@link #address}. */
         double most();
     }
 
--- a/src/test/java/rowanmoor/discovery/ProberTest.java
+++ b/src/test/java/rowanmoor/discovery/ProberTest.java
@@ -23,72 +23,72 @@
 class ProberTest {
 
     private static final long MS = 1_000_000;
-    private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    private static final InetSocketAddress LOOPBACK = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     private static final Backend BACKEND = new Backend(1);
 
     private final List<Throwable> faults = new ArrayList<>();
     private final MemoryNet net = new MemoryNet(1, 3);
-    private final Loop near = net.loop(faults::add);
-    private final Loop far = net.loop(faults::add);
-    private final Map<Backend, InetSocketAddress> where = new HashMap<>();
-    private final List<Probed> told = new ArrayList<>();
-    private final List<Connection> asked = new ArrayList<>();
-    private final Prober prober = new Prober(near, "/ping", 500 * MS, 2, where::get, r -> List.of(), told::add);
+    private final Loop proberLoop = net.loop(faults::add);
+    private final Loop backendLoop = net.loop(faults::add);
+    private final Map<Backend, InetSocketAddress> addresses = new HashMap<>();
+    private final List<Probed> probed = new ArrayList<>();
+    private final List<Connection> requests = new ArrayList<>();
+    private final Prober prober = new Prober(proberLoop, "/ping", 500 * MS, 2, addresses::get, r -> List.of(), probed::add);
 
-    private InetSocketAddress backend() throws IOException {
-        return far.listen(ANY, Connection.Options.usual(), c -> new Handler() {
+    private InetSocketAddress listenAsBackend() throws IOException {
+        return backendLoop.listen(LOOPBACK, Connection.Options.usual(), c -> new Handler() {
             @Override
             public void received(Connection its, ByteBuffer bytes) {
-                asked.add(its);
+                requests.add(its);
             }
         }).address();
     }
 
-    private void answer(int which) {
-        asked.get(which).send(ByteBuffer.wrap("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+    private void sendOk(int which) {
+        requests.get(which).send(ByteBuffer.wrap("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
                 .getBytes(StandardCharsets.ISO_8859_1)));
     }
 
     @Test
     void anAnswerAndItsTimeOutInOneTurnAreToldOnce() throws IOException {
-        where.put(BACKEND, backend());
+        addresses.put(BACKEND, listenAsBackend());
         prober.probe(BACKEND);
         net.runFor(100 * MS);
-        net.freeze(near, true);
-        answer(0);
+        net.freeze(proberLoop, true);
+        sendOk(0);
         net.runFor(600 * MS); // the answer has come and the time is over when it looks again
-        net.freeze(near, false);
+        net.freeze(proberLoop, false);
         net.runFor(100 * MS);
-        assertEquals(1, told.size());
+        assertEquals(1, probed.size());
         prober.probe(BACKEND);
         net.runFor(700 * MS);
-        answer(1); // too late
+        sendOk(1); // too late
         net.runFor(100 * MS);
-        assertEquals(2, told.size());
-        assertEquals(List.of(true, false), told.stream().map(Probed::ok).toList());
-        assertEquals(0, net.timersOf(near));
-        assertEquals(0, net.connectionsOf(near));
+        assertEquals(2, probed.size());
+        assertEquals(List.of(true, false), probed.stream().map(Probed::ok).toList());
+        assertEquals(0, net.timersOf(proberLoop));
+        assertEquals(0, net.connectionsOf(proberLoop));
         assertEquals(List.of(), faults);
     }
 
     @Test
     void whatIsSaidAtAnAddressThatWasLeftMeanwhileIsNotTold() throws IOException {
-        where.put(BACKEND, backend());
+        addresses.put(BACKEND, listenAsBackend());
         prober.probe(BACKEND);
         net.runFor(100 * MS);
-        where.put(BACKEND, backend());
-        answer(0);
+        addresses.put(BACKEND, listenAsBackend());
+        sendOk(0);
         net.runFor(100 * MS);
-        assertEquals(List.of(), told);
+        assertEquals(List.of(), probed);
         prober.probe(BACKEND);
         net.runFor(100 * MS);
-        answer(1);
+        sendOk(1);
         net.runFor(100 * MS);
-        assertEquals(1, told.size());
-        where.remove(BACKEND);
+        assertEquals(1, probed.size());
+        addresses.remove(BACKEND);
         prober.probe(BACKEND);
         net.runFor(100 * MS);
-        assertEquals(2, told.size(), "one without an address is down");
-        assertEquals(0, net.connectionsOf(near));
+        assertEquals(2, probed.size(), "one without an address is down");
+        assertEquals(0, net.connectionsOf(proberLoop));
     }
 }
--- a/src/test/java/rowanmoor/discovery/RosterViewTest.java
+++ b/src/test/java/rowanmoor/discovery/RosterViewTest.java
@@ -21,24 +21,24 @@
     private static final long NOW = 1000 * SECOND;
     private final RosterView view = new RosterView(3 * SECOND);
 
-    private static RosterAnswer.Entry entry(int i, Listed listed, long started) {
-        return new RosterAnswer.Entry(new Backend(i), 0, 0, 0, listed, 1, started, true);
+    private static RosterResponse.Entry entry(int i, Listed listed, long started) {
+        return new RosterResponse.Entry(new Backend(i), 0, 0, 0, listed, 1, started, true);
     }
 
-    private static RosterAnswer answer(RosterAnswer.Entry... entries) {
-        return new RosterAnswer(List.of(entries), List.of());
+    private static RosterResponse response(RosterResponse.Entry... entries) {
+        return new RosterResponse(List.of(entries), List.of());
     }
 
-    private Members told(long now, long index, RosterAnswer answer) {
-        return view.answer(now, 5_000_000, index, answer).event();
+    private Members eventFor(long now, long index, RosterResponse answer) {
+        return view.apply(now, 5_000_000, index, answer).event();
     }
 
     @Test
     void theFirstAnswerIsWholeAndLaterOnesAreChanges() {
-        assertEquals(ListKind.FULL, told(NOW, 5, answer(entry(1, Listed.READY, 0), entry(2, Listed.READY, 0)))
+        assertEquals(ListKind.FULL, eventFor(NOW, 5, response(entry(1, Listed.READY, 0), entry(2, Listed.READY, 0)))
                 .kind());
-        assertNull(told(NOW, 6, answer(entry(1, Listed.READY, 0), entry(2, Listed.READY, 0))));
-        Members changed = told(NOW, 7, answer(entry(2, Listed.DRAINING, 0), entry(3, Listed.READY, 0)));
+        assertNull(eventFor(NOW, 6, response(entry(1, Listed.READY, 0), entry(2, Listed.READY, 0))));
+        Members changed = eventFor(NOW, 7, response(entry(2, Listed.DRAINING, 0), entry(3, Listed.READY, 0)));
         assertEquals(ListKind.DELTA, changed.kind());
         List<String> changes = new ArrayList<>();
         changed.entries().forEach(m -> changes.add(m.backend().id() + " " + m.listed()));
@@ -47,46 +47,46 @@
 
     @Test
     void theRosterEmptiesForOneAnswerAndComesBack() {
-        told(NOW, 5, answer(entry(1, Listed.READY, 0)));
-        RosterView.Step empty = view.answer(NOW + SECOND, 0, 6, answer());
-        assertFalse(empty.usable());
+        eventFor(NOW, 5, response(entry(1, Listed.READY, 0)));
+        RosterView.Result empty = view.apply(NOW + SECOND, 0, 6, response());
+        assertFalse(empty.accepted());
         assertEquals(ListKind.FAILED, empty.event().kind());
         view.restart();
-        Members back = told(NOW + 2 * SECOND, 7, answer(entry(1, Listed.READY, 0)));
+        Members back = eventFor(NOW + 2 * SECOND, 7, response(entry(1, Listed.READY, 0)));
         assertEquals(ListKind.DELTA, back.kind());
         assertEquals(List.of(), back.entries());
     }
 
     @Test
     void aListThatStaysEmptyIsBelievedInTheEnd() {
-        told(NOW, 5, answer(entry(1, Listed.READY, 0)));
-        view.answer(NOW, 0, 6, answer());
-        assertFalse(view.answer(NOW + 2 * SECOND, 0, 6, answer()).usable());
-        Members gone = told(NOW + 3 * SECOND, 6, answer());
+        eventFor(NOW, 5, response(entry(1, Listed.READY, 0)));
+        view.apply(NOW, 0, 6, response());
+        assertFalse(view.apply(NOW + 2 * SECOND, 0, 6, response()).accepted());
+        Members gone = eventFor(NOW + 3 * SECOND, 6, response());
         assertEquals(Listed.GONE, gone.entries().get(0).listed());
     }
 
     @Test
     void anIndexThatGoesBackStartsOverAndTheListMayBeStale() {
-        told(NOW, 50, answer(entry(1, Listed.READY, 0)));
-        RosterView.Step step = view.answer(NOW, 0, 3, answer(entry(1, Listed.READY, 0)));
+        eventFor(NOW, 50, response(entry(1, Listed.READY, 0)));
+        RosterView.Result step = view.apply(NOW, 0, 3, response(entry(1, Listed.READY, 0)));
         assertEquals(0, step.index());
         assertEquals(ListKind.CACHED, step.event().kind());
-        assertEquals(3, view.answer(NOW, 0, 3, answer(entry(1, Listed.READY, 0))).index());
+        assertEquals(3, view.apply(NOW, 0, 3, response(entry(1, Listed.READY, 0))).index());
     }
 
     @Test
     void aStartIsToldInTheModulesClockAndStaysWhatItWas() {
         long wall = 10_000_000;
-        Members first = view.answer(NOW, wall, 5, answer(entry(1, Listed.READY, wall - 4000))).event();
+        Members first = view.apply(NOW, wall, 5, response(entry(1, Listed.READY, wall - 4000))).event();
         assertEquals(NOW - 4 * SECOND, first.entries().get(0).startedAt());
-        assertNull(view.answer(NOW + 9 * SECOND, wall + 9004, 6,
-                answer(entry(1, Listed.READY, wall - 4000))).event());
-        Members again = view.answer(NOW + 20 * SECOND, wall + 20_000, 7,
-                answer(entry(1, Listed.READY, wall + 19_000))).event();
+        assertNull(view.apply(NOW + 9 * SECOND, wall + 9004, 6,
+                response(entry(1, Listed.READY, wall - 4000))).event());
+        Members again = view.apply(NOW + 20 * SECOND, wall + 20_000, 7,
+                response(entry(1, Listed.READY, wall + 19_000))).event();
         assertEquals(NOW + 19 * SECOND, again.entries().get(0).startedAt());
-        Members ahead = view.answer(NOW + 30 * SECOND, wall, 8,
-                answer(entry(1, Listed.READY, wall + 99_000))).event();
+        Members ahead = view.apply(NOW + 30 * SECOND, wall, 8,
+                response(entry(1, Listed.READY, wall + 99_000))).event();
         assertEquals(NOW + 30 * SECOND, ahead.entries().get(0).startedAt(), "a clock ahead of ours");
     }
 
@@ -94,16 +94,16 @@
     void anEntryThatCannotBeReadKeepsWhatIsKnownOfItsAddress() throws IOException {
         String good = "{\"Service\":{\"ID\":\"a\",\"Address\":\"10.0.0.1\",\"Port\":80,\"Tags\":[],"
                 + "\"Meta\":{\"zone\":\"z\",\"kind\":\"k\"},\"Weights\":{\"Passing\":2}},\"Checks\":[]}";
-        RosterAnswer first = RosterAnswer.parse(("[" + good + "]").getBytes(), List.of("z"), List.of("k"));
-        told(NOW, 5, first);
-        RosterAnswer bad = RosterAnswer.parse(("[" + good.replace("\"z\"", "\"nowhere\"") + "]").getBytes(),
+        RosterResponse first = RosterResponse.parse(("[" + good + "]").getBytes(), List.of("z"), List.of("k"));
+        eventFor(NOW, 5, first);
+        RosterResponse bad = RosterResponse.parse(("[" + good.replace("\"z\"", "\"nowhere\"") + "]").getBytes(),
                 List.of("z"), List.of("k"));
         assertEquals(1, bad.problems().size());
-        assertNull(told(NOW, 6, bad));
-        assertThrows(IOException.class, () -> RosterAnswer.parse("{".getBytes(), List.of(), List.of()));
-        assertThrows(IOException.class, () -> RosterAnswer.parse("{}".getBytes(), List.of(), List.of()));
-        assertTrue(RosterAnswer.parse("[{}]".getBytes(), List.of(), List.of()).problems().size() == 1);
-        assertEquals(0, RosterAnswer.parse(("[" + good.replace("\"Checks\":[]",
+        assertNull(eventFor(NOW, 6, bad));
+        assertThrows(IOException.class, () -> RosterResponse.parse("{".getBytes(), List.of(), List.of()));
+        assertThrows(IOException.class, () -> RosterResponse.parse("{}".getBytes(), List.of(), List.of()));
+        assertTrue(RosterResponse.parse("[{}]".getBytes(), List.of(), List.of()).problems().size() == 1);
+        assertEquals(0, RosterResponse.parse(("[" + good.replace("\"Checks\":[]",
                 "\"Checks\":[{\"Status\":\"critical\"}]") + "]").getBytes(), List.of("z"), List.of("k"))
                 .entries().size());
     }
@@ -111,9 +111,9 @@
     @Test
     void machinesReplacedForYearsAreNotRememberedForGood() {
         for (int i = 1; i <= 20_000; i++) {
-            view.answer(NOW + i * 5 * SECOND, 5_000_000, 4 + i, answer(entry(i, Listed.READY, 7),
+            view.apply(NOW + i * 5 * SECOND, 5_000_000, 4 + i, response(entry(i, Listed.READY, 7),
                     entry(i + 1, Listed.READY, 7)));
         }
-        assertTrue(view.remembered() < 300, view.remembered() + " remembered of 20000");
+        assertTrue(view.trackedCount() < 300, view.trackedCount() + " remembered of 20000");
     }
 }
--- a/src/test/java/rowanmoor/platform/TestPlatform.java
+++ b/src/test/java/rowanmoor/platform/InMemoryPlatform.java
@@ -21,12 +21,12 @@
 import rowanmoor.settings.SettingsReader.Told;
 
 /** A platform in memory, on a clock that the test moves: catalog, backends, and peers that say anything. */
-final class TestPlatform {
+final class InMemoryPlatform {
 
     static final long MS = 1_000_000;
-    static final long START = 1_000_000_000_000_000L;
-    static final long WALL = 1_700_000_000_000L;
-    static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    static final long START_NS = 1_000_000_000_000_000L;
+    static final long WALL_MS = 1_700_000_000_000L;
+    static final InetSocketAddress LOOPBACK = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     static final String SETTINGS = """
             {"balancers":2,"dcs":["north","south"],"kinds":["big","small"],"registry_mode":"pushed",
              "classes":[{"name":"read","aim_ns":800000000,"deadline_ns":2000000000,"credit":1.0,
@@ -47,21 +47,21 @@
     final List<String> log = new ArrayList<>();
     final Loop loop;
     final TreeMap<String, Map<String, Object>> instances = new TreeMap<>();
-    final Catalogue catalog;
+    final FakeCatalog catalog;
     long probesAnswered;
-    Service service;
+    PlatformController controller;
 
-    static Map<String, Object> json(String text) {
+    static Map<String, Object> parseJson(String text) {
         try {
             byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-            return Json.object(bytes, 0, bytes.length);
+            return Json.parseObject(bytes, 0, bytes.length);
         } catch (java.io.IOException e) {
             throw new AssertionError(text, e);
         }
     }
 
-    static Told told() {
-        return SettingsReader.ofTree(json(SETTINGS));
+    static Told parsedSettings() {
+        return SettingsReader.ofTree(parseJson(SETTINGS));
     }
 
     /** An entry of the catalog's. */
@@ -78,7 +78,7 @@
         return entry;
     }
 
-    static Map<String, Object> list(long generation, boolean reset, List<Map<String, Object>> entries) {
+    static Map<String, Object> catalogObject(long generation, boolean reset, List<Map<String, Object>> entries) {
         Map<String, Object> object = new LinkedHashMap<>();
         object.put("generation", generation);
         object.put("reset", reset);
@@ -86,52 +86,52 @@
         return object;
     }
 
-    static String text(Object value) {
+    static String toJson(Object value) {
         if (value instanceof Map<?, ?> map) {
             List<String> all = new ArrayList<>();
-            map.forEach((k, v) -> all.add("\"" + k + "\":" + text(v)));
+            map.forEach((k, v) -> all.add("\"" + k + "\":" + toJson(v)));
             return "{" + String.join(",", all) + "}";
         }
         if (value instanceof List<?> list) {
-            return "[" + String.join(",", list.stream().map(TestPlatform::text).toList()) + "]";
+            return "[" + String.join(",", list.stream().map(InMemoryPlatform::toJson).toList()) + "]";
         }
         return value instanceof String s ? "\"" + s + "\"" : String.valueOf(value);
     }
 
     /** Six instances, the even ones in the north, all of which answer probes. */
-    TestPlatform() {
+    InMemoryPlatform() {
         this(11);
     }
 
-    TestPlatform(long seed) {
-        net = new MemoryNet(START, seed);
+    InMemoryPlatform(long seed) {
+        net = new MemoryNet(START_NS, seed);
         loop = net.loop(faults::add);
-        catalog = new Catalogue(ANY);
+        catalog = new FakeCatalog(LOOPBACK);
         for (int i = 0; i < 6; i++) {
-            put("s-" + i, i % 2 == 0 ? "north" : "south", "in_service", 0);
+            addInstance("s-" + i, i % 2 == 0 ? "north" : "south", "in_service", 0);
         }
     }
 
-    void put(String id, String zone, String lifecycle, long startedAtMs) {
-        instances.put(id, instance(id, zone, lifecycle, startedAtMs, hostPort(backend())));
+    void addInstance(String id, String zone, String lifecycle, long startedAtMs) {
+        instances.put(id, instance(id, zone, lifecycle, startedAtMs, hostPort(listenAsBackend())));
     }
 
     private static String hostPort(InetSocketAddress at) {
         return at.getAddress().getHostAddress() + ":" + at.getPort();
     }
 
-    private InetSocketAddress backend() {
+    private InetSocketAddress listenAsBackend() {
         return listen(connection -> new Handler() {
             @Override
             public void received(Connection its, ByteBuffer bytes) {
                 probesAnswered++;
-                its.send(ascii("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nqueue=2,latency_ms=9"));
+                its.send(asciiBytes("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nqueue=2,latency_ms=9"));
             }
         });
     }
 
     InetSocketAddress listen(java.util.function.Function<Connection, Handler> accept) {
-        return listen(ANY, accept);
+        return listen(LOOPBACK, accept);
     }
 
     private InetSocketAddress listen(InetSocketAddress at,
@@ -143,18 +143,18 @@
         }
     }
 
-    static ByteBuffer ascii(String text) {
+    static ByteBuffer asciiBytes(String text) {
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    TestPlatform serve() {
-        return serve(256, list(1, true, List.copyOf(instances.values())));
+    InMemoryPlatform start() {
+        return start(256, catalogObject(1, true, List.copyOf(instances.values())));
     }
 
-    TestPlatform serve(int sockets, Map<String, Object> known) {
+    InMemoryPlatform start(int sockets, Map<String, Object> known) {
         try {
-            service = new Service(new PlatformConfig("n1", ANY, catalog.address, 7, sockets, known, told()),
-                    loop, () -> WALL + (net.now() - START) / MS, log::add, () -> { });
+            controller = new PlatformController(new PlatformConfig("n1", LOOPBACK, catalog.address, 7, sockets, known, parsedSettings()),
+                    loop, () -> WALL_MS + (net.now() - START_NS) / MS, log::add, () -> { });
         } catch (java.io.IOException e) {
             throw new AssertionError(e);
         }
@@ -163,14 +163,14 @@
     }
 
     /** The catalog: keeps every watch open and tells them what it is told to. */
-    final class Catalogue {
+    final class FakeCatalog {
         final InetSocketAddress address;
         final List<Connection> watches = new ArrayList<>();
-        final List<String> asked = new ArrayList<>();
-        boolean beats = true;
-        String first;
+        final List<String> requestLines = new ArrayList<>();
+        boolean keepAlive = true;
+        String firstLine;
 
-        Catalogue(InetSocketAddress at) {
+        FakeCatalog(InetSocketAddress at) {
             address = listen(at, connection -> new Handler() {
                 @Override
                 public void received(Connection its, ByteBuffer bytes) {
@@ -179,11 +179,11 @@
                     }
                     byte[] all = new byte[bytes.remaining()];
                     bytes.get(all);
-                    asked.add(new String(all, StandardCharsets.ISO_8859_1).lines().findFirst().orElse(""));
+                    requestLines.add(new String(all, StandardCharsets.ISO_8859_1).lines().findFirst().orElse(""));
                     watches.add(its);
-                    its.send(ascii("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
-                    if (first == null || !first.isEmpty()) { // an empty chunk would end the answer
-                        write(its, first == null ? "\n" : first);
+                    its.send(asciiBytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
+                    if (firstLine == null || !firstLine.isEmpty()) { // an empty chunk would end the answer
+                        write(its, firstLine == null ? "\n" : firstLine);
                     }
                 }
 
@@ -192,51 +192,51 @@
                     watches.remove(its);
                 }
             });
-            loop.after(1900 * MS, this::beat);
+            loop.after(1900 * MS, this::sendKeepAlive);
         }
 
-        private void beat() {
-            if (beats) {
+        private void sendKeepAlive() {
+            if (keepAlive) {
                 watches.forEach(w -> write(w, "\n"));
             }
-            loop.after(1900 * MS, this::beat);
+            loop.after(1900 * MS, this::sendKeepAlive);
         }
 
         private static void write(Connection to, String text) {
-            to.send(ascii(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n"));
+            to.send(asciiBytes(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n"));
         }
 
-        void tell(String line) {
+        void send(String line) {
             watches.forEach(w -> write(w, line));
         }
 
-        void tell(long generation, boolean reset, List<Map<String, Object>> entries) {
-            tell(text(list(generation, reset, entries)) + "\n");
+        void send(long generation, boolean reset, List<Map<String, Object>> entries) {
+            send(toJson(catalogObject(generation, reset, entries)) + "\n");
         }
     }
 
     /** One connection to the controller's address. */
-    final class Client implements Handler {
-        final List<List<String>> heard = new ArrayList<>();
+    final class FakePeer implements Handler {
+        final List<List<String>> messages = new ArrayList<>();
         private final RespReader reader = new RespReader(RespReader.MESSAGE_MOST, 64);
         final Connection connection;
-        Close over;
+        Close closeReason;
 
-        Client() {
-            connection = loop.connect(null, service.address(), Connection.Options.usual(), this);
+        FakePeer() {
+            connection = loop.connect(null, controller.address(), Connection.Options.usual(), this);
         }
 
-        Client say(String words) {
-            return say(List.of(words.split(" ")));
+        FakePeer send(String words) {
+            return send(List.of(words.split(" ")));
         }
 
-        Client say(List<String> parts) {
+        FakePeer send(List<String> parts) {
             connection.send(RespWriter.encode(parts));
             return this;
         }
 
-        Client raw(String bytes) {
-            connection.send(ascii(bytes));
+        FakePeer sendRaw(String bytes) {
+            connection.send(asciiBytes(bytes));
             return this;
         }
 
@@ -244,10 +244,10 @@
         public void received(Connection its, ByteBuffer bytes) {
             try {
                 for (List<String> m = reader.next(bytes); m != null; m = reader.next(bytes)) {
-                    heard.add(m);
+                    messages.add(m);
                     int mark = m.indexOf("nonce_out");
-                    if (m.get(0).equals("push") && mark >= 0 && node != null) {
-                        say("ack node " + node + " nonce " + m.get(mark + 1) + " latency 12.5");
+                    if (m.get(0).equals("push") && mark >= 0 && nodeId != null) {
+                        send("ack node " + nodeId + " nonce " + m.get(mark + 1) + " latency 12.5");
                     }
                 }
             } catch (RespError e) {
@@ -255,22 +255,22 @@
             }
         }
 
-        String node;
+        String nodeId;
 
-        Client join(int number, String zone, int cold) {
-            node = Integer.toString(number);
-            return say("hello node " + number + " locality " + zone + " w 5.0 cold " + cold);
+        FakePeer join(int number, String zone, int cold) {
+            nodeId = Integer.toString(number);
+            return send("hello node " + number + " locality " + zone + " w 5.0 cold " + cold);
         }
 
         @Override
         public void closed(Connection its, Close why, String detail) {
-            over = why;
+            closeReason = why;
         }
 
         /** The pushes heard, as maps. */
         List<Map<String, String>> pushes() {
             List<Map<String, String>> all = new ArrayList<>();
-            for (List<String> m : heard) {
+            for (List<String> m : messages) {
                 if (m.get(0).equals("push")) {
                     Map<String, String> fields = new LinkedHashMap<>();
                     for (int i = 1; i < m.size(); i += 2) {
@@ -302,7 +302,7 @@
         }
 
         /** The instances that it shuts out by now. */
-        List<String> shutOut() {
+        List<String> ejected() {
             java.util.TreeSet<String> out = new java.util.TreeSet<>();
             for (Map<String, String> push : pushes()) {
                 out.addAll(List.of(push.getOrDefault("eject", "").split(",")));
@@ -313,7 +313,7 @@
         }
     }
 
-    Client client() {
-        return new Client();
+    FakePeer connectPeer() {
+        return new FakePeer();
     }
 }
--- a/src/test/java/rowanmoor/platform/MessagesTest.java
+++ b/src/test/java/rowanmoor/platform/MessagesTest.java
@@ -15,34 +15,34 @@
     private static final String OUTCOMES =
             "outcomes locality south endpoint s-1 total 212 errors 3 rtt 41.7 interval 1000.0 metrics queue:7,latency_ms:0.6";
 
-    private final Messages messages = new Messages(TestPlatform.told());
+    private final Messages messages = new Messages(InMemoryPlatform.parsedSettings());
 
-    private Message read(String words) throws MalformedMessageException {
-        return messages.read(List.of(words.split(" ")));
+    private Message parse(String words) throws MalformedMessageException {
+        return messages.parse(List.of(words.split(" ")));
     }
 
     @Test
     void messagesKeepTheirMeaning() throws MalformedMessageException {
-        assertEquals(new Message.Hello(17, 0, 21.5, true), read("hello node 17 locality north w 21.5 cold 1"));
-        assertEquals(new Message.Ack(17, 905, 310_400_000), read("ack node 17 nonce 905 latency 310.4"));
+        assertEquals(new Message.Hello(17, 0, 21.5, true), parse("hello node 17 locality north w 21.5 cold 1"));
+        assertEquals(new Message.Ack(17, 905, 310_400_000), parse("ack node 17 nonce 905 latency 310.4"));
         assertEquals(new Message.Outcomes("s-1", 1, 212, 3, 41_700_000, 1_000_000_000, List.of(7.0, 0.6)),
-                read(OUTCOMES));
+                parse(OUTCOMES));
         assertEquals(new Message.Demand(17, 1, 19, 0, 1_000_000_000),
-                read("demand node 17 route pay total 19 errors 0 interval 1000.0"));
+                parse("demand node 17 route pay total 19 errors 0 interval 1000.0"));
         assertEquals(new Message.Demand(17, 1, 0, 1, 1_000_000_000),
-                read("demand node 17 route pay total 0 errors 1 interval 1000.0"), "it came before the interval");
-        assertEquals(new Message.Agent(1), read("agent locality south"));
-        assertEquals(new Message.Probe(), read("probe"));
+                parse("demand node 17 route pay total 0 errors 1 interval 1000.0"), "it came before the interval");
+        assertEquals(new Message.Agent(1), parse("agent locality south"));
+        assertEquals(new Message.Probe(), parse("probe"));
     }
 
     @Test
     void absentIsAbsentAndNotZero() throws MalformedMessageException {
-        assertEquals(List.of(), ((Message.Outcomes) read(OUTCOMES.replaceAll(" metrics .*", ""))).load());
-        assertEquals(List.of(), ((Message.Outcomes) read(OUTCOMES.replace("latency_ms", "other"))).load(),
+        assertEquals(List.of(), ((Message.Outcomes) parse(OUTCOMES.replaceAll(" metrics .*", ""))).load());
+        assertEquals(List.of(), ((Message.Outcomes) parse(OUTCOMES.replace("latency_ms", "other"))).load(),
                 "a report that lacks a figure the settings name tells nothing");
-        assertEquals(0, ((Message.Outcomes) read(OUTCOMES.replace(" rtt 41.7", "").replace("errors 3",
+        assertEquals(0, ((Message.Outcomes) parse(OUTCOMES.replace(" rtt 41.7", "").replace("errors 3",
                 "errors 212"))).latency(), "no good try, no mean");
-        assertThrows(MalformedMessageException.class, () -> read(OUTCOMES.replace(" rtt 41.7", "")), "good tries without a mean");
+        assertThrows(MalformedMessageException.class, () -> parse(OUTCOMES.replace(" rtt 41.7", "")), "good tries without a mean");
     }
 
     @Test
@@ -65,21 +65,21 @@
                 }
                 List<String> sent = parts;
                 if (!fits) {
-                    MalformedMessageException told = assertThrows(MalformedMessageException.class, () -> messages.read(sent), sent.toString());
+                    MalformedMessageException told = assertThrows(MalformedMessageException.class, () -> messages.parse(sent), sent.toString());
                     assertTrue(told.getMessage().startsWith("outcomes " + field[1]), told.getMessage());
                 }
             }
         }
-        assertThrows(MalformedMessageException.class, () -> read("demand node 40 route pay total 1 errors 0 interval 1"));
-        assertThrows(MalformedMessageException.class, () -> read("demand node 1 route none total 1 errors 0 interval 1"));
-        assertThrows(MalformedMessageException.class, () -> read("demand node 1 route pay total 1 errors 0 interval 0"));
-        assertThrows(MalformedMessageException.class, () -> read("hello node 1 locality west w 1 cold 0"));
-        assertThrows(MalformedMessageException.class, () -> read("hello node 1 locality north w 1 cold 2"));
-        assertThrows(MalformedMessageException.class, () -> read("hello node 1 locality north w 1"));
-        assertThrows(MalformedMessageException.class, () -> read("hello node 1 node 2 locality north w 1 cold 0"));
-        assertThrows(MalformedMessageException.class, () -> read("ack node 1 nonce 65536 latency 1"));
-        assertThrows(MalformedMessageException.class, () -> read("ack node 1 nonce 5 latency"));
-        assertThrows(MalformedMessageException.class, () -> read("push endpoints s-1:1"));
+        assertThrows(MalformedMessageException.class, () -> parse("demand node 40 route pay total 1 errors 0 interval 1"));
+        assertThrows(MalformedMessageException.class, () -> parse("demand node 1 route none total 1 errors 0 interval 1"));
+        assertThrows(MalformedMessageException.class, () -> parse("demand node 1 route pay total 1 errors 0 interval 0"));
+        assertThrows(MalformedMessageException.class, () -> parse("hello node 1 locality west w 1 cold 0"));
+        assertThrows(MalformedMessageException.class, () -> parse("hello node 1 locality north w 1 cold 2"));
+        assertThrows(MalformedMessageException.class, () -> parse("hello node 1 locality north w 1"));
+        assertThrows(MalformedMessageException.class, () -> parse("hello node 1 node 2 locality north w 1 cold 0"));
+        assertThrows(MalformedMessageException.class, () -> parse("ack node 1 nonce 65536 latency 1"));
+        assertThrows(MalformedMessageException.class, () -> parse("ack node 1 nonce 5 latency"));
+        assertThrows(MalformedMessageException.class, () -> parse("push endpoints s-1:1"));
     }
 
     @Test
@@ -97,7 +97,7 @@
                 parts.set(random.nextInt(parts.size()), words.get(random.nextInt(words.size())));
             }
             try {
-                messages.read(parts);
+                messages.parse(parts);
                 read++;
             } catch (MalformedMessageException e) {
                 assertTrue(e.getMessage().length() < 200, e.getMessage());
--- a/src/test/java/rowanmoor/platform/PlatformConfigTest.java
+++ b/src/test/java/rowanmoor/platform/PlatformConfigTest.java
@@ -22,7 +22,7 @@
             + "\"discovery\":\"127.0.0.1:8500\",\"seed\":\"8c1f30d27a5be964\","
             + "\"limits\":{\"cores\":1.0,\"memory_mb\":128,\"sockets\":256},"
             + "\"known\":{\"generation\":4,\"reset\":true,\"instances\":[]},\"settings\":"
-            + TestPlatform.SETTINGS + "}";
+            + InMemoryPlatform.SETTINGS + "}";
 
     @TempDir
     private Path folder;
@@ -36,15 +36,15 @@
     @Test
     void aGoodFileIsRead() throws IOException {
         PlatformConfig config = read(GOOD);
-        assertEquals(3000, config.listen().getPort());
-        assertEquals(8500, config.discovery().getPort());
-        assertEquals(256, config.sockets());
-        assertEquals(2, config.told().settings().classes().size());
-        assertEquals(Effect.UNSAFE, config.told().settings().classes().get(1).effect());
-        assertTrue(config.told().settings().classes().get(1).write());
-        assertEquals(0, config.told().settings().columns().queue());
-        assertEquals("pay", config.told().classes().get(1));
-        assertEquals(5_000_000, config.told().tick());
+        assertEquals(3000, config.listenAddress().getPort());
+        assertEquals(8500, config.catalogAddress().getPort());
+        assertEquals(256, config.maxSockets());
+        assertEquals(2, config.parsedSettings().settings().classes().size());
+        assertEquals(Effect.UNSAFE, config.parsedSettings().settings().classes().get(1).effect());
+        assertTrue(config.parsedSettings().settings().classes().get(1).write());
+        assertEquals(0, config.parsedSettings().settings().columns().queue());
+        assertEquals("pay", config.parsedSettings().classes().get(1));
+        assertEquals(5_000_000, config.parsedSettings().tick());
     }
 
     @Test
--- a/src/test/java/rowanmoor/platform/EndPathsTest.java
+++ b/src/test/java/rowanmoor/platform/RandomDisconnectTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static rowanmoor.platform.TestPlatform.MS;
-import static rowanmoor.platform.TestPlatform.instance;
-import static rowanmoor.platform.TestPlatform.list;
+import static rowanmoor.platform.InMemoryPlatform.MS;
+import static rowanmoor.platform.InMemoryPlatform.instance;
+import static rowanmoor.platform.InMemoryPlatform.catalogObject;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -16,15 +16,15 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 import rowanmoor.net.MemoryNet;
-import rowanmoor.platform.TestPlatform.Catalogue;
-import rowanmoor.platform.TestPlatform.Client;
+import rowanmoor.platform.InMemoryPlatform.FakeCatalog;
+import rowanmoor.platform.InMemoryPlatform.FakePeer;
 
 /**
  * Seeded interleavings of accepting, joining, bytes split anywhere, resets, half-closes, silence, list changes,
  * moves of the catalog and ends. Whatever the order: no descriptor or timer is left, each leave is told once,
  * nothing is ordered to one that has gone, and every wait ends.
  */
-class EndPathsTest {
+class RandomDisconnectTest {
 
     private static final long SECOND = 1000 * MS;
     private static final int STEPS = 120;
@@ -33,24 +33,24 @@
     /** One run of random steps, and what has to hold after them. */
     private static final class Run {
         private final SplittableRandom random;
-        private final TestPlatform platform;
-        private final List<Catalogue> catalogs = new ArrayList<>();
-        private final List<Client> clients = new ArrayList<>();
-        private final Set<Client> ended = new HashSet<>();
+        private final InMemoryPlatform platform;
+        private final List<FakeCatalog> catalogs = new ArrayList<>();
+        private final List<FakePeer> peers = new ArrayList<>();
+        private final Set<FakePeer> ended = new HashSet<>();
         private long generation = 1;
-        private int at;
+        private int configuredCatalog;
 
         Run(long seed) {
             random = new SplittableRandom(seed);
-            platform = new TestPlatform(seed);
+            platform = new InMemoryPlatform(seed);
             platform.net.faults(new MemoryNet.Faults(1 + random.nextInt(200), MS / 10, random.nextInt(1, 30) * MS, 0,
                     0));
-            platform.serve(64 + 8 * random.nextInt(4), list(1, true, List.copyOf(platform.instances.values())));
+            platform.start(64 + 8 * random.nextInt(4), catalogObject(1, true, List.copyOf(platform.instances.values())));
             catalogs.add(platform.catalog);
-            catalogs.add(platform.new Catalogue(TestPlatform.ANY));
+            catalogs.add(platform.new FakeCatalog(InMemoryPlatform.LOOPBACK));
         }
 
-        void play() {
+        void runSteps() {
             for (int i = 0; i < STEPS; i++) {
                 step();
                 if (random.nextInt(3) > 0) {
@@ -61,33 +61,33 @@
 
         private void step() {
             switch (random.nextInt(12)) {
-                case 0 -> clients.add(platform.client());
-                case 1, 2, 3 -> join();
-                case 4 -> clients.add(platform.client().raw("*9\r\n$5\r\nhello\r\n$4\r\nno"));
-                case 5 -> end(false);
-                case 6 -> end(true);
+                case 0 -> peers.add(platform.connectPeer());
+                case 1, 2, 3 -> joinPeer();
+                case 4 -> peers.add(platform.connectPeer().sendRaw("*9\r\n$5\r\nhello\r\n$4\r\nno"));
+                case 5 -> endRandomPeer(false);
+                case 6 -> endRandomPeer(true);
                 case 7 -> {
-                    if (!clients.isEmpty()) {
-                        clients.get(random.nextInt(clients.size())).connection.pause(); // reads nothing
+                    if (!peers.isEmpty()) {
+                        peers.get(random.nextInt(peers.size())).connection.pause(); // reads nothing
                     }
                 }
-                case 8 -> change();
-                case 9 -> breakWatch();
-                case 10 -> move(random.nextInt(3));
-                default -> catalogs.forEach(c -> c.beats = random.nextBoolean());
+                case 8 -> changeInstances();
+                case 9 -> breakWatches();
+                case 10 -> moveCatalog(random.nextInt(3));
+                default -> catalogs.forEach(c -> c.keepAlive = random.nextBoolean());
             }
         }
 
-        private void join() {
+        private void joinPeer() {
             int number = random.nextInt(PROXIES);
-            clients.add(platform.client().join(number, number % 2 == 0 ? "north" : "south", random.nextInt(2)));
+            peers.add(platform.connectPeer().join(number, number % 2 == 0 ? "north" : "south", random.nextInt(2)));
         }
 
-        private void end(boolean reset) {
-            if (clients.isEmpty()) {
+        private void endRandomPeer(boolean reset) {
+            if (peers.isEmpty()) {
                 return;
             }
-            Client client = clients.get(random.nextInt(clients.size()));
+            FakePeer client = peers.get(random.nextInt(peers.size()));
             if (reset) {
                 client.connection.reset("the test");
             } else {
@@ -96,7 +96,7 @@
             ended.add(client);
         }
 
-        private void change() {
+        private void changeInstances() {
             List<Map<String, Object>> some = new ArrayList<>();
             for (int i = random.nextInt(3); i < 6; i += 3) {
                 some.add(instance("s-" + i, i % 2 == 0 ? "north" : "south",
@@ -104,54 +104,54 @@
             }
             generation += random.nextInt(2);
             boolean whole = random.nextInt(4) == 0;
-            catalogs.get(at % 2).tell(Math.max(0, generation - (whole ? random.nextInt(3) : 0)), whole, some);
+            catalogs.get(configuredCatalog % 2).send(Math.max(0, generation - (whole ? random.nextInt(3) : 0)), whole, some);
         }
 
-        private void breakWatch() {
-            for (Catalogue catalog : catalogs) {
+        private void breakWatches() {
+            for (FakeCatalog catalog : catalogs) {
                 List.copyOf(catalog.watches).forEach(w -> {
                     switch (random.nextInt(4)) {
                         case 0 -> w.reset("the test");
-                        case 1 -> w.send(TestPlatform.ascii("0\r\n\r\n"));
-                        case 2 -> w.send(TestPlatform.ascii("3\r\n{\"g\r\n"));
-                        default -> w.send(TestPlatform.ascii("nonsense"));
+                        case 1 -> w.send(InMemoryPlatform.asciiBytes("0\r\n\r\n"));
+                        case 2 -> w.send(InMemoryPlatform.asciiBytes("3\r\n{\"g\r\n"));
+                        default -> w.send(InMemoryPlatform.asciiBytes("nonsense"));
                     }
                 });
             }
         }
 
         /** To one of the two catalogs, or to an address where nobody is. */
-        private void move(int where) {
-            at = where;
+        private void moveCatalog(int where) {
+            configuredCatalog = where;
             InetSocketAddress to = where < 2 ? catalogs.get(where).address
-                    : new InetSocketAddress(TestPlatform.ANY.getAddress(), 9);
-            platform.service.reload(new PlatformConfig("n1", TestPlatform.ANY, to, 7, 64, list(1, true, List.of()),
-                    TestPlatform.told()));
+                    : new InetSocketAddress(InMemoryPlatform.LOOPBACK.getAddress(), 9);
+            platform.controller.reload(new PlatformConfig("n1", InMemoryPlatform.LOOPBACK, to, 7, 64, catalogObject(1, true, List.of()),
+                    InMemoryPlatform.parsedSettings()));
         }
 
-        void judge(String name) {
-            catalogs.forEach(c -> c.beats = true);
-            move(0);
+        void verify(String name) {
+            catalogs.forEach(c -> c.keepAlive = true);
+            moveCatalog(0);
             platform.net.runFor(4 * SECOND);
-            assertEquals(platform.service.joinedCount(), platform.service.openPeers(),
+            assertEquals(platform.controller.joinedProxies(), platform.controller.openConnections(),
                     name + ": only who has joined holds a descriptor, though some read nothing");
-            List<Integer> heard = ended.stream().map(c -> c.heard.size()).toList();
-            clients.stream().filter(c -> c.connection.isOpen() && !ended.contains(c)).forEach(c ->
+            List<Integer> heard = ended.stream().map(c -> c.messages.size()).toList();
+            peers.stream().filter(c -> c.connection.isOpen() && !ended.contains(c)).forEach(c ->
                     c.connection.resume());
             platform.net.runFor(6 * SECOND);
-            assertEquals(heard, ended.stream().map(c -> c.heard.size()).toList(),
+            assertEquals(heard, ended.stream().map(c -> c.messages.size()).toList(),
                     name + ": nothing is ordered to one that has gone");
             assertEquals(1, catalogs.get(0).watches.size(), name + ": one watch, at the right address");
             assertEquals(0, catalogs.get(1).watches.size(), name);
-            List<String> there = clients.stream().filter(c -> c.over == null && c.node != null && !ended.contains(c))
-                    .map(c -> c.node).toList();
+            List<String> there = peers.stream().filter(c -> c.closeReason == null && c.nodeId != null && !ended.contains(c))
+                    .map(c -> c.nodeId).toList();
             assertEquals(new TreeSet<>(there).size(), there.size(), name + ": a stream for each proxy");
-            assertEquals(there.size(), platform.service.joinedCount(), name + ": who is there is counted");
-            assertEquals(there.size(), platform.service.openPeers(), name + ": and nobody else holds a descriptor");
-            clients.forEach(c -> c.connection.reset("the end"));
+            assertEquals(there.size(), platform.controller.joinedProxies(), name + ": who is there is counted");
+            assertEquals(there.size(), platform.controller.openConnections(), name + ": and nobody else holds a descriptor");
+            peers.forEach(c -> c.connection.reset("the end"));
             platform.net.runFor(3 * SECOND);
-            assertEquals(0, platform.service.joinedCount(), name);
-            assertEquals(0, platform.service.openPeers(), name);
+            assertEquals(0, platform.controller.joinedProxies(), name);
+            assertEquals(0, platform.controller.openConnections(), name);
             assertEquals(List.of(), platform.faults, name + ": a leave told twice, or a join over one, throws");
             // Both ends of the watch; its silence, two beats, the statistics, the next turn, probes under way.
             assertTrue(platform.net.connectionsOf(platform.loop) <= 2 + 2 * 8, name + ": "
@@ -165,8 +165,8 @@
     void whateverTheOrderNothingIsOwedInTheEnd() {
         for (long seed = 1; seed <= 120; seed++) {
             Run run = new Run(seed);
-            run.play();
-            run.judge("seed " + seed);
+            run.runSteps();
+            run.verify("seed " + seed);
         }
     }
 }
--- /dev/null
+++ b/src/test/java/rowanmoor/platform/SocketDisconnectTest.java
@@ -0,0 +1,242 @@
+package rowanmoor.platform;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static rowanmoor.platform.InMemoryPlatform.instance;
+import static rowanmoor.platform.InMemoryPlatform.catalogObject;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+import rowanmoor.platform.SocketPlatform.ScriptedCatalog;
+import rowanmoor.platform.SocketPlatform.Watch;
+
+/** Ends at the wrong instant, on real loopback sockets: the peer or the catalog makes the bad order each time. */
+@Timeout(120)
+class SocketDisconnectTest {
+
+    private ScriptedCatalog catalog;
+    private SocketPlatform platform;
+
+    @BeforeEach
+    void start() throws IOException {
+        catalog = new ScriptedCatalog();
+        platform = new SocketPlatform(catalog, 256, catalogObject(4, true, sixInstances()));
+    }
+
+    @AfterEach
+    void stop() throws IOException {
+        platform.close();
+        catalog.close();
+    }
+
+    private static List<Map<String, Object>> sixInstances() {
+        List<Map<String, Object>> six = new ArrayList<>();
+        for (int i = 0; i < 6; i++) {
+            six.add(numberedInstance(i, "in_service"));
+        }
+        return six;
+    }
+
+    private static Map<String, Object> numberedInstance(int i, String lifecycle) {
+        return instance("s-" + i, i % 2 == 0 ? "north" : "south", lifecycle, 0, "127.0.0.1:9");
+    }
+
+    // ---- peers ---------------------------------------------------------------------------------------
+
+    /** Fills the buffers of a proxy's stream until bytes wait in the controller. */
+    private void fillSendBuffers(int proxy) {
+        List<String> large = List.of("push", "eject", "s-" + "1".repeat(30_000));
+        platform.awaitOnLoop(() -> { // what was sent in an earlier turn and still waits, no buffer takes
+            boolean waits = platform.controller.queuedBytes(proxy) > 0;
+            if (!waits) {
+                platform.controller.send(proxy, large);
+            }
+            return waits;
+        });
+    }
+
+    @Test
+    void aProxyThatEndsWithOrdersUnreadHasLeftAtOnceAndItsDescriptorIsFreed() throws Exception {
+        try (SocketPlatform.SocketPeer proxy = platform.connectPeer().join(1)) {
+            proxy.receiveWith("full", "1");
+            fillSendBuffers(1);
+            proxy.socket.shutdownOutput();
+            int[] open = new int[1];
+            platform.awaitOnLoop(() -> {
+                open[0] = platform.controller.openConnections();
+                return platform.controller.joinedProxies() == 0;
+            });
+            assertEquals(1, open[0], "the leave does not wait for the descriptor");
+            platform.awaitOnLoop(() -> platform.controller.openConnections() == 0);
+        }
+    }
+
+    @Test
+    void killedRightAfterItsHelloAProxyLeavesNothing() throws Exception {
+        platform.whileLoopIsBlocked(() -> {
+            for (int i = 0; i < 40; i++) {
+                platform.connectPeer().join(i).reset();
+            }
+            return null;
+        });
+        platform.connectPeer().join(39).close(); // and one after them, whose end tells that all were met
+        platform.awaitOnLoop(() -> platform.controller.openConnections() == 0);
+        assertEquals(0, platform.callOnLoop(platform.controller::joinedProxies));
+    }
+
+    @Test
+    void streamsOfAllProxiesOfADeadControllerComeInOneTurnAndAllAreBound() throws Exception {
+        List<SocketPlatform.SocketPeer> proxies = new ArrayList<>();
+        platform.whileLoopIsBlocked(() -> {
+            for (int i = 0; i < 40; i++) {
+                proxies.add(platform.connectPeer().join(i));
+            }
+            return null;
+        });
+        for (SocketPlatform.SocketPeer proxy : proxies) {
+            proxy.receiveWith("full", "1");
+            proxy.close();
+        }
+        platform.awaitOnLoop(() -> platform.controller.openConnections() == 0);
+        assertEquals(0, platform.callOnLoop(platform.controller::joinedProxies));
+    }
+
+    @Test
+    void aHelloInPiecesOverAResetStreamOfTheSameProxyIsTheOneThatCounts() throws Exception {
+        SocketPlatform.SocketPeer first = platform.connectPeer().join(5);
+        first.receiveWith("full", "1");
+        try (SocketPlatform.SocketPeer second = platform.connectPeer()) {
+            byte[] hello = "*9\r\n$5\r\nhello\r\n$4\r\nnode\r\n$1\r\n5\r\n$8\r\nlocality\r\n$5\r\nnorth\r\n$1\r\nw\r\n$1\r\n5\r\n$4\r\ncold\r\n$1\r\n0\r\n"
+                    .getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
+            for (int i = 0; i < hello.length; i++) {
+                if (i == hello.length / 2) {
+                    first.reset();
+                }
+                second.socket.getOutputStream().write(hello[i]);
+            }
+            second.receiveWith("full", "1");
+            platform.awaitOnLoop(() -> platform.controller.openConnections() == 1);
+            assertEquals(1, platform.callOnLoop(platform.controller::joinedProxies));
+        }
+    }
+
+    // ---- the catalog's watch -------------------------------------------------------------------------
+
+    @Test
+    void aWatchWhoseAnswerEndsIsClosedThoughItsConnectionCouldStay() throws Exception {
+        Watch first = catalog.acceptWatch().sendHead().sendLine("");
+        first.sendRaw("0\r\n\r\n"); // the answer is whole; the connection is not ended
+        assertTrue(first.isClosedByController(), "its descriptor is given back");
+        assertTrue(catalog.acceptWatch().requestLine.contains("since=4 "));
+    }
+
+    @Test
+    void anOlderWholeListDoesNotBringBackWhatDrains() throws Exception {
+        try (SocketPlatform.SocketPeer proxy = platform.connectPeer().join(1)) {
+            Watch watch = catalog.acceptWatch().sendHead();
+            watch.sendObject(6, false, List.of(numberedInstance(2, "terminating"), numberedInstance(3, "terminated")));
+            proxy.receiveWith("eject", "s-2");
+            watch.sendObject(5, true, sixInstances()); // told by an agent that lags
+            watch.sendObject(7, false, List.of(numberedInstance(4, "terminating")));
+            List<String> next = proxy.receiveWith("eject", "s-4");
+            assertEquals(-1, next.indexOf("restore"), "nothing was let back: " + next);
+        }
+    }
+
+    @Test
+    void anEmptyWholeListEmptiesNoTableUntilItHasStayedSo() throws Exception {
+        try (SocketPlatform.SocketPeer proxy = platform.connectPeer().join(1)) {
+            proxy.receiveWith("full", "1");
+            Watch first = catalog.acceptWatch().sendHead().sendObject(9, true, List.of());
+            assertTrue(first.isClosedByController(), "not believed");
+            Watch second = catalog.acceptWatch();
+            assertTrue(second.requestLine.contains("since=4 "), "it is asked from what is held: " + second.requestLine);
+            second.sendHead().sendObject(9, true, sixInstances()).sendObject(10, false, List.of(numberedInstance(1, "terminating")));
+            List<String> shut = proxy.receiveWith("eject", "s-");
+            assertEquals("s-1", shut.get(shut.indexOf("eject") + 1), "and nothing before it");
+        }
+    }
+
+    @Test
+    void aMoveWhileTheNewAddressFailsKeepsOneWatchAndOneOnly() throws Exception {
+        Watch old = catalog.acceptWatch().sendHead().sendLine("");
+        try (ScriptedCatalog other = new ScriptedCatalog()) {
+            platform.callOnLoop(() -> {
+                platform.controller.reload(SocketPlatform.config(other.address(), 256, catalogObject(4, true, sixInstances())));
+                return null;
+            });
+            Watch asked = other.acceptWatch();
+            asked.sendRaw("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+            assertTrue(asked.isClosedByController());
+            old.sendObject(5, false, List.of(numberedInstance(2, "terminating"))); // the old one still counts
+            Watch stands = other.acceptWatch().sendHead();
+            stands.sendLine("");
+            assertTrue(old.isClosedByController(), "once the new one stands");
+        }
+    }
+
+    // ---- signals -------------------------------------------------------------------------------------
+
+    private static String configText(ScriptedCatalog at) {
+        return "{\"name\":\"n1\",\"discovery\":\"" + at.address().getAddress().getHostAddress() + ":"
+                + at.address().getPort() + "\",\"seed\":\"7\",\"limits\":{\"sockets\":256},\"known\":"
+                + InMemoryPlatform.toJson(catalogObject(4, true, sixInstances())) + ",\"settings\":" + InMemoryPlatform.SETTINGS + "}";
+    }
+
+    private static Map<String, String> environment(Path file) {
+        return Map.of("GW_CONFIG", file.toString(), "GW_LISTEN", "127.0.0.1:0");
+    }
+
+    @Test
+    void aHalfWrittenConfigurationIsNotUsedAndOfTwoSignalsAtOnceTheLastIs(@TempDir Path folder) throws Exception {
+        Path file = Files.writeString(folder.resolve("config.json"), configText(catalog));
+        try (ScriptedCatalog other = new ScriptedCatalog(); SocketPlatform its = SocketPlatform.fromFile(environment(file))) {
+            catalog.acceptWatch(); // the other controller's
+            Watch first = catalog.acceptWatch().sendHead().sendLine("");
+            Files.writeString(file, configText(other).substring(0, 400));
+            its.configFile.reload();
+            assertTrue(its.log.toString().contains("configuration kept as it was: GW_CONFIG " + file), its.log::toString);
+            Files.writeString(file, configText(other));
+            its.whileLoopIsBlocked(() -> { // neither waits for the loop
+                its.configFile.reload();
+                its.configFile.reload();
+                return null;
+            });
+            other.acceptWatch().sendHead().sendLine("").sendObject(5, false, List.of(numberedInstance(2, "terminating")));
+            assertTrue(first.isClosedByController());
+            try (SocketPlatform.SocketPeer proxy = its.connectPeer().join(1)) {
+                proxy.receiveWith("eject", "s-2");
+            }
+        }
+    }
+
+    @Test
+    void aCatalogThatMovedWithoutASignalIsFoundByTheFile(@TempDir Path folder) throws Exception {
+        Path file = Files.writeString(folder.resolve("config.json"), configText(catalog));
+        try (ScriptedCatalog other = new ScriptedCatalog(); SocketPlatform its = SocketPlatform.fromFile(environment(file))) {
+            catalog.acceptWatch();
+            Watch first = catalog.acceptWatch().sendHead().sendLine("");
+            its.awaitOnLoop(() -> its.log.stream().anyMatch(l -> l.contains("listens")));
+            Files.writeString(file, configText(other).substring(0, 400)); // and half of it first
+            catalog.close();
+            its.awaitOnLoop(() -> its.log.stream().anyMatch(l -> l.contains("kept as it was")));
+            Files.writeString(file, configText(other));
+            Watch watch = other.acceptWatch().sendHead();
+            assertTrue(watch.requestLine.contains("since=4 "), watch.requestLine);
+            watch.sendObject(5, false, List.of(numberedInstance(2, "terminating")));
+            try (SocketPlatform.SocketPeer proxy = its.connectPeer().join(1)) {
+                proxy.receiveWith("eject", "s-2");
+            }
+            assertTrue(first.isClosedByController());
+        }
+    }
+}
--- a/src/test/java/rowanmoor/platform/SocketPlatform.java
+++ b/src/test/java/rowanmoor/platform/SocketPlatform.java
@@ -31,13 +31,13 @@
  */
 final class SocketPlatform implements AutoCloseable {
 
-    static final int PATIENCE_MS = 20_000;
+    static final int TIMEOUT_MS = 20_000;
 
     final List<Throwable> faults;
     final List<String> log = new CopyOnWriteArrayList<>();
     final Loop loop;
-    final Service service;
-    final ConfigFile file; // null unless it was started from one
+    final PlatformController controller;
+    final ConfigFile configFile; // null unless it was started from one
     private final Thread thread;
 
     SocketPlatform(ScriptedCatalog catalog, int sockets, Map<String, Object> known) throws IOException {
@@ -48,28 +48,28 @@
     SocketPlatform(PlatformConfig config, List<Throwable> faults, Map<String, String> env) throws IOException {
         this.faults = faults;
         loop = Loop.onSockets(faults::add);
-        file = env == null ? null : new ConfigFile(env, c -> loop.post(() -> reload(c)), log::add);
-        Runnable lookAgain = file == null ? () -> { } : file::lookAgain;
-        service = new Service(config, loop, System::currentTimeMillis, log::add, lookAgain);
+        configFile = env == null ? null : new ConfigFile(env, c -> loop.post(() -> reload(c)), log::add);
+        Runnable lookAgain = configFile == null ? () -> { } : configFile::checkForChange;
+        controller = new PlatformController(config, loop, System::currentTimeMillis, log::add, lookAgain);
         thread = new Thread(loop);
         thread.start();
     }
 
     /** A controller started from a file as the program starts it. */
-    static SocketPlatform ofFile(Map<String, String> env) throws IOException {
+    static SocketPlatform fromFile(Map<String, String> env) throws IOException {
         return new SocketPlatform(PlatformConfig.read(env), new CopyOnWriteArrayList<>(), env);
     }
 
     private void reload(PlatformConfig config) {
-        service.reload(config);
+        controller.reload(config);
     }
 
     static PlatformConfig config(InetSocketAddress catalog, int sockets, Map<String, Object> known) {
-        return new PlatformConfig("n1", TestPlatform.ANY, catalog, 7, sockets, known, TestPlatform.told());
+        return new PlatformConfig("n1", InMemoryPlatform.LOOPBACK, catalog, 7, sockets, known, InMemoryPlatform.parsedSettings());
     }
 
     /** Asks something on the loop's thread. */
-    <T> T on(Callable<T> what) {
+    <T> T callOnLoop(Callable<T> what) {
         CompletableFuture<T> answer = new CompletableFuture<>();
         loop.post(() -> {
             try {
@@ -79,16 +79,16 @@
             }
         });
         try {
-            return answer.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+            return answer.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException | ExecutionException | TimeoutException e) {
             throw new AssertionError(e);
         }
     }
 
     /** Turns the loop until something holds there. */
-    void await(Callable<Boolean> holds) {
-        long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-        while (!on(holds)) {
+    void awaitOnLoop(Callable<Boolean> holds) {
+        long until = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
+        while (!callOnLoop(holds)) {
             if (System.nanoTime() > until) {
                 throw new AssertionError("it never held; log: " + log);
             }
@@ -97,14 +97,14 @@
     }
 
     /** Stands the loop still while a test puts bytes in place, so that it meets them all in one turn. */
-    void whileItStandsStill(Callable<Void> step) throws Exception {
+    void whileLoopIsBlocked(Callable<Void> step) throws Exception {
         CompletableFuture<Void> still = new CompletableFuture<>();
         CompletableFuture<Void> on = new CompletableFuture<>();
         loop.post(() -> {
             still.complete(null);
             on.join();
         });
-        still.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+        still.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         try {
             step.call();
         } finally {
@@ -126,28 +126,28 @@
     }
 
     /** One connection to the controller's address. */
-    final class Peer implements AutoCloseable {
+    final class SocketPeer implements AutoCloseable {
         final Socket socket;
         private final RespReader reader = new RespReader(RespReader.MESSAGE_MOST, 256);
         private ByteBuffer read = ByteBuffer.allocate(0);
 
-        Peer() throws IOException {
-            socket = new Socket(service.address().getAddress(), service.address().getPort());
-            socket.setSoTimeout(PATIENCE_MS);
+        SocketPeer() throws IOException {
+            socket = new Socket(controller.address().getAddress(), controller.address().getPort());
+            socket.setSoTimeout(TIMEOUT_MS);
         }
 
-        Peer say(String words) throws IOException {
+        SocketPeer send(String words) throws IOException {
             ByteBuffer bytes = RespWriter.encode(List.of(words.split(" ")));
             socket.getOutputStream().write(bytes.array(), bytes.arrayOffset() + bytes.position(), bytes.remaining());
             return this;
         }
 
-        Peer join(int number) throws IOException {
-            return say("hello node " + number + " locality north w 5.0 cold 1");
+        SocketPeer join(int number) throws IOException {
+            return send("hello node " + number + " locality north w 5.0 cold 1");
         }
 
         /** The next message; null once the stream has ended. */
-        List<String> hear() throws IOException {
+        List<String> receive() throws IOException {
             try {
                 while (true) {
                     List<String> message = read.hasRemaining() ? reader.next(read) : null;
@@ -167,8 +167,8 @@
         }
 
         /** The first message in which a field has a value that holds this text. */
-        List<String> hearWith(String field, String text) throws IOException {
-            for (List<String> message = hear(); message != null; message = hear()) {
+        List<String> receiveWith(String field, String text) throws IOException {
+            for (List<String> message = receive(); message != null; message = receive()) {
                 int at = message.indexOf(field);
                 if (at > 0 && message.get(at + 1).contains(text)) {
                     return message;
@@ -188,26 +188,26 @@
         }
     }
 
-    Peer peer() throws IOException {
-        return new Peer();
+    SocketPeer connectPeer() throws IOException {
+        return new SocketPeer();
     }
 
     /** The catalog's address; the test takes each watch itself and says what it is told. */
     static final class ScriptedCatalog implements AutoCloseable {
-        private final ServerSocket door = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        private final ServerSocket serverSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         private final List<Watch> watches = new ArrayList<>();
 
         ScriptedCatalog() throws IOException {
-            door.setSoTimeout(PATIENCE_MS);
+            serverSocket.setSoTimeout(TIMEOUT_MS);
         }
 
         InetSocketAddress address() {
-            return new InetSocketAddress(door.getInetAddress(), door.getLocalPort());
+            return new InetSocketAddress(serverSocket.getInetAddress(), serverSocket.getLocalPort());
         }
 
         /** The next watch, whose question has been read and whose answer has not begun. */
-        Watch watch() throws IOException {
-            Watch watch = new Watch(door.accept());
+        Watch acceptWatch() throws IOException {
+            Watch watch = new Watch(serverSocket.accept());
             watches.add(watch);
             return watch;
         }
@@ -217,49 +217,49 @@
             for (Watch watch : watches) {
                 watch.socket.close();
             }
-            door.close();
+            serverSocket.close();
         }
     }
 
     /** One watch, at the catalog's end. */
     static final class Watch {
         final Socket socket;
-        final String question;
+        final String requestLine;
         private final InputStream in;
         private final OutputStream out;
 
         Watch(Socket socket) throws IOException {
             this.socket = socket;
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
             in = socket.getInputStream();
             out = socket.getOutputStream();
             BufferedReader lines = new BufferedReader(new InputStreamReader(in, StandardCharsets.ISO_8859_1));
-            question = lines.readLine();
+            requestLine = lines.readLine();
             for (String line = lines.readLine(); !line.isEmpty(); line = lines.readLine()) {
                 continue;
             }
         }
 
-        Watch begin() throws IOException {
-            return raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        Watch sendHead() throws IOException {
+            return sendRaw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         }
 
-        Watch line(String line) throws IOException {
-            return raw(Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
+        Watch sendLine(String line) throws IOException {
+            return sendRaw(Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
         }
 
-        Watch tell(long generation, boolean reset, List<Map<String, Object>> entries) throws IOException {
-            return line(TestPlatform.text(TestPlatform.list(generation, reset, entries)));
+        Watch sendObject(long generation, boolean reset, List<Map<String, Object>> entries) throws IOException {
+            return sendLine(InMemoryPlatform.toJson(InMemoryPlatform.catalogObject(generation, reset, entries)));
         }
 
-        Watch raw(String bytes) throws IOException {
+        Watch sendRaw(String bytes) throws IOException {
             out.write(bytes.getBytes(StandardCharsets.ISO_8859_1));
             out.flush();
             return this;
         }
 
         /** Waits until the controller has closed it. */
-        boolean isLeft() throws IOException {
+        boolean isClosedByController() throws IOException {
             try {
                 return in.read() < 0;
             } catch (java.net.SocketTimeoutException e) {
--- a/src/test/java/rowanmoor/platform/TranslatorTest.java
+++ b/src/test/java/rowanmoor/platform/TranslatorTest.java
@@ -30,15 +30,15 @@
 /** What each order of the module's means on the simulator's wire comes out the same in pushes. */
 class TranslatorTest {
 
-    private final Names names = new Names();
-    private final Backend one = names.listed("s-1");
-    private final Backend two = names.listed("s-2");
-    private final Backend three = names.listed("s-3");
+    private final InstanceRegistry registry = new InstanceRegistry();
+    private final Backend one = registry.register("s-1");
+    private final Backend two = registry.register("s-2");
+    private final Backend three = registry.register("s-3");
     private final Fanout fanout = new Fanout(2);
-    private final Translator translator = new Translator(List.of("read", "pay"), names, fanout);
+    private final Translator translator = new Translator(List.of("read", "pay"), registry, fanout);
 
     @BeforeEach
-    void listed() {
+    void listInstances() {
         fanout.hearList(new Members(ListKind.FULL, 1, List.of(one, two, three).stream()
                 .map(b -> new Member(b, 0, 0, 0, Listed.READY, 1, 0)).toList()));
         fanout.join(7);
@@ -46,82 +46,82 @@
     }
 
     /** What these orders write to proxy 7, a string a part. */
-    private List<String> written(Action... actions) {
-        return written(7, actions);
+    private List<String> pushesFor(Action... actions) {
+        return pushesFor(7, actions);
     }
 
-    private List<String> written(int proxy, Action... actions) {
+    private List<String> pushesFor(int proxy, Action... actions) {
         var orders = fanout.messages(List.of(actions)).get(proxy);
-        return orders == null ? List.of() : translator.push(proxy, orders).stream()
+        return orders == null ? List.of() : translator.pushMessages(proxy, orders).stream()
                 .map(m -> String.join(" ", m)).toList();
     }
 
-    private String lines(Object... pairs) {
+    private String endpointsField(Object... pairs) {
         java.util.TreeMap<Backend, String> sorted = new java.util.TreeMap<>();
         for (int i = 0; i < pairs.length; i += 2) {
-            sorted.put((Backend) pairs[i], names.id((Backend) pairs[i]) + ":" + pairs[i + 1]);
+            sorted.put((Backend) pairs[i], registry.id((Backend) pairs[i]) + ":" + pairs[i + 1]);
         }
         return String.join(",", sorted.values());
     }
 
     @Test
     void aBindIsTheWholeTableWithItsLevelsAndWithdrawals() {
-        written(new SetLine(3, one, 1.5), new SetLine(3, two, 2), new Admit(3, 3, 4.5, Retry.ONCE_UNRUN),
+        pushesFor(new SetLine(3, one, 1.5), new SetLine(3, two, 2), new Admit(3, 3, 4.5, Retry.ONCE_UNRUN),
                 new Withdraw(two, true));
-        assertEquals(List.of("push full 1 endpoints " + lines(one, "1.5", two, "2") + " admit 4.5 policy 1"
-                + " eject s-2 nonce_out 9"), written(new Bind(7, 3, 0), new Mark(9)));
-        assertEquals(List.of("push full 1"), written(new Bind(7, 99, 0)), "a table without lines is empty");
+        assertEquals(List.of("push full 1 endpoints " + endpointsField(one, "1.5", two, "2") + " admit 4.5 policy 1"
+                + " eject s-2 nonce_out 9"), pushesFor(new Bind(7, 3, 0), new Mark(9)));
+        assertEquals(List.of("push full 1"), pushesFor(new Bind(7, 99, 0)), "a table without lines is empty");
     }
 
     @Test
     void laterChangesReachOnlyProxiesBoundToThatTable() {
-        written(new SetLine(3, one, 1), new Bind(7, 3, 0), new Bind(8, 4, 0));
-        assertEquals(List.of("push endpoints s-2:0.25"), written(new SetLine(3, two, 0.25)));
-        assertEquals(List.of(), written(8, new SetLine(3, two, 0.5)));
-        assertEquals(List.of("push endpoints s-1:0"), written(new SetLine(3, one, 0)), "weight 0 takes it out");
+        pushesFor(new SetLine(3, one, 1), new Bind(7, 3, 0), new Bind(8, 4, 0));
+        assertEquals(List.of("push endpoints s-2:0.25"), pushesFor(new SetLine(3, two, 0.25)));
+        assertEquals(List.of(), pushesFor(8, new SetLine(3, two, 0.5)));
+        assertEquals(List.of("push endpoints s-1:0"), pushesFor(new SetLine(3, one, 0)), "weight 0 takes it out");
         fanout.leave(7);
-        assertEquals(List.of(), written(new SetLine(3, two, 1)), "nothing for one that has gone");
+        assertEquals(List.of(), pushesFor(new SetLine(3, two, 1)), "nothing for one that has gone");
         fanout.join(7);
-        assertEquals(List.of(), written(new SetLine(3, two, 2)), "nor for one that has not been bound again");
+        assertEquals(List.of(), pushesFor(new SetLine(3, two, 2)), "nor for one that has not been bound again");
     }
 
     @Test
     void classesWithDifferentTablesAreParts() {
-        written(new SetLine(3, one, 1), new SetLine(4, two, 1));
+        pushesFor(new SetLine(3, one, 1), new SetLine(4, two, 1));
         assertEquals(List.of("push routes read full 1 endpoints s-1:1 continued 1",
                 "push routes pay full 1 endpoints s-2:1 nonce_out 5"),
-                written(new Bind(7, 3, 1), new Bind(7, 4, 2), new Mark(5)));
-        assertEquals(List.of("push routes pay endpoints s-3:1"), written(new SetLine(4, three, 1)));
+                pushesFor(new Bind(7, 3, 1), new Bind(7, 4, 2), new Mark(5)));
+        assertEquals(List.of("push routes pay endpoints s-3:1"), pushesFor(new SetLine(4, three, 1)));
     }
 
     @Test
     void aLevelGoesWithItsWayOfTryingAgain() {
-        written(new SetLine(3, one, 1), new Bind(7, 3, 0));
-        assertEquals(List.of("push admit 0.5 policy 3"), written(new Admit(3, 0, 0.5, Retry.TWICE)));
-        assertEquals(List.of("push routes pay admit 2 policy 0"), written(new Admit(3, 2, 2, Retry.NEVER)));
+        pushesFor(new SetLine(3, one, 1), new Bind(7, 3, 0));
+        assertEquals(List.of("push admit 0.5 policy 3"), pushesFor(new Admit(3, 0, 0.5, Retry.TWICE)));
+        assertEquals(List.of("push routes pay admit 2 policy 0"), pushesFor(new Admit(3, 2, 2, Retry.NEVER)));
         assertEquals(List.of("push endpoints s-2:1 continued 1", "push routes read admit 1 policy 1 continued 1",
                 "push routes pay admit 3 policy 1 nonce_out 6"),
-                written(new SetLine(3, two, 1), new Admit(3, 1, 1, Retry.ONCE_UNRUN),
+                pushesFor(new SetLine(3, two, 1), new Admit(3, 1, 1, Retry.ONCE_UNRUN),
                         new Admit(3, 2, 3, Retry.ONCE_UNRUN), new Mark(6)));
-        assertEquals(List.of("push endpoints s-2:2 admit 7 policy 1"), written(new SetLine(3, two, 2),
+        assertEquals(List.of("push endpoints s-2:2 admit 7 policy 1"), pushesFor(new SetLine(3, two, 2),
                 new Admit(3, 1, 7, Retry.ONCE_UNRUN), new Admit(3, 2, 7, Retry.ONCE_UNRUN)),
                 "equal levels of all classes are one");
     }
 
     @Test
     void withdrawalsReachThoseThatMayHoldTheBackend() {
-        written(new SetLine(3, one, 1), new Bind(7, 3, 0));
-        assertEquals(List.of(), written(new Withdraw(two, true)), "its table has no such line");
-        assertEquals(List.of("push eject s-1"), written(new Withdraw(one, true)));
-        assertEquals(List.of("push restore s-1"), written(new Withdraw(one, false)));
-        assertEquals(List.of("push eject s-3"), written(8, new Withdraw(three, true)),
+        pushesFor(new SetLine(3, one, 1), new Bind(7, 3, 0));
+        assertEquals(List.of(), pushesFor(new Withdraw(two, true)), "its table has no such line");
+        assertEquals(List.of("push eject s-1"), pushesFor(new Withdraw(one, true)));
+        assertEquals(List.of("push restore s-1"), pushesFor(new Withdraw(one, false)));
+        assertEquals(List.of("push eject s-3"), pushesFor(8, new Withdraw(three, true)),
                 "of one that is not bound nothing is known");
     }
 
     @Test
     void whatDiscoveryHasNotListedIsNeverNamed() {
         Backend unknown = new Backend(77);
-        for (String push : written(new SetLine(3, one, 1), new SetLine(3, unknown, 1), new Bind(7, 3, 0),
+        for (String push : pushesFor(new SetLine(3, one, 1), new SetLine(3, unknown, 1), new Bind(7, 3, 0),
                 new Withdraw(unknown, true))) {
             assertTrue(push.contains("s-1") && !push.contains("null") && !push.contains("eject"), push);
         }
@@ -130,11 +130,11 @@
     @Test
     void figuresHaveNoExponent() {
         for (double value : List.of(1e-9, 1.0 / 3, 12.3456789, 1e6, 100.0, 1e12, 4.9e-5)) {
-            String text = Translator.number(value);
+            String text = Translator.formatNumber(value);
             assertFalse(text.contains("E") || text.contains("-"), text);
             assertEquals(value, Double.parseDouble(text), value * 1e-4);
         }
-        assertEquals("0", Translator.number(0));
+        assertEquals("0", Translator.formatNumber(0));
     }
 
     /** Each kind of action either writes something here or is told to a part of the service. */
@@ -151,12 +151,12 @@
             all.add(kind.getSimpleName());
         }
         assertEquals(all, kinds);
-        written(new Bind(7, 3, 0));
+        pushesFor(new Bind(7, 3, 0));
         for (Action action : writing) {
-            List<String> push = written(action instanceof Mark ? new Action[] {writing.get(0), action}
+            List<String> push = pushesFor(action instanceof Mark ? new Action[] {writing.get(0), action}
                     : new Action[] {action});
             assertEquals(1, push.size(), action + ": " + push);
         }
-        elsewhere.forEach(a -> assertEquals(List.of(), written(a)));
+        elsewhere.forEach(a -> assertEquals(List.of(), pushesFor(a)));
     }
 }
