--- a/src/main/java/rowanmoor/discovery/Addresses.java
+++ b/src/main/java/rowanmoor/discovery/Addresses.java
@@ -5,22 +5,24 @@
 import java.net.UnknownHostException;
 import rowanmoor.ControlApi.Backend;
 
-/** Backends' addresses as the module and as sockets know them. */
+/** Converts between backends and socket addresses. A backend's number holds its IPv4 address and port. */
 public final class Addresses {
 
     private Addresses() { }
 
-    public static Backend toBackend(InetSocketAddress at) {
-        return RosterResponse.toBackend(at);
+    /** Returns the backend at an IPv4 address. */
+    public static Backend toBackend(InetSocketAddress address) {
+        return RosterResponse.toBackend(address);
     }
 
+    /** Returns the address of a backend. */
     public static InetSocketAddress toSocketAddress(Backend backend) {
         long id = backend.id() >>> 16;
-        byte[] parts = {(byte) (id >> 24), (byte) (id >> 16), (byte) (id >> 8), (byte) id};
+        byte[] ipv4 = {(byte) (id >> 24), (byte) (id >> 16), (byte) (id >> 8), (byte) id};
         try {
-            return new InetSocketAddress(InetAddress.getByAddress(parts), (int) (backend.id() & 0xffff));
+            return new InetSocketAddress(InetAddress.getByAddress(ipv4), (int) (backend.id() & 0xffff));
         } catch (UnknownHostException e) {
-            throw new IllegalStateException("four bytes are always an address", e);
+            throw new IllegalStateException("four bytes are always a valid address", e);
         }
     }
 }
--- a/src/main/java/rowanmoor/discovery/LoadColumns.java
+++ b/src/main/java/rowanmoor/discovery/LoadColumns.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import rowanmoor.http.Orca;
 
-/** Which figures of a load report are passed on, and in which order. */
+/** The metrics of a load report that are passed on to the decision module, in their order. */
 public record LoadColumns(List<String> names) {
 
     private static final Map<String, String> ORCA_NAMES = Map.of(
@@ -16,17 +16,17 @@
             "inflight", "named_metrics.inflight",
             "latency-ms", "named_metrics.latency_ms");
 
-    /** A column's name in ORCA's terms. */
+    /** Returns a column's name in ORCA (Open Request Cost Aggregation) load reports. */
     public static String orcaName(String column) {
         return ORCA_NAMES.get(column);
     }
 
-    /** The figures of an answer's field; empty if there is none, or if one of them is missing. */
+    /** Parses a response's load field; returns an empty list if it is absent or lacks one of the columns. */
     public List<Double> parse(String field) {
-        Map<String, Double> figures = Orca.parse(field);
+        Map<String, Double> metrics = Orca.parse(field);
         List<Double> values = new ArrayList<>(names.size());
         for (String name : names) {
-            Double value = figures.get(ORCA_NAMES.get(name));
+            Double value = metrics.get(ORCA_NAMES.get(name));
             if (value == null) {
                 return List.of();
             }
--- a/src/main/java/rowanmoor/discovery/Prober.java
+++ b/src/main/java/rowanmoor/discovery/Prober.java
@@ -17,14 +17,17 @@
 import rowanmoor.net.Loop;
 import rowanmoor.net.Timer;
 
-/** Probes backends: an HTTP GET each, at most so many at once; those ordered beyond that wait their turn. */
+/** Probes backends by HTTP GET with bounded concurrency; further probes are queued. */
 public final class Prober {
 
+    /** Status of a probe answered with HTTP 200. */
     public static final int STATUS_OK = 10;
     private static final int STATUS_ERROR = 20;
     private static final int STATUS_OVERLOADED = 30;
     private static final int STATUS_TIMEOUT = 40;
+    /** Status of a probe whose request was never sent: no address, or no connection. */
     public static final int STATUS_UNREACHABLE = 50;
+    /** Status of a probe whose connection failed after the request was sent. */
     public static final int STATUS_CONNECTION_LOST = 60;
     private static final int MAX_BODY_BYTES = 4096;
 
@@ -39,21 +42,26 @@
     private final ArrayDeque<Backend> active = new ArrayDeque<>();
 
     /**
-     * @param where a backend's address now, or null if it has none
-     * @param load an answer's load report, or nothing
+     * @param path path of the GET request
+     * @param timeoutNs limit for a whole probe, connecting included
+     * @param maxConcurrent maximum number of probes in progress
+     * @param addressOf returns a backend's current address, or null if it has none
+     * @param loadParser returns a response's load report, or an empty list
+     * @param onProbed receives each result
      */
-    public Prober(Loop loop, String path, long within, int atOnce, Function<Backend, InetSocketAddress> where,
-            Function<Message.Response, List<Double>> load, Consumer<Probed> told) {
+    public Prober(Loop loop, String path, long timeoutNs, int maxConcurrent,
+            Function<Backend, InetSocketAddress> addressOf,
+            Function<Message.Response, List<Double>> loadParser, Consumer<Probed> onProbed) {
         this.loop = loop;
         this.path = path;
-        this.timeoutNs = within;
-        this.maxConcurrent = atOnce;
-        this.addressOf = where;
-        this.loadParser = load;
-        this.onProbed = told;
+        this.timeoutNs = timeoutNs;
+        this.maxConcurrent = maxConcurrent;
+        this.addressOf = addressOf;
+        this.loadParser = loadParser;
+        this.onProbed = onProbed;
     }
 
-    /** Probes a backend, now or when there is room; one that already waits is not asked twice. */
+    /** Probes a backend as soon as the concurrency limit allows; does nothing if it is queued already. */
     public void probe(Backend backend) {
         queued.add(backend);
         startQueued();
@@ -69,43 +77,50 @@
     }
 
     private void sendProbe(Backend backend) {
-        long from = loop.now();
-        InetSocketAddress at = addressOf.apply(backend);
-        if (at == null) {
-            loop.after(0, () -> finish(at, new Probed(backend, false, STATUS_UNREACHABLE, 0, List.of())));
+        long startedAt = loop.now();
+        InetSocketAddress address = addressOf.apply(backend);
+        if (address == null) {
+            loop.after(0, () -> finish(address,
+                    new Probed(backend, false, STATUS_UNREACHABLE, 0, List.of())));
             return;
         }
-        ClientConnection connection = ClientConnection.open(loop, null, at,
-                Connection.Options.usual().connectWithin(timeoutNs), Limits.usual().body(MAX_BODY_BYTES), c -> { });
-        Timer patience = loop.after(timeoutNs, () -> {
+        ClientConnection connection = ClientConnection.open(loop, null, address,
+                Connection.Options.usual().connectWithin(timeoutNs),
+                Limits.usual().body(MAX_BODY_BYTES), c -> { });
+        Timer timeout = loop.after(timeoutNs, () -> {
             connection.cancel();
-            finish(at, new Probed(backend, false, STATUS_TIMEOUT, loop.now() - from, List.of()));
+            finish(address, new Probed(backend, false, STATUS_TIMEOUT, loop.now() - startedAt, List.of()));
         });
-        connection.ask(Message.Request.get(path, "Host", at.getHostString() + ":" + at.getPort(),
+        connection.ask(Message.Request.get(path, "Host", address.getHostString() + ":" + address.getPort(),
                 "Connection", "close"),
                 new ClientConnection.Answer() {
                     @Override
                     public void answered(Message.Response response) {
-                        patience.cancel();
-                        connection.cancel(); // asked to close it, a backend may still leave it open
-                        int status = response.status() == 200 ? STATUS_OK : response.status() == 503 ? STATUS_OVERLOADED : STATUS_ERROR;
-                        finish(at, new Probed(backend, status == STATUS_OK, status, loop.now() - from,
-                                loadParser.apply(response)));
+                        timeout.cancel();
+                        connection.cancel(); // a backend may leave it open despite "Connection: close"
+                        int status = response.status() == 200 ? STATUS_OK
+                                : response.status() == 503 ? STATUS_OVERLOADED : STATUS_ERROR;
+                        finish(address, new Probed(backend, status == STATUS_OK, status,
+                                loop.now() - startedAt, loadParser.apply(response)));
                     }
 
                     @Override
                     public void failed(boolean neverRan, Close why, String detail) {
-                        patience.cancel();
-                        int status = why == Close.CONNECT_TIMEOUT ? STATUS_TIMEOUT : neverRan ? STATUS_UNREACHABLE : STATUS_CONNECTION_LOST;
-                        finish(at, new Probed(backend, false, status, loop.now() - from, List.of()));
+                        timeout.cancel();
+                        int status = why == Close.CONNECT_TIMEOUT ? STATUS_TIMEOUT
+                                : neverRan ? STATUS_UNREACHABLE : STATUS_CONNECTION_LOST;
+                        finish(address,
+                                new Probed(backend, false, status, loop.now() - startedAt, List.of()));
                     }
                 });
     }
 
-    /** One that has moved meanwhile was not asked: what is said at its old address says nothing of it. */
-    private void finish(InetSocketAddress at, Probed probed) {
+    /**
+     * Reports the result, unless the backend has moved: a result from its old address says nothing about it.
+     */
+    private void finish(InetSocketAddress address, Probed probed) {
         active.remove(probed.backend());
-        if (Objects.equals(at, addressOf.apply(probed.backend()))) {
+        if (Objects.equals(address, addressOf.apply(probed.backend()))) {
             onProbed.accept(probed);
         }
         startQueued();
--- a/src/main/java/rowanmoor/discovery/RosterClient.java
+++ b/src/main/java/rowanmoor/discovery/RosterClient.java
@@ -15,8 +15,8 @@
 import rowanmoor.net.Timer;
 
 /**
- * Asks a roster over Consul's HTTP API, with blocking queries while it is watched. When to ask again after
- * a failure is the module's to say: this client tells of it and stops.
+ * Queries a roster over Consul's HTTP API, with blocking queries while the list is watched. After a failure
+ * the client reports it and stops; the decision module decides when to query again.
  */
 public final class RosterClient {
 
@@ -33,7 +33,7 @@
     private final List<String> zones;
     private final List<String> kinds;
     private final RosterView view;
-    private final LongSupplier wall;
+    private final LongSupplier wallClock;
     private final Consumer<Members> onMembers;
     private final Consumer<String> log;
     private ClientConnection connection;
@@ -42,28 +42,38 @@
     private boolean queryPending;
     private long index;
 
-    public RosterClient(Loop loop, InetSocketAddress at, String service, String asker, long wait,
-            long emptyHold,
-            List<String> zones, List<String> kinds, LongSupplier wall, Consumer<Members> told,
-            Consumer<String> log) {
+    /**
+     * Creates a client that does not query yet.
+     *
+     * @param service name of the service whose instances are listed
+     * @param userAgent value of the User-Agent field
+     * @param waitNs how long the roster may hold a blocking query
+     * @param emptyListHoldNs how long an empty list must persist to be accepted
+     * @param wallClock milliseconds since 1970
+     * @param onMembers receives lists, changes and failures
+     */
+    public RosterClient(Loop loop, InetSocketAddress address, String service, String userAgent, long waitNs,
+            long emptyListHoldNs, List<String> zones, List<String> kinds, LongSupplier wallClock,
+            Consumer<Members> onMembers, Consumer<String> log) {
         this.loop = loop;
-        this.address = at;
+        this.address = address;
         this.path = "/v1/health/service/" + service;
-        this.userAgent = asker;
-        this.waitNs = wait;
+        this.userAgent = userAgent;
+        this.waitNs = waitNs;
         this.zones = zones;
         this.kinds = kinds;
-        this.view = new RosterView(emptyHold);
-        this.wall = wall;
-        this.onMembers = told;
+        this.view = new RosterView(emptyListHoldNs);
+        this.wallClock = wallClock;
+        this.onMembers = onMembers;
         this.log = log;
     }
 
+    /** The translation of responses into member lists. */
     public RosterView view() {
         return view;
     }
 
-    /** Starts or stops to follow the list; starting is answered by exactly one event. */
+    /** Starts or stops watching the list; a start causes exactly one event, even if nothing changed. */
     public void setWatching(boolean on) {
         watching = on;
         index = 0;
@@ -93,15 +103,15 @@
                     .connectWithin(CONNECT_TIMEOUT_NS), Limits.usual().body(MAX_RESPONSE_BYTES), c -> { });
         }
         String query = index == 0 ? "" : "?index=" + index + "&wait=" + waitNs / 1_000_000 + "ms";
-        // A roster may hold a question a sixteenth longer than asked (Consul, Blocking Queries).
-        long most = (index == 0 ? 0 : waitNs + waitNs / 16) + RESPONSE_SLACK_NS;
-        ClientConnection asked = connection;
-        responseTimer = loop.after(most, () -> {
-            asked.cancel();
-            fail("no answer within " + most / 1_000_000 + " ms");
+        // A roster may hold a query for a sixteenth longer than requested (Consul, Blocking Queries).
+        long timeoutNs = (index == 0 ? 0 : waitNs + waitNs / 16) + RESPONSE_SLACK_NS;
+        ClientConnection queried = connection;
+        responseTimer = loop.after(timeoutNs, () -> {
+            queried.cancel();
+            fail("no response within " + timeoutNs / 1_000_000 + " ms");
         });
-        asked.ask(Message.Request.get(path + query, "Host", address.getHostString() + ":" + address.getPort(),
-                "User-Agent", userAgent),
+        queried.ask(Message.Request.get(path + query,
+                "Host", address.getHostString() + ":" + address.getPort(), "User-Agent", userAgent),
                 new ClientConnection.Answer() {
                     @Override
                     public void answered(Message.Response response) {
@@ -131,27 +141,27 @@
             fail("status " + response.status());
             return;
         }
-        RosterResponse answer;
+        RosterResponse parsed;
         long newIndex;
         try {
-            answer = RosterResponse.parse(response.body(), zones, kinds);
+            parsed = RosterResponse.parse(response.body(), zones, kinds);
             newIndex = Long.parseLong(response.fields().get("x-consul-index", "0"));
         } catch (IOException | NumberFormatException e) {
-            fail("an answer that cannot be read: " + e.getMessage());
+            fail("unreadable response: " + e.getMessage());
             return;
         }
-        answer.problems().forEach(p -> log.accept("roster: " + p));
-        RosterView.Result step = view.apply(loop.now(), wall.getAsLong(), newIndex, answer);
-        if (!step.accepted()) {
-            fail("an empty list, not believed yet");
+        parsed.problems().forEach(p -> log.accept("roster: " + p));
+        RosterView.Result result = view.apply(loop.now(), wallClock.getAsLong(), newIndex, parsed);
+        if (!result.accepted()) {
+            fail("empty list, not accepted yet");
             return;
         }
-        index = step.index();
-        if (step.event() != null) {
-            onMembers.accept(step.event());
+        index = result.index();
+        if (result.event() != null) {
+            onMembers.accept(result.event());
         }
         if (watching) {
-            // A roster that answers at once each time must not be asked in a spin.
+            // The gap prevents a busy loop with a roster that answers every query at once.
             loop.after(MIN_QUERY_GAP_NS, () -> {
                 if (watching && !queryPending) {
                     sendQuery();
--- a/src/main/java/rowanmoor/discovery/RosterView.java
+++ b/src/main/java/rowanmoor/discovery/RosterView.java
@@ -10,30 +10,32 @@
 import rowanmoor.ControlApi.Members;
 
 /**
- * Decides what a roster's answer means to the module. No I/O; its callers pass both clocks.
+ * Translates the roster's responses into member lists for the decision module. No I/O; callers pass both
+ * clocks.
  *
  * <ul>
- * <li>The first answer is told whole, later ones as changes; one without changes only if it was asked for.
- * <li>An empty list after one that was not is held to be a fault, and told as a failed question, until the
- * roster has gone on saying so for {@code emptyHold}: a roster that has lost its state says the same.
- * <li>An index that goes back means that the roster has started anew (Consul, Blocking Queries): the list is
- * told whole as one that may be stale, and the next question starts from no index.
- * <li>An entry that cannot be read does not remove what is known of its address.
+ * <li>The first response is reported as a full list, later ones as changes. A response without changes is
+ * reported only if it is the first of a watch.
+ * <li>An empty list after a non-empty one is treated as a fault and reported as a failed query until it has
+ * persisted for the empty-list hold, because a roster that has lost its state also returns an empty list.
+ * <li>An index that goes backwards means that the roster was restarted (Consul, Blocking Queries): the list
+ * is reported as a full list that may be stale, and the next query is sent without an index.
+ * <li>An unreadable entry leaves what is known of its address unchanged.
  * </ul>
  */
 public final class RosterView {
 
     /**
-     * What follows from an answer.
+     * The outcome of a response.
      *
-     * @param event what to tell the module, or null
-     * @param index the index to ask with next, 0 to be answered at once
-     * @param usable false ends the watch: the answer counts as failed
+     * @param event the event for the decision module, or null
+     * @param index the index for the next query, 0 for an immediate response
+     * @param accepted false if the response counts as a failed query, which ends the watch
      */
     record Result(Members event, long index, boolean accepted) { }
 
     private static final long NS_PER_MS = 1_000_000L;
-    /** An address that has been gone for so long is new when it comes back. */
+    /** An address that has been gone for longer than this is treated as new when it returns. */
     private static final long FORGET_AFTER_NS = 600_000 * NS_PER_MS;
 
     private final long emptyListHoldNs;
@@ -42,79 +44,82 @@
     private final TreeMap<Backend, Long> goneAt = new TreeMap<>();
     private long index;
     private long version;
-    private long emptySince = -1;
+    private long emptySince = -1; // -1 while the list is not empty
     private boolean answered;
 
-    RosterView(long emptyHold) {
-        this.emptyListHoldNs = emptyHold;
+    RosterView(long emptyListHoldNs) {
+        this.emptyListHoldNs = emptyListHoldNs;
     }
 
-    /** What the module starts with: nothing is known. */
+    /** Returns the empty list with which the decision module starts. */
     public Members initialMembers() {
         return new Members(ListKind.CACHED, ++version, List.of());
     }
 
+    /** Returns the event for a failed query. */
     Members failed() {
         return new Members(ListKind.FAILED, version, List.of());
     }
 
-    /** A new watch starts from no index, and its first answer is told even if it changes nothing. */
+    /** Starts a new watch: without an index, and its first response is reported even if nothing changed. */
     void restart() {
         index = 0;
     }
 
     /**
-     * Takes an answer.
+     * Applies a response.
      *
-     * @param wall milliseconds since 1970, by which instances state their starts
+     * @param now this controller's clock in nanoseconds
+     * @param wallMs milliseconds since 1970, the clock in which instances state their start times
+     * @param newIndex the response's index
      */
-    Result apply(long now, long wall, long newIndex, RosterResponse answer) {
-        boolean asked = index == 0;
-        boolean back = newIndex < index;
-        boolean none = answer.entries().isEmpty() && members.values().stream()
+    Result apply(long now, long wallMs, long newIndex, RosterResponse response) {
+        boolean firstOfWatch = index == 0;
+        boolean indexWentBack = newIndex < index;
+        boolean empty = response.entries().isEmpty() && members.values().stream()
                 .anyMatch(m -> m.listed() != Listed.GONE);
-        if (none && emptySince < 0) {
+        if (empty && emptySince < 0) {
             emptySince = now;
         }
-        if (none && now - emptySince < emptyListHoldNs) {
+        if (empty && now - emptySince < emptyListHoldNs) {
             return new Result(failed(), 0, false);
         }
-        emptySince = none ? emptySince : -1;
-        index = back ? 0 : Math.max(1, newIndex);
-        List<Member> changes = applyEntries(now, wall, answer);
+        emptySince = empty ? emptySince : -1;
+        index = indexWentBack ? 0 : Math.max(1, newIndex);
+        List<Member> changes = applyEntries(now, wallMs, response);
         boolean first = !answered;
         answered = true;
-        if (back || first) {
-            List<Member> whole = members.values().stream().filter(m -> m.listed() != Listed.GONE).toList();
-            return new Result(new Members(back ? ListKind.CACHED : ListKind.FULL, ++version, whole), index,
-                    true);
+        if (indexWentBack || first) {
+            List<Member> present = members.values().stream().filter(m -> m.listed() != Listed.GONE).toList();
+            return new Result(new Members(indexWentBack ? ListKind.CACHED : ListKind.FULL, ++version,
+                    present), index, true);
         }
-        boolean tell = asked || !changes.isEmpty();
-        return new Result(tell ? new Members(ListKind.DELTA, ++version, changes) : null, index, true);
+        boolean report = firstOfWatch || !changes.isEmpty();
+        return new Result(report ? new Members(ListKind.DELTA, ++version, changes) : null, index, true);
     }
 
-    private List<Member> applyEntries(long now, long wall, RosterResponse answer) {
-        TreeMap<Backend, Member> fresh = new TreeMap<>();
-        for (RosterResponse.Entry entry : answer.entries()) {
+    private List<Member> applyEntries(long now, long wallMs, RosterResponse response) {
+        TreeMap<Backend, Member> listed = new TreeMap<>();
+        for (RosterResponse.Entry entry : response.entries()) {
             Member old = members.get(entry.backend());
             if (entry.complete()) {
-                fresh.put(entry.backend(), member(now, wall, entry, old));
+                listed.put(entry.backend(), member(now, wallMs, entry, old));
             } else if (old != null) {
-                fresh.put(entry.backend(), old);
+                listed.put(entry.backend(), old);
             }
         }
         List<Member> changes = new ArrayList<>();
-        goneAt.keySet().removeAll(fresh.keySet());
+        goneAt.keySet().removeAll(listed.keySet());
         goneAt.entrySet().removeIf(e -> now - e.getValue() > FORGET_AFTER_NS && forget(e.getKey()));
         members.replaceAll((backend, old) -> {
-            if (fresh.containsKey(backend) || old.listed() == Listed.GONE) {
+            if (listed.containsKey(backend) || old.listed() == Listed.GONE) {
                 return old;
             }
             changes.add(old.gone());
             goneAt.put(backend, now);
             return old.gone();
         });
-        fresh.forEach((backend, member) -> {
+        listed.forEach((backend, member) -> {
             if (!member.equals(members.put(backend, member))) {
                 changes.add(member);
             }
@@ -128,17 +133,19 @@
         return true;
     }
 
-    /** How many addresses are remembered, those gone for a while among them. */
+    /** Size of the largest internal map, including addresses that are gone. */
     int trackedCount() {
         return Math.max(members.size(), Math.max(statedStarts.size(), goneAt.size()));
     }
 
-    /** A start is told in this side's clock; the same stamp always becomes the same time. */
-    private Member member(long now, long wall, RosterResponse.Entry entry, Member old) {
-        Long stamp = statedStarts.put(entry.backend(), entry.startedAtMs());
+    /**
+     * Converts the start time to this controller's clock; the same stated time always yields the same result.
+     */
+    private Member member(long now, long wallMs, RosterResponse.Entry entry, Member old) {
+        Long previousStart = statedStarts.put(entry.backend(), entry.startedAtMs());
         long startedAt = entry.startedAtMs() == 0 ? 0
-                : Math.max(1, now - Math.max(0, wall - entry.startedAtMs()) * NS_PER_MS);
-        if (old != null && stamp != null && stamp == entry.startedAtMs()) {
+                : Math.max(1, now - Math.max(0, wallMs - entry.startedAtMs()) * NS_PER_MS);
+        if (old != null && previousStart != null && previousStart == entry.startedAtMs()) {
             startedAt = old.startedAt();
         }
         return new Member(entry.backend(), entry.zone(), entry.kind(), entry.cell(), entry.listed(),
--- a/src/main/java/rowanmoor/discovery/package-info.java
+++ b/src/main/java/rowanmoor/discovery/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What there is to send to. Job: follow the roster (Consul's HTTP API) and probe backends for their load.
- * {@code RosterView} decides what an answer means and does no I/O. Thread rule: all on the controller's
- * loop.
+ * Discovers backends: follows the roster over Consul's HTTP API and probes backends for their load.
+ * {@code RosterView} interprets the roster's responses and does no I/O. Threading: all classes belong to the
+ * thread of the controller's loop.
  */
 package rowanmoor.discovery;
--- a/src/main/java/rowanmoor/platform/AsyncLineLog.java
+++ b/src/main/java/rowanmoor/platform/AsyncLineLog.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The log: plain lines on a thread of its own, so that a reader that stands still never holds up the loop.
- * What does not fit is dropped and counted; the next line that fits says how many were.
+ * Writes log lines on a separate thread, so that a blocked reader of the output never blocks the loop. Lines
+ * that do not fit in the queue are dropped; their number is written after the next line.
  */
 final class AsyncLineLog {
 
@@ -25,7 +25,7 @@
         writer.start();
     }
 
-    /** Any thread. */
+    /** Queues a line, cut to {@code MAX_LINE_CHARS}. Safe on any thread; never blocks. */
     void log(String text) {
         if (!queue.offer(text.length() > MAX_LINE_CHARS ? text.substring(0, MAX_LINE_CHARS) + "..." : text)) {
             dropped.incrementAndGet();
--- a/src/main/java/rowanmoor/platform/BackendStateLog.java
+++ b/src/main/java/rowanmoor/platform/BackendStateLog.java
@@ -11,36 +11,38 @@
 import rowanmoor.ControlApi.Tally;
 
 /**
- * A record, when it is switched on: each second, a line a backend with what the module holds of it beside
- * what the proxies' reports say has passed. The first figure of a pair is the share of picks that the tables
- * give it, the second its share of the tries told of since the last line. No I/O.
+ * Optional diagnostic log: every second, one line per backend that compares the decision module's state of it
+ * with what the proxies reported. {@code picks} is the share of picks that the tables give the backend,
+ * {@code tried} its share of the tries reported since the previous line. No I/O.
  */
 final class BackendStateLog {
 
     private final InstanceRegistry instances;
     private final Consumer<String> log;
-    private final Map<Backend, long[]> reported = new HashMap<>(); // tries, failed
+    private final Map<Backend, long[]> reported = new HashMap<>(); // {tries, failed} since the previous line
 
-    BackendStateLog(InstanceRegistry names, Consumer<String> log) {
-        this.instances = names;
+    BackendStateLog(InstanceRegistry instances, Consumer<String> log) {
+        this.instances = instances;
         this.log = log;
     }
 
+    /** Adds a report to the sums of the current period. */
     void record(Tally tally) {
         long[] sums = reported.computeIfAbsent(tally.backend(), b -> new long[2]);
         sums[0] += tally.tries();
         sums[1] += tally.failed();
     }
 
+    /** Writes one line per backend and starts a new period. */
     void write(List<Belief> beliefs, TreeMap<Backend, Double> picks) {
-        double all = Math.max(1e-9, picks.values().stream().mapToDouble(w -> w).sum());
-        double tries = Math.max(1, reported.values().stream().mapToLong(s -> s[0]).sum());
+        double totalPicks = Math.max(1e-9, picks.values().stream().mapToDouble(w -> w).sum());
+        double totalTries = Math.max(1, reported.values().stream().mapToLong(s -> s[0]).sum());
         for (Belief b : beliefs) {
             long[] sums = reported.getOrDefault(b.backend(), new long[2]);
             log.accept(String.format(Locale.ROOT, "belief %s %s%s picks %.3f tried %.3f of %d failed %d"
                     + " load %.0f ms health %s correction %.2f warmth %.2f judged by %.1f",
                     instances.id(b.backend()), b.listed(), b.shutOut() ? " out" : "",
-                    picks.getOrDefault(b.backend(), 0.0) / all, sums[0] / tries, sums[0], sums[1],
+                    picks.getOrDefault(b.backend(), 0.0) / totalPicks, sums[0] / totalTries, sums[0], sums[1],
                     b.load() / 1e6, b.health(), b.correction(), b.warmth(), b.tries()));
         }
         reported.clear();
--- a/src/main/java/rowanmoor/platform/CatalogClient.java
+++ b/src/main/java/rowanmoor/platform/CatalogClient.java
@@ -16,32 +16,34 @@
 import rowanmoor.net.Timer;
 
 /**
- * Follows the catalog: one watch, begun anew when it breaks, falls silent or brings what cannot be read.
- * When the catalog moves, the new watch stands before the old one ends.
+ * Follows the catalog by one streaming HTTP request, a watch. The watch is reopened when it fails, falls
+ * silent or delivers unreadable data. When the catalog's address changes, the new watch is established before
+ * the old one is closed.
  *
- * <p>At any time there is at most one watch that stands ({@code current}), and at most one of: a watch that
- * is being begun ({@code next}), a redial to come ({@code redial}). Only the two watches are listened to.
+ * <p>At any time there is at most one established watch ({@code activeWatch}), and at most one of: a watch
+ * being established ({@code pendingWatch}), a scheduled redial ({@code redialTimer}). Data of any other watch
+ * is ignored.
  */
 final class CatalogClient {
 
-    /** What its owner does with what the catalog says. */
+    /** Receives the catalog's objects. */
     interface Listener {
 
-        /** The version to follow from. */
+        /** The catalog version from which a new watch continues. */
         long generation();
 
-        /** Takes an object in; throws if it makes no sense. */
+        /** Handles one object; throws if it is malformed. */
         void onObject(Map<String, Object> object) throws IOException;
 
-        /** No watch stands any more; answers whether to begin another without being asked. */
+        /** Called when no watch is left; returns whether to open another one without a further request. */
         boolean onWatchLost(String why);
     }
 
     private static final long NS_PER_MS = 1_000_000L;
     private static final long CONNECT_TIMEOUT_NS = 700 * NS_PER_MS;
-    /** A line comes every 2 s; one that is so late will not come. */
+    /** The catalog sends a line every 2 s; a line this late will not arrive. */
     private static final long SILENCE_TIMEOUT_NS = 2_700 * NS_PER_MS;
-    /** In how long a line that has begun has to end; looked at as often as silence is. */
+    /** Limit from the first byte of a line to its end; checked when silence is checked. */
     private static final long LINE_TIMEOUT_NS = 3_000 * NS_PER_MS;
     private static final long MIN_REDIAL_DELAY_NS = 20 * NS_PER_MS;
     private static final long MAX_REDIAL_DELAY_NS = 500 * NS_PER_MS;
@@ -53,27 +55,27 @@
     private InetSocketAddress address;
     private Watch activeWatch;
     private Watch pendingWatch;
-    private Timer redialTimer; // null unless one is to come
+    private Timer redialTimer; // null unless a redial is scheduled
     private long redialDelay = MIN_REDIAL_DELAY_NS;
 
-    CatalogClient(Loop loop, InetSocketAddress at, long seed, Listener owner) {
+    CatalogClient(Loop loop, InetSocketAddress address, long seed, Listener listener) {
         this.loop = loop;
-        this.address = at;
+        this.address = address;
         this.random = new SplittableRandom(seed);
-        this.listener = owner;
+        this.listener = listener;
     }
 
-    /** Begins to follow, unless it does. */
+    /** Starts to follow the catalog unless it is followed already. */
     void follow() {
         if (activeWatch == null && pendingWatch == null) {
             startWatch();
         }
     }
 
-    /** The catalog is elsewhere from now on. */
-    void setAddress(InetSocketAddress other) {
-        if (!other.equals(address)) {
-            address = other;
+    /** Switches to the catalog at another address; does nothing if the address is unchanged. */
+    void setAddress(InetSocketAddress newAddress) {
+        if (!newAddress.equals(address)) {
+            address = newAddress;
             redialDelay = MIN_REDIAL_DELAY_NS;
             startWatch();
         }
@@ -100,7 +102,7 @@
             }
         } else if (watch == activeWatch) {
             activeWatch = null;
-            // While another is being asked, or is about to be, that one decides what comes of it.
+            // A pending watch or scheduled redial takes over; its own result is reported instead.
             if (pendingWatch == null && redialTimer == null && listener.onWatchLost(why)) {
                 scheduleRedial();
             }
@@ -113,19 +115,20 @@
         redialTimer = loop.after(delay, this::startWatch);
     }
 
-    /** One connection's worth of following. */
+    /** One request to the catalog, on a connection of its own. */
     private final class Watch implements ClientStream.Answer {
         private final ByteArrayOutputStream lineBuffer = new ByteArrayOutputStream();
         private ClientStream stream;
         private Timer silenceTimer;
         private long lastReceivedAt;
-        private long lineStartedAt; // when the line begun last began
+        private long lineStartedAt; // arrival of the first byte of the current line
 
         void open() {
             lastReceivedAt = loop.now();
             stream = ClientStream.open(loop, null, address, Connection.Options.usual()
-                    .connectWithin(CONNECT_TIMEOUT_NS), Limits.usual(), gone -> { });
-            stream.ask(new Part.RequestHead("GET", "/catalog/members?follow=1&since=" + listener.generation(), 1,
+                    .connectWithin(CONNECT_TIMEOUT_NS), Limits.usual(), closed -> { });
+            stream.ask(new Part.RequestHead("GET",
+                    "/catalog/members?follow=1&since=" + listener.generation(), 1,
                     Fields.of("Host", address.getHostString() + ":" + address.getPort()), 0), this);
             stream.end(new Fields());
             checkSilence();
@@ -134,15 +137,15 @@
         private void checkSilence() {
             long left = lastReceivedAt + SILENCE_TIMEOUT_NS - loop.now();
             if (left <= 0) {
-                watchEnded(this, "silent");
+                watchEnded(this, "no data within " + SILENCE_TIMEOUT_NS / NS_PER_MS + " ms");
             } else if (lineBuffer.size() > 0 && loop.now() - lineStartedAt > LINE_TIMEOUT_NS) {
-                watchEnded(this, "a line that does not end");
+                watchEnded(this, "a line did not end within " + LINE_TIMEOUT_NS / NS_PER_MS + " ms");
             } else {
                 silenceTimer = loop.after(left, this::checkSilence);
             }
         }
 
-        /** Nothing more is heard of it, and its connection is closed; harmless if it is over. */
+        /** Closes the connection; no callback follows. Does nothing if the watch has ended. */
         void stop() {
             if (silenceTimer != null) {
                 silenceTimer.cancel();
@@ -171,7 +174,7 @@
                     lineStartedAt = lineBuffer.size() == 0 ? loop.now() : lineStartedAt;
                     lineBuffer.write(b);
                     if (lineBuffer.size() > MAX_LINE_BYTES) {
-                        endUnreadable("a line of more than " + MAX_LINE_BYTES + " bytes");
+                        endUnreadable("a line exceeds " + MAX_LINE_BYTES + " bytes");
                     }
                 } else {
                     processLine();
@@ -194,26 +197,26 @@
             }
         }
 
-        /** Its first line has come and can be read: it takes the place of the one before. */
+        /** Replaces the previous watch once the first line has arrived and was readable. */
         private void activate() {
             if (pendingWatch == this) {
-                Watch old = activeWatch;
+                Watch previous = activeWatch;
                 activeWatch = this;
                 pendingWatch = null;
                 redialDelay = MIN_REDIAL_DELAY_NS;
-                if (old != null) {
-                    old.stop();
+                if (previous != null) {
+                    previous.stop();
                 }
             }
         }
 
         private void endUnreadable(String why) {
-            watchEnded(this, "cannot be read: " + why);
+            watchEnded(this, "unreadable: " + why);
         }
 
         @Override
         public void whole(Fields trailers) {
-            watchEnded(this, "ended"); // closes it too: an answer that ends leaves its connection open
+            watchEnded(this, "ended"); // also closes the connection, which the end of a response leaves open
         }
 
         @Override
--- a/src/main/java/rowanmoor/platform/CatalogView.java
+++ b/src/main/java/rowanmoor/platform/CatalogView.java
@@ -17,10 +17,14 @@
 import rowanmoor.settings.SettingsReader.Told;
 
 /**
- * What the catalog's objects mean to the module: whole lists and changes, versions, starts in this
- * instance's clock. An entry that cannot be read does not remove what is known of its instance. An object of
- * an older version than the newest one seen does not undo a drain, and a whole list that is empty is believed
- * once it has been for a while. No I/O; its callers pass both clocks.
+ * Translates the catalog's objects into member lists for the decision module: full lists and changes,
+ * versions, and start times converted to this controller's clock. No I/O; callers pass both clocks.
+ *
+ * <ul>
+ * <li>An unreadable entry leaves the known state of its instance unchanged.
+ * <li>An object older than the newest version seen does not undo a drain.
+ * <li>An empty full list is accepted only after the catalog has reported it for {@code EMPTY_LIST_HOLD_NS}.
+ * </ul>
  */
 final class CatalogView {
 
@@ -28,9 +32,10 @@
     private static final Map<String, Listed> LIFECYCLES = Map.of("in_service", Listed.READY,
             "terminating", Listed.DRAINING, "terminated", Listed.GONE);
     private static final int MAX_PROBLEMS = 3;
-    /** How long a list must have been empty to be believed: as long as what is told may take to arrive. */
+    /** How long an empty list must persist to be accepted: the longest delay of the catalog's updates. */
     private static final long EMPTY_LIST_HOLD_NS = 6_000 * NS_PER_MS;
 
+    /** A start as the catalog states it, and the same start in this controller's clock in ns. */
     private record StartTime(long startedAtMs, long startedAt) { }
 
     private final Told parsedSettings;
@@ -38,71 +43,74 @@
     private final TreeMap<Backend, Member> members = new TreeMap<>();
     private final Map<Backend, StartTime> startTimes = new HashMap<>();
     private long generation;
-    private long newestVersion; // the highest version taken in
-    private long emptySince = -1;
+    private long newestVersion; // the highest version applied
+    private long emptySince = -1; // -1 while the list is not empty
 
-    CatalogView(Told told, InstanceRegistry names) {
-        this.parsedSettings = told;
-        this.instances = names;
+    CatalogView(Told parsedSettings, InstanceRegistry instances) {
+        this.parsedSettings = parsedSettings;
+        this.instances = instances;
     }
 
-    /** The version to follow from. */
+    /** The catalog version from which a new watch continues. */
     long generation() {
         return generation;
     }
 
     /**
-     * Takes one object in.
+     * Applies one catalog object.
      *
-     * @param known whether it is the list as this controller last had it, which may be old
-     * @param wall milliseconds since 1970, by which the catalog states starts
-     * @param problems gets a line for each entry that cannot be read
-     * @return what to tell the module, or null if nothing
+     * @param now this controller's clock in nanoseconds
+     * @param wallMs milliseconds since 1970, the clock in which the catalog states start times
+     * @param known whether this is the list from the configuration, which may be outdated
+     * @param problems receives a line for each unreadable entry, at most {@code MAX_PROBLEMS}
+     * @return the event for the decision module, or null if nothing changed
+     * @throws IOException if the object is malformed or is not accepted
      */
-    Members apply(long now, long wall, Map<String, Object> object, boolean known, List<String> problems)
+    Members apply(long now, long wallMs, Map<String, Object> object, boolean known, List<String> problems)
             throws IOException {
         if (!(object.get("generation") instanceof Long version) || version < 0) {
-            throw new IOException("generation is missing or no version");
+            throw new IOException("generation is missing or not a version number");
         }
-        if (!(object.get("instances") instanceof List<?> instances)) {
-            throw new IOException("instances is missing or no list");
+        if (!(object.get("instances") instanceof List<?> rawEntries)) {
+            throw new IOException("instances is missing or not a list");
         }
-        boolean whole = known || Boolean.TRUE.equals(object.get("reset"));
-        if (!whole && version < generation) {
+        boolean full = known || Boolean.TRUE.equals(object.get("reset"));
+        if (!full && version < generation) {
             throw new IOException("changes up to " + version + " after version " + generation);
         }
-        boolean empty = whole && !known && instances.isEmpty()
+        boolean empty = full && !known && rawEntries.isEmpty()
                 && members.values().stream().anyMatch(m -> m.listed() != Listed.GONE);
         emptySince = !empty ? -1 : emptySince < 0 ? now : emptySince;
-        if (empty && now - emptySince < EMPTY_LIST_HOLD_NS) { // one that has just begun may know of none yet
-            throw new IOException("an empty list after one of " + members.size() + " instances");
+        if (empty && now - emptySince < EMPTY_LIST_HOLD_NS) { // a catalog that just started may know none yet
+            throw new IOException(
+                    "empty list after a list of " + members.size() + " instances, not accepted yet");
         }
-        boolean late = version < newestVersion;
-        boolean unnamed = false;
+        boolean outdated = version < newestVersion;
+        boolean hasUnidentified = false;
         List<Member> entries = new ArrayList<>();
         Set<Backend> mentioned = new HashSet<>();
-        for (Object instance : instances) {
-            String id = id(instance);
+        for (Object rawEntry : rawEntries) {
+            String id = id(rawEntry);
             if (id == null) {
-                addProblem(problems, "an entry without a usable instanceId");
-                unnamed = true;
+                addProblem(problems, "an entry has no valid instanceId");
+                hasUnidentified = true;
                 continue;
             }
-            Member member = member(now, wall, id, (Map<?, ?>) instance, problems);
+            Member member = member(now, wallMs, id, (Map<?, ?>) rawEntry, problems);
             if (member != null && mentioned.add(member.backend())) {
-                entries.add(late ? keepNewerState(member) : member);
+                entries.add(outdated ? keepNewerState(member) : member);
             }
         }
         generation = version;
         newestVersion = Math.max(newestVersion, version);
-        if (whole) {
-            return applyFullList(known, entries, mentioned, unnamed);
+        if (full) {
+            return applyFullList(known, entries, mentioned, hasUnidentified);
         }
         entries.removeIf(m -> m.equals(members.put(m.backend(), m)));
         return entries.isEmpty() ? null : new Members(ListKind.DELTA, version, List.copyOf(entries));
     }
 
-    /** What was draining or gone at a newer version is so still, unless it has started anew. */
+    /** Keeps an instance draining or gone as in a newer version, unless it has been restarted since. */
     private Member keepNewerState(Member member) {
         Member old = members.get(member.backend());
         boolean undone = old != null && old.listed() != Listed.READY && member.listed() == Listed.READY
@@ -111,17 +119,18 @@
     }
 
     /**
-     * A whole list that says what is held already is not told again. With an entry that names nobody, nobody
-     * is gone for not being mentioned: it may be the one.
+     * Applies a full list; returns null if it equals the current one. If the list has an entry without a
+     * valid ID, that entry may stand for any instance, so missing instances are kept.
      */
-    private Members applyFullList(boolean known, List<Member> entries, Set<Backend> mentioned, boolean unnamed) {
+    private Members applyFullList(boolean known, List<Member> entries, Set<Backend> mentioned,
+            boolean hasUnidentified) {
         boolean same = !known;
         for (Member member : entries) {
             same &= member.equals(members.put(member.backend(), member));
         }
         for (Member old : List.copyOf(members.values())) {
             if (!mentioned.contains(old.backend()) && old.listed() != Listed.GONE) {
-                if (unnamed) {
+                if (hasUnidentified) {
                     entries.add(old);
                 } else {
                     members.put(old.backend(), old.gone());
@@ -138,7 +147,7 @@
                 && id.matches("[!-~&&[^,:]]{1,200}") ? id : null;
     }
 
-    private Member member(long now, long wall, String id, Map<?, ?> entry, List<String> problems) {
+    private Member member(long now, long wallMs, String id, Map<?, ?> entry, List<String> problems) {
         Backend backend = instances.register(id);
         Member old = members.get(backend);
         Listed listed = LIFECYCLES.get(entry.get("lifecycle"));
@@ -151,42 +160,44 @@
             instances.setAddress(backend, Section.parseAddress(text));
         }
         if (listed == Listed.GONE && old != null) {
-            return old.gone(); // one that is gone need not say more
+            return old.gone(); // the other fields may be missing
         }
         if (listed == null || zone < 0 || kind < 0 || !(weight >= 0 && weight <= 1e9)
                 || !(cell >= 0 && cell <= 65535) || !(started >= 0 && started <= 1e15)) {
-            addProblem(problems, "instance " + id + ": lifecycle, zone, machineType, cell, weight or startedAtMs"
+            addProblem(problems, "instance " + id
+                    + ": lifecycle, zone, machineType, cell, weight or startedAtMs"
                     + " is missing, unknown or out of range");
             return old;
         }
         return new Member(backend, zone, kind, (int) cell, listed, weight,
-                startedAt(now, wall, backend, (long) started));
+                startedAt(now, wallMs, backend, (long) started));
     }
 
-    private static void addProblem(List<String> problems, String what) {
+    private static void addProblem(List<String> problems, String problem) {
         if (problems.size() < MAX_PROBLEMS) {
-            problems.add(what);
+            problems.add(problem);
         }
     }
 
     /**
-     * A start in this instance's clock; the same stamp always becomes the same time, even if the wall clock
-     * has been set since. Above 0, since 0 means long ago.
+     * Converts a start time to this controller's clock. The same stated time always yields the same result,
+     * even if the wall clock has been adjusted since. At least 1, since 0 means "long ago".
      */
-    private long startedAt(long now, long wall, Backend backend, long startedAtMs) {
+    private long startedAt(long now, long wallMs, Backend backend, long startedAtMs) {
         if (startedAtMs == 0) {
             startTimes.remove(backend);
             return 0;
         }
-        StartTime stamp = startTimes.get(backend);
-        if (stamp == null || stamp.startedAtMs() != startedAtMs) {
-            stamp = new StartTime(startedAtMs, Math.max(1, now - Math.max(0, wall - startedAtMs) * NS_PER_MS));
-            startTimes.put(backend, stamp);
+        StartTime start = startTimes.get(backend);
+        if (start == null || start.startedAtMs() != startedAtMs) {
+            start = new StartTime(startedAtMs,
+                    Math.max(1, now - Math.max(0, wallMs - startedAtMs) * NS_PER_MS));
+            startTimes.put(backend, start);
         }
-        return stamp.startedAt();
+        return start.startedAt();
     }
 
-    /** Lets go of one that the module has let go. */
+    /** Removes an instance that the decision module has removed, unless it is listed again. */
     void forget(Backend backend) {
         Member member = members.get(backend);
         if (member == null || member.listed() == Listed.GONE) {
@@ -196,6 +207,7 @@
         }
     }
 
+    /** Size of the larger of the internal maps, including instances that are gone. */
     int trackedCount() {
         return Math.max(members.size(), startTimes.size());
     }
--- a/src/main/java/rowanmoor/platform/ConfigFile.java
+++ b/src/main/java/rowanmoor/platform/ConfigFile.java
@@ -11,38 +11,43 @@
 import java.util.function.Consumer;
 
 /**
- * The configuration's file while the controller runs. It is read anew when a signal says so, and looked at
- * when no watch of the catalog stands: the catalog may have moved while the signal was lost, or the file half
- * written when it came. Never on the loop's thread, which must not wait for a disk.
+ * Reads and reloads the configuration file. It is reloaded on a signal, and checked for changes when no watch
+ * of the catalog is established: the catalog may have moved while the signal was lost, or the file may have
+ * been half written when the signal arrived. Never runs on the loop's thread, which must not wait for a disk.
  */
 final class ConfigFile {
 
-    /** Looks at the file that may be under way at once: a disk that hangs must not gather threads. */
+    /** Concurrent checks of the file; bounded so that a hung disk does not accumulate threads. */
     private static final int MAX_CONCURRENT_CHECKS = 4;
 
     private final Map<String, String> env;
     private final Consumer<PlatformConfig> onConfig;
     private final Consumer<String> log;
     private final Semaphore checkPermits = new Semaphore(MAX_CONCURRENT_CHECKS);
-    private List<Object> lastRead = List.of(); // which edition of the file was read last
+    private List<Object> lastRead = List.of(); // fingerprint of the file as last read
 
     /**
-     * @param env the platform's variables
-     * @param taken gets each configuration that can be read, on the reader's thread
+     * @param env environment variables
+     * @param onConfig receives each valid configuration, on the thread that read it
+     * @param log receives one line for each configuration that could not be read
      */
-    ConfigFile(Map<String, String> env, Consumer<PlatformConfig> taken, Consumer<String> log) {
+    ConfigFile(Map<String, String> env, Consumer<PlatformConfig> onConfig, Consumer<String> log) {
         this.env = env;
-        this.onConfig = taken;
+        this.onConfig = onConfig;
         this.log = log;
     }
 
-    /** Reads it for the first time; what is wrong ends the start. */
+    /**
+     * Reads the file at startup.
+     *
+     * @throws IOException if it is missing or invalid
+     */
     synchronized PlatformConfig readInitial() throws IOException {
         lastRead = fingerprint();
         return PlatformConfig.read(env);
     }
 
-    /** Reads it whatever it is; of two callers at once, who reads last hands over last. */
+    /** Reads the file unconditionally; of concurrent callers, the last to read is the last to deliver. */
     synchronized void reload() {
         try {
             onConfig.accept(readInitial());
@@ -51,18 +56,18 @@
         }
     }
 
-    /** Reads it on a thread of its own if it is another than was read last; returns at once. */
+    /** Reloads the file on a separate thread if it has changed since it was last read; returns at once. */
     void checkForChange() {
         if (checkPermits.tryAcquire()) {
-            Thread look = new Thread(() -> {
+            Thread checker = new Thread(() -> {
                 try {
                     reloadIfChanged();
                 } finally {
                     checkPermits.release();
                 }
             }, "configuration");
-            look.setDaemon(true);
-            look.start();
+            checker.setDaemon(true);
+            checker.start();
         }
     }
 
@@ -72,14 +77,14 @@
         }
     }
 
-    /** What tells editions apart: when it was written, how long it is, which file it is. */
+    /** Modification time, size and file key: they change when the file does. */
     private List<Object> fingerprint() {
         try {
-            BasicFileAttributes its = Files.readAttributes(Path.of(env.getOrDefault("GW_CONFIG", "")),
+            BasicFileAttributes attributes = Files.readAttributes(Path.of(env.getOrDefault("GW_CONFIG", "")),
                     BasicFileAttributes.class);
-            return Arrays.asList(its.lastModifiedTime(), its.size(), its.fileKey());
+            return Arrays.asList(attributes.lastModifiedTime(), attributes.size(), attributes.fileKey());
         } catch (IOException | IllegalArgumentException e) {
-            return List.of(); // what is wrong with it is told by who reads it
+            return List.of(); // reading the file reports the error
         }
     }
 }
--- a/src/main/java/rowanmoor/platform/InstanceRegistry.java
+++ b/src/main/java/rowanmoor/platform/InstanceRegistry.java
@@ -10,12 +10,13 @@
 import rowanmoor.ControlApi.Backend;
 
 /**
- * Which {@link Backend} stands for which instance. It is drawn from the instance's ID alone, so that every
- * controller and every start has one order; where two IDs meet, the later one here moves on. No I/O.
+ * Maps instance IDs to {@link Backend}s and back, and backends to their addresses. A backend's number is a
+ * hash of the instance's ID alone, so that all controllers order backends alike, also after a restart. On a
+ * hash collision, the instance registered later gets the next free hash. No I/O.
  */
 final class InstanceRegistry {
 
-    private static final long BACKEND_ID_MASK = (1L << 48) - 1; // as many as a Backend's text tells apart
+    private static final long BACKEND_ID_MASK = (1L << 48) - 1; // a Backend's text form has 48 bits
     private static final Pattern BACKEND_TEXT = Pattern.compile("\\d+\\.\\d+\\.\\d+\\.\\d+:\\d+");
 
     private final ToLongFunction<String> hash;
@@ -28,6 +29,7 @@
         this(InstanceRegistry::hash);
     }
 
+    /** Uses another hash function, for tests of collisions. */
     InstanceRegistry(ToLongFunction<String> hash) {
         this.hash = hash;
     }
@@ -36,15 +38,15 @@
         return Hashing.xxh3_64().hashCharsToLong(id);
     }
 
-    /** The backend of an instance that discovery lists. */
+    /** Returns the backend of an instance that discovery lists; assigns one if it is new. */
     Backend register(String id) {
         Backend known = backendsById.get(id);
         if (known != null) {
             return known;
         }
         Backend backend = deriveBackend(id);
-        for (int again = 1; idsByBackend.containsKey(backend); again++) {
-            backend = deriveBackend(id + "#" + again);
+        for (int attempt = 1; idsByBackend.containsKey(backend); attempt++) {
+            backend = deriveBackend(id + "#" + attempt);
         }
         backendsById.put(id, backend);
         idsByBackend.put(backend, id);
@@ -56,25 +58,27 @@
         return new Backend(hash.applyAsLong(id) & BACKEND_ID_MASK);
     }
 
-    /** The backend of an instance, or null for one that discovery has not listed. */
+    /** Returns the backend of an instance, or null if discovery has not listed it. */
     Backend find(String id) {
         return backendsById.get(id);
     }
 
+    /** Returns the instance's ID, or null if the backend is not registered. */
     String id(Backend backend) {
         return idsByBackend.get(backend);
     }
 
-    /** Where this controller reaches it now. */
-    void setAddress(Backend backend, InetSocketAddress at) {
-        addresses.put(backend, at);
+    /** Sets the address at which this controller reaches the instance. */
+    void setAddress(Backend backend, InetSocketAddress address) {
+        addresses.put(backend, address);
     }
 
+    /** Returns the instance's address, or null if none is known. */
     InetSocketAddress address(Backend backend) {
         return addresses.get(backend);
     }
 
-    /** Lets go of one that the module has let go. */
+    /** Removes an instance that the decision module has removed. */
     void forget(Backend backend) {
         String id = idsByBackend.remove(backend);
         if (id != null) {
@@ -88,9 +92,9 @@
         return backendsById.size();
     }
 
-    /** A line of the module's log with the platform's names in it. */
+    /** Replaces backends in a log line of the decision module by their instance IDs. */
     String withInstanceIds(String text) {
-        Matcher places = BACKEND_TEXT.matcher(text);
-        return places.replaceAll(m -> idsByText.getOrDefault(m.group(), m.group()));
+        Matcher matcher = BACKEND_TEXT.matcher(text);
+        return matcher.replaceAll(m -> idsByText.getOrDefault(m.group(), m.group()));
     }
 }
--- a/src/main/java/rowanmoor/platform/Json.java
+++ b/src/main/java/rowanmoor/platform/Json.java
@@ -9,7 +9,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** JSON as maps, lists, texts, numbers and truths. The parser's core only: its data binding starts slowly. */
+/**
+ * Parses JSON into maps, lists, strings, numbers and booleans. Uses Jackson's streaming parser, since its
+ * data binding is slow to load at startup.
+ */
 final class Json {
 
     private static final JsonFactory FACTORY = new JsonFactory();
@@ -17,15 +20,19 @@
 
     private Json() { }
 
-    /** One object and nothing after it. */
-    static Map<String, Object> parseObject(byte[] bytes, int from, int length) throws IOException {
-        try (JsonParser parser = FACTORY.createParser(bytes, from, length)) {
+    /**
+     * Parses exactly one object.
+     *
+     * @throws IOException if the input is not a JSON object, is nested too deeply or has trailing content
+     */
+    static Map<String, Object> parseObject(byte[] bytes, int offset, int length) throws IOException {
+        try (JsonParser parser = FACTORY.createParser(bytes, offset, length)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
                 throw new IOException("not a JSON object");
             }
             Map<String, Object> object = readFields(parser, 0);
             if (parser.nextToken() != null) {
-                throw new IOException("something comes after the JSON object");
+                throw new IOException("trailing content after the JSON object");
             }
             return object;
         }
@@ -43,11 +50,11 @@
 
     private static Object readValue(JsonParser parser, int depth) throws IOException {
         if (depth > MAX_DEPTH) {
-            throw new IOException("JSON nested more than " + MAX_DEPTH + " deep");
+            throw new IOException("JSON nested deeper than " + MAX_DEPTH + " levels");
         }
         JsonToken token = parser.currentToken();
         if (token == null) {
-            throw new IOException("the JSON ends too soon");
+            throw new IOException("unexpected end of JSON");
         }
         return switch (token) {
             case START_OBJECT -> readFields(parser, depth);
--- a/src/main/java/rowanmoor/platform/Peer.java
+++ b/src/main/java/rowanmoor/platform/Peer.java
@@ -13,34 +13,34 @@
 import rowanmoor.resp.RespWriter;
 
 /**
- * One connection at the controller's address. States: unjoined (neither joined nor named a zone), proxy,
- * collector, over. Whatever its peer does wrong costs this connection alone.
+ * One connection to the controller. States: unjoined (neither joined as a proxy nor named a zone), proxy,
+ * collector, ended. An error of the peer affects only this connection.
  */
 final class Peer implements Handler {
 
-    /** What the service does with what peers bring. */
+    /** Receives the peers' messages and ends. */
     interface Listener {
 
-        /** A message; throws if it makes no sense. */
+        /** Handles one message; throws if it is malformed. */
         void onMessage(Peer peer, List<String> parts) throws MalformedMessageException;
 
-        /** A malformed message of a proxy or collector: it alone is dropped. */
+        /** A proxy or collector sent a malformed message, which was dropped; the connection stays open. */
         void onMalformed(Peer peer, MalformedMessageException why);
 
-        /** Nothing more is heard of it. */
+        /** The peer has ended: no further message of it follows. Called once. */
         void onEnded(Peer peer, String why);
 
-        /** Its descriptor is free: at once, or after its last words were written. */
+        /** The descriptor is free: at once, or after the final message was written. */
         void onClosed(Peer peer);
     }
 
-    /** What it turned out to be. */
+    /** What the peer has joined as. */
     enum Role { UNJOINED, PROXY, COLLECTOR }
 
     private static final int MAX_UNJOINED_MESSAGE_BYTES = 4096;
     private static final int MAX_MESSAGE_PARTS = 256;
     private static final int MAX_PENDING_MARKS = 512;
-    /** In how long its last words have to be taken, however slowly it reads. */
+    /** Limit for writing the final message, however slowly the peer reads. */
     private static final long FINAL_WRITE_TIMEOUT_NS = 2_000_000_000L;
 
     private final Loop loop;
@@ -49,15 +49,15 @@
     private final RespReader reader = new RespReader(MAX_UNJOINED_MESSAGE_BYTES, MAX_MESSAGE_PARTS);
     private final ArrayDeque<Integer> pendingMarks = new ArrayDeque<>();
     private Connection connection;
-    private Timer deadlineTimer; // for its joining, and after it is over for its last words
+    private Timer deadlineTimer; // for joining, and after the end for writing the final message
     private Role role = Role.UNJOINED;
     private int number = -1;
     private boolean ended;
 
-    Peer(Loop loop, Listener owner, long joinWithin) {
+    Peer(Loop loop, Listener listener, long joinTimeoutNs) {
         this.loop = loop;
-        this.listener = owner;
-        this.joinTimeoutNs = joinWithin;
+        this.listener = listener;
+        this.joinTimeoutNs = joinTimeoutNs;
     }
 
     Role role() {
@@ -69,15 +69,15 @@
         return number;
     }
 
-    /** From now on it is one of ours. */
-    void assignRole(Role itsRole, int itsNumber) {
-        role = itsRole;
-        number = itsNumber;
+    /** Marks the peer as joined and allows it messages of full size. */
+    void assignRole(Role newRole, int newNumber) {
+        role = newRole;
+        number = newNumber;
         deadlineTimer.cancel();
         reader.allow(RespReader.MESSAGE_MOST);
     }
 
-    /** Remembers a mark that this stream was given. */
+    /** Adds a mark that was sent on this stream; only the newest {@code MAX_PENDING_MARKS} are kept. */
     void addPendingMark(int mark) {
         pendingMarks.add(mark);
         if (pendingMarks.size() > MAX_PENDING_MARKS) {
@@ -85,19 +85,19 @@
         }
     }
 
-    /** Whether this stream was given the mark and has not answered it yet. */
+    /** Removes a pending mark; returns false if it was not sent on this stream or is acknowledged already. */
     boolean acknowledge(int mark) {
         return pendingMarks.remove(mark);
     }
 
     @Override
-    public void opened(Connection its) {
-        connection = its;
+    public void opened(Connection source) {
+        connection = source;
         deadlineTimer = loop.after(joinTimeoutNs, () -> endWithError("it has not joined"));
     }
 
     @Override
-    public void received(Connection its, ByteBuffer bytes) {
+    public void received(Connection source, ByteBuffer bytes) {
         try {
             while (bytes.hasRemaining() && connection.isOpen()) {
                 List<String> parts = reader.next(bytes);
@@ -126,12 +126,12 @@
         connection.send(RespWriter.encode(message));
     }
 
-    /** Bytes that wait to be written to it. */
+    /** Bytes waiting to be written to the peer. */
     long queuedBytes() {
         return connection.queuedBytes();
     }
 
-    /** Says why, but to a collector, and ends. */
+    /** Sends the reason, except to a collector, and ends the connection. */
     void endWithError(String why) {
         if (connection.isOpen()) {
             if (role != Role.COLLECTOR) {
@@ -143,32 +143,33 @@
         }
     }
 
-    /** What has come by now is heard, though no turn has read it yet. */
+    /** Reads and handles what has arrived, without waiting for the loop's next turn. */
     void readNow() {
         connection.readNow();
     }
 
     private void startFinalWriteTimer() {
         if (!connection.isClosed()) {
-            deadlineTimer = loop.after(FINAL_WRITE_TIMEOUT_NS, () -> abort("its last words were not taken"));
+            deadlineTimer = loop.after(FINAL_WRITE_TIMEOUT_NS, () -> abort(
+                    "final message not read within " + FINAL_WRITE_TIMEOUT_NS / 1_000_000 + " ms"));
         }
     }
 
-    /** It has left with its end of the stream, whether or not it still takes what waits for it. */
+    /** The peer has left when it ends its side, whether or not it still reads what is queued for it. */
     @Override
-    public boolean ended(Connection its) {
+    public boolean ended(Connection source) {
         notifyEnded("ENDED: the peer ended");
         startFinalWriteTimer();
         return false;
     }
 
-    /** Closes at once. */
+    /** Closes the connection at once. */
     void abort(String why) {
         connection.close(Close.LOCAL, why);
     }
 
     @Override
-    public void closed(Connection its, Close why, String detail) {
+    public void closed(Connection source, Close why, String detail) {
         notifyEnded(why + ": " + detail);
         deadlineTimer.cancel();
         listener.onClosed(this);
--- a/src/main/java/rowanmoor/platform/PlatformConfig.java
+++ b/src/main/java/rowanmoor/platform/PlatformConfig.java
@@ -11,18 +11,26 @@
 import rowanmoor.settings.SettingsReader.Told;
 
 /**
- * What the platform tells one controller, by variables and a JSON file.
+ * Configuration of one controller of the platform, from environment variables and a JSON file.
  *
- * @param knownInstances the list of backends as this controller last had it, in the catalog's form; may be empty
- * @param maxSockets the most descriptors that the process may hold
+ * @param name the controller's name, for the log
+ * @param listenAddress where peers connect
+ * @param catalogAddress the instance catalog
+ * @param maxSockets maximum number of descriptors of the process
+ * @param knownInstances the last known list of instances, in the catalog's format; may be empty
  */
-record PlatformConfig(String name, InetSocketAddress listenAddress, InetSocketAddress catalogAddress, long seed,
-        int maxSockets, Map<String, Object> knownInstances, Told parsedSettings) {
+record PlatformConfig(String name, InetSocketAddress listenAddress, InetSocketAddress catalogAddress,
+        long seed, int maxSockets, Map<String, Object> knownInstances, Told parsedSettings) {
 
     private static final int MIN_SOCKETS = 64;
     private static final int HEX_RADIX = 16;
 
-    /** Reads all of it; what is wrong is told in one line that names variable, or file and key. */
+    /**
+     * Reads the variables and the file.
+     *
+     * @throws IOException if anything is missing or invalid; its one-line text names the variable, or file
+     * and key
+     */
     static PlatformConfig read(Map<String, String> env) throws IOException {
         String file = variable(env, "GW_CONFIG");
         Map<String, Object> root;
@@ -56,7 +64,7 @@
         if (root.get(key) instanceof String text && !text.isEmpty()) {
             return text;
         }
-        throw new SettingsError(key + " is missing or no text");
+        throw new SettingsError(key + " is missing or not a string");
     }
 
     @SuppressWarnings("unchecked")
@@ -64,13 +72,13 @@
         if (root.get(key) instanceof Map<?, ?> map) {
             return (Map<String, Object>) map;
         }
-        throw new SettingsError(key + " is missing or no object");
+        throw new SettingsError(key + " is missing or not an object");
     }
 
     private static InetSocketAddress address(String key, String text) {
         InetSocketAddress address = Section.parseAddress(text);
         if (address == null) {
-            throw new SettingsError(key + " is no IPv4 address and port: " + Messages.sanitize(text));
+            throw new SettingsError(key + " is not an IPv4 address and port: " + Messages.sanitize(text));
         }
         return address;
     }
@@ -79,7 +87,7 @@
         try {
             return Long.parseUnsignedLong(text, HEX_RADIX);
         } catch (NumberFormatException e) {
-            throw new SettingsError("seed is no hexadecimal number: " + Messages.sanitize(text));
+            throw new SettingsError("seed is not a hexadecimal number: " + Messages.sanitize(text));
         }
     }
 
@@ -87,6 +95,6 @@
         if (value instanceof Number n && n.doubleValue() >= MIN_SOCKETS && n.doubleValue() <= 1e6) {
             return n.intValue();
         }
-        throw new SettingsError("limits.sockets is missing or below " + MIN_SOCKETS);
+        throw new SettingsError("limits.sockets is missing or not within " + MIN_SOCKETS + " to 1000000");
     }
 }
--- a/src/main/java/rowanmoor/platform/PlatformController.java
+++ b/src/main/java/rowanmoor/platform/PlatformController.java
@@ -36,14 +36,19 @@
 import rowanmoor.net.Loop;
 import rowanmoor.net.Ticks;
 
-/** One real controller of the platform: a module on one loop, with its peers, its catalog and its probes. */
+/**
+ * One controller of the platform: the decision module on one event loop, with its peers, its catalog client
+ * and its prober.
+ */
 final class PlatformController implements Peer.Listener, CatalogClient.Listener {
 
     private static final long NS_PER_MS = 1_000_000L;
     private static final long JOIN_TIMEOUT_NS = 900 * NS_PER_MS;
     private static final long PROBE_TIMEOUT_NS = 500 * NS_PER_MS;
     private static final int MAX_CONCURRENT_PROBES = 8;
-    /** Descriptors kept back: the JVM's own, the catalog's two, probes, and the listener. */
+    /**
+     * Descriptors not available to peers: the JVM's own, two for the catalog, the probes and the listener.
+     */
     private static final int RESERVED_DESCRIPTORS = 48 + MAX_CONCURRENT_PROBES;
     private static final int MIN_UNJOINED_LIMIT = 8;
     private static final int MAX_COLLECTORS_PER_ZONE = 3;
@@ -51,7 +56,7 @@
     private static final int MAX_QUEUED_MESSAGES = 8192;
     private static final long STATS_PERIOD_NS = 5_000 * NS_PER_MS;
     private static final long MAX_PROBLEM_LINES_PER_SECOND = 5;
-    /** The JVM's property that switches the record of beliefs on. */
+    /** System property that enables the {@link BackendStateLog}. */
     private static final String STATE_LOG_PROPERTY = "rowanmoor.beliefs";
     private static final long STATE_LOG_PERIOD_NS = 1_000 * NS_PER_MS;
 
@@ -70,7 +75,7 @@
     private final CatalogClient catalog;
     private final Prober prober;
     private final Loop.Listener listener;
-    private final BackendStateLog stateLog; // null unless it is switched on
+    private final BackendStateLog stateLog; // null unless enabled
     private final Map<Integer, Peer> proxies = new HashMap<>();
     private final TreeMap<Integer, ArrayDeque<Peer>> collectors = new TreeMap<>();
     private final LinkedHashSet<Peer> unjoined = new LinkedHashSet<>();
@@ -86,18 +91,19 @@
     private double orderedLines;
 
     /**
-     * Listens at once; answers as soon as the loop turns.
+     * Starts to listen; connections are served once the loop runs.
      *
-     * @param wall milliseconds since 1970
-     * @param lookAgain looks whether there is another configuration; returns at once
+     * @param wallClock milliseconds since 1970
+     * @param checkConfigFile starts a check for a changed configuration; returns at once
+     * @throws IOException if the listen address cannot be bound
      */
-    PlatformController(PlatformConfig config, Loop loop, LongSupplier wall, Consumer<String> log, Runnable lookAgain)
-            throws IOException {
+    PlatformController(PlatformConfig config, Loop loop, LongSupplier wallClock, Consumer<String> log,
+            Runnable checkConfigFile) throws IOException {
         this.config = config;
         this.loop = loop;
-        this.wallClock = wall;
+        this.wallClock = wallClock;
         this.log = log;
-        this.checkConfigFile = lookAgain;
+        this.checkConfigFile = checkConfigFile;
         this.settings = config.parsedSettings().settings();
         this.messages = new Messages(config.parsedSettings());
         this.catalogView = new CatalogView(config.parsedSettings(), instances);
@@ -108,8 +114,9 @@
         this.listener = loop.listen(config.listenAddress(), Connection.Options.usual()
                 .bound(new Bound(MAX_QUEUED_BYTES, MAX_QUEUED_MESSAGES, Bound.Policy.CLOSE)), c -> accept());
         this.catalog = new CatalogClient(loop, config.catalogAddress(), config.seed(), this);
-        this.prober = new Prober(loop, config.parsedSettings().columns().isEmpty() ? "/ping" : "/_load", PROBE_TIMEOUT_NS,
-                MAX_CONCURRENT_PROBES, instances::address, answer -> parseLoadReport(answer.body()), probed -> {
+        this.prober = new Prober(loop, config.parsedSettings().columns().isEmpty() ? "/ping" : "/_load",
+                PROBE_TIMEOUT_NS, MAX_CONCURRENT_PROBES, instances::address,
+                response -> parseLoadReport(response.body()), probed -> {
                     if (fanout.knows(probed.backend())) {
                         turns.hearProbe(probed);
                         ticks.soon();
@@ -129,6 +136,7 @@
                 + " instances known, catalog at " + config.catalogAddress());
     }
 
+    /** The address at which it listens. */
     InetSocketAddress address() {
         return listener.address();
     }
@@ -137,7 +145,7 @@
         try {
             applyCatalogObject(config.knownInstances(), true);
         } catch (IOException e) {
-            log.accept("known list not used: " + e.getMessage());
+            log.accept("known instances of the configuration not used: " + e.getMessage());
             turns.hearList(new Members(ListKind.CACHED, 0, List.of()));
         }
     }
@@ -153,30 +161,30 @@
         }
     }
 
-    /** One line of trouble; so many a second, the rest is only counted. */
-    private void logProblem(String what) {
+    /** Logs a problem; lines beyond {@code MAX_PROBLEM_LINES_PER_SECOND} are omitted. */
+    private void logProblem(String problem) {
         long second = loop.now() / (1000 * NS_PER_MS);
         if (second != problemSecond) {
             problemSecond = second;
             problemsThisSecond = 0;
         }
         if (problemsThisSecond++ < MAX_PROBLEM_LINES_PER_SECOND) {
-            log.accept(what);
+            log.accept(problem);
         }
     }
 
     // ---- peers ---------------------------------------------------------------------------------------
 
     private Peer accept() {
-        // Real peers say who they are at once: who has been silent longest goes first. What it has said may
-        // not have been read yet, and it may have joined by it.
+        // Genuine peers join at once, so the connection that has been unjoined longest is closed first. Its
+        // message may have arrived without being read yet, and it may have joined by that.
         while (!unjoined.isEmpty() && (isFull()
                 || unjoined.size() >= Math.max(MIN_UNJOINED_LIMIT, config.maxSockets() / 2))) {
             Peer oldest = unjoined.iterator().next();
             oldest.readNow();
             if (unjoined.contains(oldest)) {
                 rejectedCount++;
-                oldest.abort("too many that have not joined");
+                oldest.abort("too many unjoined connections");
             }
         }
         if (isFull()) {
@@ -225,10 +233,10 @@
 
     private void joinProxy(Peer peer, Message.Hello hello) {
         unjoined.remove(peer);
-        Peer old = proxies.get(hello.proxy());
-        if (old != null) {
-            removeProxy(old);
-            old.abort("the same proxy has joined again");
+        Peer previous = proxies.get(hello.proxy());
+        if (previous != null) {
+            removeProxy(previous);
+            previous.abort("replaced by a newer connection of the same proxy");
         }
         peer.assignRole(Peer.Role.PROXY, hello.proxy());
         proxies.put(hello.proxy(), peer);
@@ -240,10 +248,10 @@
     private void joinCollector(Peer peer, int zone) {
         unjoined.remove(peer);
         peer.assignRole(Peer.Role.COLLECTOR, zone);
-        ArrayDeque<Peer> ofZone = collectors.computeIfAbsent(zone, z -> new ArrayDeque<>());
-        ofZone.add(peer);
-        if (ofZone.size() > MAX_COLLECTORS_PER_ZONE) {
-            ofZone.peek().abort("newer collectors of its zone have come");
+        ArrayDeque<Peer> zoneCollectors = collectors.computeIfAbsent(zone, z -> new ArrayDeque<>());
+        zoneCollectors.add(peer);
+        if (zoneCollectors.size() > MAX_COLLECTORS_PER_ZONE) {
+            zoneCollectors.peek().abort("replaced by a newer collector of the same zone");
         }
     }
 
@@ -288,7 +296,7 @@
             case PROXY -> removeProxy(peer);
         }
         if (peer.role() != Peer.Role.UNJOINED) {
-            logProblem(peer.role() + " " + peer.number() + " over: " + why);
+            logProblem(peer.role() + " " + peer.number() + " left: " + why);
         }
     }
 
@@ -324,7 +332,7 @@
         }
     }
 
-    /** How many entries there are of each kind: one line, however long the list. */
+    /** The number of entries in each state, to log a list of any length in one line. */
     private static String countByState(Members members) {
         TreeMap<Listed, Integer> counts = new TreeMap<>();
         members.entries().forEach(m -> counts.merge(m.listed(), 1, Integer::sum));
@@ -334,7 +342,7 @@
     @Override
     public boolean onWatchLost(String why) {
         logProblem("catalog: watch over: " + why);
-        checkConfigFile.run(); // it may be elsewhere
+        checkConfigFile.run(); // the catalog may have moved
         if (settings.mustAsk()) {
             turns.hearList(new Members(ListKind.FAILED, catalogView.generation(), List.of()));
             ticks.soon();
@@ -342,13 +350,13 @@
         return !settings.mustAsk();
     }
 
-    /** A new configuration: a changed catalog is followed; all else holds from the next start. */
-    void reload(PlatformConfig other) {
-        log.accept("configuration read again, catalog at " + other.catalogAddress());
-        catalog.setAddress(other.catalogAddress());
+    /** Applies a new configuration: only the catalog's address; all other changes need a restart. */
+    void reload(PlatformConfig newConfig) {
+        log.accept("configuration read again, catalog at " + newConfig.catalogAddress());
+        catalog.setAddress(newConfig.catalogAddress());
     }
 
-    // ---- turns ---------------------------------------------------------------------------------------
+    // ---- ticks ---------------------------------------------------------------------------------------
 
     private void runTick(long now) {
         Turns.Turn turn = turns.turn(now);
@@ -396,32 +404,34 @@
         loop.after(STATE_LOG_PERIOD_NS, this::writeStateLog);
     }
 
-    // ---- figures, for the log and for tests ----------------------------------------------------------
+    // ---- statistics, for the log and for tests -------------------------------------------------------
 
+    /** Proxies that have joined and not left. */
     int joinedProxies() {
         return proxies.size();
     }
 
-    /** Connections at the controller's address whose descriptors are held. */
+    /** Connections of peers whose descriptors are still held. */
     int openConnections() {
         return openConnections;
     }
 
+    /** Malformed messages and load reports so far. */
     long malformedCount() {
         return malformedCount;
     }
 
-    /** The most that any book of backends holds. */
+    /** Size of the largest map of backends, to detect leaks. */
     int trackedCount() {
         return Math.max(Math.max(instances.size(), catalogView.trackedCount()), fanout.backendsKnown());
     }
 
-    /** Bytes that wait for a joined proxy. */
+    /** Bytes queued for a joined proxy. */
     long queuedBytes(int proxy) {
         return proxies.get(proxy).queuedBytes();
     }
 
-    /** Writes to a proxy's stream. */
+    /** Sends a message to a proxy; does nothing if it has not joined. */
     void send(int proxy, List<String> message) {
         Peer peer = proxies.get(proxy);
         if (peer != null) {
@@ -431,10 +441,11 @@
 
     private void logStats() {
         Runtime runtime = Runtime.getRuntime();
-        log.accept("stats: " + proxies.size() + " proxies, " + unjoined.size() + " unjoined, " + openConnections
-                + " open, " + instances.size() + " names, " + catalogView.trackedCount() + " listed, " + malformedCount
-                + " malformed, " + Math.round(orderedLines) + " lines ordered, " + rejectedCount + " turned away, "
-                + decisionCount + " decides of mean " + decisionTimeNs / Math.max(1, decisionCount) / 1000 + " us, longest "
+        log.accept("stats: " + proxies.size() + " proxies, " + unjoined.size() + " unjoined, "
+                + openConnections + " open, " + instances.size() + " instances, " + catalogView.trackedCount()
+                + " listed, " + malformedCount + " malformed, " + Math.round(orderedLines) + " lines sent, "
+                + rejectedCount + " rejected, " + decisionCount + " decisions, mean "
+                + decisionTimeNs / Math.max(1, decisionCount) / 1000 + " us, max "
                 + maxDecisionTimeNs / 1000 + " us, heap "
                 + (runtime.totalMemory() - runtime.freeMemory()) / 1024 + " KiB");
         decisionCount = 0;
--- a/src/main/java/rowanmoor/platform/PlatformServer.java
+++ b/src/main/java/rowanmoor/platform/PlatformServer.java
@@ -6,23 +6,27 @@
 import java.util.Map;
 import rowanmoor.net.Loop;
 
-/** Runs one controller of the platform in the foreground until the process is told to end. */
+/** Runs one controller of the platform in the foreground until the process is terminated. */
 public final class PlatformServer {
 
     private PlatformServer() { }
 
-    /** Answers the exit code: 1 if it cannot start, told in one line. */
+    /**
+     * Returns the exit code: 1 if the controller cannot start, after one line about the reason on {@code
+     * err}.
+     */
     public static int run(Map<String, String> env, PrintStream err) {
         try {
             Loop[] loop = new Loop[1];
             AsyncLineLog log = new AsyncLineLog(err);
             loop[0] = Loop.onSockets(cause -> logFault(log, cause));
-            PlatformController[] service = new PlatformController[1];
-            ConfigFile file = new ConfigFile(env, c -> loop[0].post(() -> service[0].reload(c)), log::log);
-            service[0] = new PlatformController(file.readInitial(), loop[0], System::currentTimeMillis, log::log,
-                    file::checkForChange);
+            PlatformController[] controller = new PlatformController[1];
+            ConfigFile file = new ConfigFile(env, c -> loop[0].post(() -> controller[0].reload(c)), log::log);
+            controller[0] = new PlatformController(file.readInitial(), loop[0], System::currentTimeMillis,
+                    log::log, file::checkForChange);
             onSignal("HUP", file::reload);
-            // Proxies go elsewhere by themselves and nothing is kept: the end is at once.
+            // Ends at once: proxies reconnect to another controller by themselves, and there is no state to
+            // save.
             onSignal("TERM", () -> Runtime.getRuntime().halt(0));
             loop[0].run();
             return 0;
@@ -32,7 +36,7 @@
         }
     }
 
-    /** Serves invented peers for a moment, so that the classes that a start needs can be recorded. */
+    /** Runs the training run for the class-data archive; returns the exit code. */
     public static int rehearse(PrintStream err) {
         try {
             Rehearsal.run(new AsyncLineLog(err));
@@ -49,23 +53,23 @@
     }
 
     /**
-     * The JVM's own way with these signals would end the process, for HUP too. The JDK's only way to hear
-     * them is {@code sun.misc.Signal}, of the module jdk.unsupported, which javac warns of whenever it is
-     * named: it is found by its name.
+     * Installs a signal handler. By default the JVM ends the process on these signals, on HUP too. The JDK's
+     * only API for them is {@code sun.misc.Signal} of the module jdk.unsupported; since javac warns about
+     * every use, it is called by reflection.
      */
-    private static void onSignal(String name, Runnable what) {
+    private static void onSignal(String name, Runnable action) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object calls = Proxy.newProxyInstance(PlatformServer.class.getClassLoader(), new Class<?>[] {handler},
-                    (proxy, method, arguments) -> {
-                        what.run();
+            Object adapter = Proxy.newProxyInstance(PlatformServer.class.getClassLoader(),
+                    new Class<?>[] {handler}, (proxy, method, arguments) -> {
+                        action.run();
                         return null;
                     });
             signal.getMethod("handle", signal, handler).invoke(null,
-                    signal.getConstructor(String.class).newInstance(name), calls);
+                    signal.getConstructor(String.class).newInstance(name), adapter);
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("this JVM hears no signal " + name, e);
+            throw new IllegalStateException("this JVM cannot handle signal " + name, e);
         }
     }
 }
--- a/src/main/java/rowanmoor/platform/Rehearsal.java
+++ b/src/main/java/rowanmoor/platform/Rehearsal.java
@@ -15,13 +15,14 @@
 import rowanmoor.settings.SettingsReader;
 
 /**
- * A controller that serves a few invented peers of its own, on loopback, for a moment, and ends. The build
- * runs it to record which classes a start needs (class-data archive): {@code run} then starts in half the
- * time. Nothing of it runs under {@code serve} itself.
+ * Training run for the class-data archive: a controller serves a few scripted peers on loopback for 2.5 s and
+ * ends. The build runs it to record which classes a start loads; with the archive, {@code run} starts in half
+ * the time. Not used by {@code serve}.
  */
 final class Rehearsal {
 
-    private static final InetSocketAddress LOOPBACK = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    private static final InetSocketAddress LOOPBACK =
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     private static final long NS_PER_MS = 1_000_000L;
     private static final long DURATION_NS = 2_500 * NS_PER_MS;
     private static final int PROXY_COUNT = 8;
@@ -35,6 +36,7 @@
         this.script = script;
     }
 
+    /** Runs for {@code DURATION_NS}; throws if the script is unreadable or a port cannot be opened. */
     static void run(AsyncLineLog log) throws IOException {
         byte[] bytes;
         try (InputStream in = Rehearsal.class.getResourceAsStream(SCRIPT_RESOURCE)) {
@@ -58,9 +60,10 @@
         }
         PlatformConfig config = new PlatformConfig("rehearsal", LOOPBACK, catalog, 1, 256, known,
                 SettingsReader.ofTree((Map<String, Object>) script.get("settings")));
-        PlatformController service = new PlatformController(config, loop, System::currentTimeMillis, log::log, () -> { });
+        PlatformController controller = new PlatformController(config, loop, System::currentTimeMillis,
+                log::log, () -> { });
         for (int proxy = 0; proxy < PROXY_COUNT; proxy++) {
-            new ScriptedProxy(service.address(), proxy);
+            new ScriptedProxy(controller.address(), proxy);
         }
     }
 
@@ -73,19 +76,19 @@
         };
     }
 
-    /** A proxy that says what the script has for it, over and over. */
+    /** A proxy that joins and sends the script's reports every 100 ms. */
     private final class ScriptedProxy implements Handler {
         private final int number;
         private Connection connection;
 
-        ScriptedProxy(InetSocketAddress at, int number) {
+        ScriptedProxy(InetSocketAddress address, int number) {
             this.number = number;
-            loop.connect(null, at, Connection.Options.usual(), this);
+            loop.connect(null, address, Connection.Options.usual(), this);
         }
 
         @Override
-        public void opened(Connection its) {
-            connection = its;
+        public void opened(Connection source) {
+            connection = source;
             send("probe");
             String zone = number % 2 == 0 ? "north" : "south";
             send("hello node " + number + " locality " + zone + " w 5.5 cold 1");
@@ -104,8 +107,8 @@
         }
 
         @Override
-        public void received(Connection its, ByteBuffer bytes) {
-            // orders are not followed here
+        public void received(Connection source, ByteBuffer bytes) {
+            // pushes are ignored
         }
     }
 }
--- a/src/main/java/rowanmoor/platform/Translator.java
+++ b/src/main/java/rowanmoor/platform/Translator.java
@@ -13,15 +13,15 @@
 import rowanmoor.host.Fanout;
 
 /**
- * What one proxy is to be told, as {@code push} messages: one part a set of classes, parts of one message
- * joined by {@code continued}. No I/O, no decision.
+ * Encodes the decision module's orders for one proxy as {@code push} messages. Each part covers one set of
+ * classes; all parts but the last are marked {@code continued}. No I/O and no decisions.
  */
 final class Translator {
 
     private static final int MAX_LINES_PER_PART = 16_384; // well under a message's 1 MiB
     private static final int SIGNIFICANT_DIGITS = 7;
 
-    /** One part in the making: a table's changes for some classes. */
+    /** A part being built: the changes of one table, for a set of classes given as a bit mask. */
     private static final class Part {
         private final int classes;
         private boolean full;
@@ -37,17 +37,17 @@
     private final InstanceRegistry instances;
     private final Fanout fanout;
 
-    Translator(List<String> classNames, InstanceRegistry names, Fanout fanout) {
+    Translator(List<String> classNames, InstanceRegistry instances, Fanout fanout) {
         this.classNames = classNames;
-        this.instances = names;
+        this.instances = instances;
         this.fanout = fanout;
     }
 
-    /** The parts of one message, in the order in which they are to be written. */
+    /** Returns the parts of one push, in the order in which they must be sent. */
     List<List<String>> pushMessages(int proxy, List<Frame.Order> orders) {
         List<Part> parts = new ArrayList<>();
         TreeMap<Integer, Frame.Level> levels = new TreeMap<>();
-        LinkedHashMap<Backend, Boolean> shut = new LinkedHashMap<>();
+        LinkedHashMap<Backend, Boolean> ejections = new LinkedHashMap<>();
         int mark = -1;
         for (Frame.Order order : orders) {
             if (order instanceof Frame.Bind bind) {
@@ -58,7 +58,7 @@
                 forEachClass(bind.classes(), levels::remove);
                 bind.table().levels().forEach(l -> forEachClass(l.classes() & bind.classes(), c ->
                         levels.put(c, l)));
-                bind.withdrawn().forEach(b -> shut.put(b, true));
+                bind.withdrawn().forEach(b -> ejections.put(b, true));
             } else if (order instanceof Frame.SetLine line) {
                 partFor(parts, fanout.classesOn(proxy, line.table())).lines
                         .put(line.line().backend(), line.line().weight());
@@ -66,23 +66,26 @@
                 forEachClass(fanout.classesOn(proxy, admit.table()) & admit.level().classes(), c ->
                         levels.put(c, admit.level()));
             } else if (order instanceof Frame.Withdraw withdraw) {
-                shut.put(withdraw.backend(), withdraw.out());
+                ejections.put(withdraw.backend(), withdraw.out());
             } else if (order instanceof Frame.Mark m) {
                 mark = m.number();
             }
         }
         attachLevels(parts, levels);
-        return encode(parts, shut, mark);
+        return encode(parts, ejections, mark);
     }
 
-    /** The part that a change of these classes' table goes into: the last one, if it is of the same. */
+    /**
+     * Returns the part for a change to these classes: the latest of the same classes if order allows, else a
+     * new one.
+     */
     private static Part partFor(List<Part> parts, int classes) {
         for (int i = parts.size() - 1; i >= 0; i--) {
             if (parts.get(i).classes == classes) {
                 return parts.get(i);
             }
             if ((parts.get(i).classes & classes) != 0) {
-                break; // it must come after that one
+                break; // must be sent after this part, which covers some of the same classes
             }
         }
         Part part = new Part(classes);
@@ -90,11 +93,12 @@
         return part;
     }
 
+    /** Adds the levels to parts; classes with the same level and retry policy share one. */
     private void attachLevels(List<Part> parts, TreeMap<Integer, Frame.Level> levels) {
-        Map<List<Object>, Integer> alike = new LinkedHashMap<>();
+        Map<List<Object>, Integer> classesByLevel = new LinkedHashMap<>();
         levels.forEach((c, level) ->
-                alike.merge(List.of(level.level(), level.retry()), 1 << c, (a, b) -> a | b));
-        alike.forEach((what, classes) -> partFor(parts, classes).level =
+                classesByLevel.merge(List.of(level.level(), level.retry()), 1 << c, (a, b) -> a | b));
+        classesByLevel.forEach((levelAndRetry, classes) -> partFor(parts, classes).level =
                 levels.get(Integer.numberOfTrailingZeros(classes)));
     }
 
@@ -102,15 +106,15 @@
         void visit(int cls);
     }
 
-    private static void forEachClass(int classes, ClassVisitor each) {
+    private static void forEachClass(int classes, ClassVisitor visitor) {
         for (int c = 0; classes >> c != 0; c++) {
             if ((classes >> c & 1) == 1) {
-                each.visit(c);
+                visitor.visit(c);
             }
         }
     }
 
-    private List<List<String>> encode(List<Part> parts, Map<Backend, Boolean> shut, int mark) {
+    private List<List<String>> encode(List<Part> parts, Map<Backend, Boolean> ejections, int mark) {
         List<List<String>> messages = new ArrayList<>();
         for (Part part : parts) {
             List<Map.Entry<Backend, Double>> lines = List.copyOf(part.lines.entrySet());
@@ -138,8 +142,8 @@
             messages.add(newPush());
         }
         List<String> last = messages.get(messages.size() - 1);
-        addInstanceIds(last, "eject", shut, true);
-        addInstanceIds(last, "restore", shut, false);
+        addInstanceIds(last, "eject", ejections, true);
+        addInstanceIds(last, "restore", ejections, false);
         if (mark >= 0) {
             last.add("nonce_out");
             last.add(Integer.toString(mark));
@@ -151,7 +155,7 @@
         return messages;
     }
 
-    /** Lines that a part counts for in the channel; a message's head is not among them. */
+    /** Lines that a part costs in the channel's budget, without the message's head. */
     static int lineCount(List<String> part) {
         int lines = 0;
         for (int i = 1; i < part.size(); i += 2) {
@@ -181,7 +185,7 @@
         StringBuilder text = new StringBuilder();
         for (Map.Entry<Backend, Double> line : lines) {
             String id = instances.id(line.getKey());
-            if (id != null) { // one never listed would cost the stream
+            if (id != null) { // a proxy would close the stream on an unknown instance
                 text.append(text.length() > 0 ? "," : "").append(id).append(':')
                         .append(formatNumber(line.getValue()));
             }
@@ -192,10 +196,11 @@
         }
     }
 
-    private void addInstanceIds(List<String> message, String field, Map<Backend, Boolean> shut, boolean out) {
+    private void addInstanceIds(List<String> message, String field, Map<Backend, Boolean> ejections,
+            boolean out) {
         LinkedHashSet<String> ids = new LinkedHashSet<>();
-        shut.forEach((backend, is) -> {
-            if (is == out && instances.id(backend) != null) {
+        ejections.forEach((backend, isOut) -> {
+            if (isOut == out && instances.id(backend) != null) {
                 ids.add(instances.id(backend));
             }
         });
@@ -205,14 +210,14 @@
         }
     }
 
-    /** A figure without an exponent, with as many digits as the simulator's wire keeps. */
+    /** Formats a number without an exponent, at the precision of the simulator's protocol. */
     static String formatNumber(double value) {
         double rounded = Math.rint(value * 1e4) / 1e4;
         if (value >= 1 && value < 1e9) {
             return rounded == Math.rint(rounded) ? Long.toString((long) rounded)
                     : BigDecimal.valueOf(rounded).toPlainString();
         }
-        return value <= 0 ? "0" : new BigDecimal(value).round(new MathContext(SIGNIFICANT_DIGITS)).stripTrailingZeros()
-                .toPlainString();
+        return value <= 0 ? "0" : new BigDecimal(value).round(new MathContext(SIGNIFICANT_DIGITS))
+                .stripTrailingZeros().toPlainString();
     }
 }
--- a/src/main/java/rowanmoor/platform/package-info.java
+++ b/src/main/java/rowanmoor/platform/package-info.java
@@ -1,7 +1,8 @@
 /**
- * The platform's protocol: one more way in and out of the module. {@code Messages}, {@code Translator},
- * {@code InstanceRegistry} and {@code CatalogView} do no I/O; {@code PlatformController}, {@code SocketPeer} and {@code CatalogClient} are on
- * the loop. No decision, no table and no tuned value is made here. Thread rule: all belongs to the loop's
- * thread; {@code AsyncLineLog} writes on a thread of its own.
+ * Adapter between the platform's protocol and the decision module. {@code Messages}, {@code Translator},
+ * {@code InstanceRegistry} and {@code CatalogView} do no I/O; {@code PlatformController}, {@code Peer} and
+ * {@code CatalogClient} run on the event loop. This package makes no decisions and holds no tables or tuned
+ * values. Threading: all classes belong to the loop's thread; only {@code AsyncLineLog} writes and
+ * {@code ConfigFile} reads on threads of their own.
  */
 package rowanmoor.platform;
