--- a/src/main/java/rowanmoor/emulator/Emulator.java
+++ b/src/main/java/rowanmoor/emulator/Emulator.java
@@ -431,9 +431,9 @@
         }
         if (out[request]) {
             cancelTry(request);
-            routers[proxy[request]].done(backends[backend[request]], true, now); // counts for nothing
+            routers[proxy[request]].onTryEnded(backends[backend[request]], true, now); // counts for nothing
         }
-        tallies[proxy[request]].unanswered(cls[request]);
+        tallies[proxy[request]].onUnanswered(cls[request]);
         tryFailed(request, false);
     }
 
@@ -456,8 +456,8 @@
         if (tryStamp[request] == its && out[request] && tryEnds[request] == now) {
             cancelTry(request);
             Backend tried = backends[backend[request]];
-            routers[proxy[request]].done(tried, false, now);
-            tallies[proxy[request]].tried(tried, false, now - sentAt[request], List.of());
+            routers[proxy[request]].onTryEnded(tried, false, now);
+            tallies[proxy[request]].onTryEnded(tried, false, now - sentAt[request], List.of());
             followOn(request, false, false);
         }
     }
@@ -491,8 +491,8 @@
         int p = proxy[request];
         int c = cls[request];
         if (proxyTries[request] == 0) {
-            tallies[p].came(c);
-            if (!routers[p].admits(c, now)) {
+            tallies[p].onRequest(c);
+            if (!routers[p].tryAdmit(c, now)) {
                 outcome.classes().get(c).byLevel++;
                 tryFailed(request, true);
                 return;
@@ -501,7 +501,7 @@
         Backend picked = routers[p].pick(c, tried(request), now);
         if (picked == null) {
             outcome.classes().get(c).noLine++;
-            tallies[p].unanswered(c);
+            tallies[p].onUnanswered(c);
             tryFailed(request, true);
             return;
         }
@@ -510,9 +510,9 @@
         proxyTries[request]++;
         sentAt[request] = now;
         out[request] = true;
-        routers[p].sent(picked);
+        routers[p].onTrySent(picked);
         int mine = ++tryStamp[request];
-        long within = routers[p].tryWithin(c);
+        long within = routers[p].tryTimeoutNs(c);
         if (within > 0) {
             tryEnds[request] = now + within;
             agenda.add(now + within, TRY_OUT, request, mine);
@@ -588,8 +588,8 @@
         int p = proxy[request];
         int b = backend[request];
         out[request] = false;
-        routers[p].done(backends[b], well, now);
-        tallies[p].tried(backends[b], well, now - sentAt[request], List.of());
+        routers[p].onTryEnded(backends[b], well, now);
+        tallies[p].onTryEnded(backends[b], well, now - sentAt[request], List.of());
         if (connected[request]) {
             disconnect(p, b, kept);
         }
@@ -629,13 +629,13 @@
 
     private void followOn(int request, boolean neverRan, boolean toldSo) {
         long left = arrivedAt[request] + model.site().classes().get(cls[request]).deadline() - now;
-        if (routers[proxy[request]].mayFollow(cls[request], proxyTries[request], neverRan, left)) {
+        if (routers[proxy[request]].mayRetry(cls[request], proxyTries[request], neverRan, left)) {
             triedLast[request] = backend[request];
             triedFirst[request] = triedFirst[request] < 0 ? backend[request] : triedFirst[request];
             jobOf[request] = -1;
             atProxy(request, stamp[request]);
         } else {
-            tallies[proxy[request]].unanswered(cls[request]);
+            tallies[proxy[request]].onUnanswered(cls[request]);
             tryFailed(request, toldSo);
         }
     }
@@ -643,8 +643,8 @@
     private void report(int p) {
         int c = joinedTo[p];
         if (c >= 0 && !cut[p]) {
-            Frame.Report report = tallies[p].report(now);
-            if (!report.tallies().isEmpty() || !report.uses().isEmpty()) {
+            Frame.Report report = tallies[p].takeReport(now);
+            if (!report.tallies().isEmpty() || !report.usages().isEmpty()) {
                 agenda.add(now + model.sameZone(), HEARD, p, parcel(withLoad(report)));
             }
         }
@@ -663,7 +663,7 @@
         }
         return new Frame.Report(report.tallies().stream().map(t -> new Frame.Tally(t.backend(), t.tries(),
                 t.failed(), t.latencySum(), t.span(), t.tries() == t.failed() ? List.of()
-                        : load((int) (t.backend().id() >> 16 & 0xffffff)))).toList(), report.uses());
+                        : load((int) (t.backend().id() >> 16 & 0xffffff)))).toList(), report.usages());
     }
 
     private void dropIdle(int p) {
@@ -823,7 +823,7 @@
     /** A message under way to a proxy's stream. */
     private record Sent(int stream, Frame frame) { }
 
-    private final class Surroundings implements Driver.Outside {
+    private final class Surroundings implements Driver.Environment {
         private final int rank;
 
         Surroundings(int rank) {
@@ -852,7 +852,7 @@
         public void log(String text) { }
 
         @Override
-        public void decided(long at, List<rowanmoor.ControlApi.Event> heard,
+        public void onDecision(long at, List<rowanmoor.ControlApi.Event> heard,
                 List<rowanmoor.ControlApi.Action> ordered, long took) {
             outcome.controllers().get(rank).decisions++;
         }
@@ -861,7 +861,7 @@
     private void startController(int rank, long seed) {
         drivers[rank] = new Driver(model.site().settings(drivers.length), seed, ++epochs, now,
                 new Surroundings(rank), () -> 0);
-        drivers[rank].hearList(new Members(ListKind.CACHED, version, List.of()));
+        drivers[rank].onMembers(new Members(ListKind.CACHED, version, List.of()));
         dead[rank] = false;
         tickAt[rank] = Long.MAX_VALUE;
         tickBy(rank, now);
@@ -869,9 +869,9 @@
 
     private void settle(int rank) {
         Outcome.ControllerMet met = outcome.controllers().get(rank);
-        met.mostLines = Math.max(met.mostLines, drivers[rank].mostWaitingLines());
-        met.lines += drivers[rank].totalLines();
-        met.mostReports = Math.max(met.mostReports, drivers[rank].mostWaitingReports());
+        met.mostLines = Math.max(met.mostLines, drivers[rank].maxQueuedLines());
+        met.lines += drivers[rank].totalQueuedLines();
+        met.mostReports = Math.max(met.mostReports, drivers[rank].maxPendingReportLines());
     }
 
     private void tickBy(int rank, long time) {
@@ -889,7 +889,7 @@
         tickAt[rank] = Long.MAX_VALUE;
         lastTick[rank] = now;
         drivers[rank].tick(now);
-        long next = drivers[rank].nextAt();
+        long next = drivers[rank].nextTickAt();
         if (next != Long.MAX_VALUE) {
             tickBy(rank, Math.max(next, now));
         }
@@ -908,10 +908,10 @@
         joinedTo[p] = rank;
         stream[p]++;
         lastMessage[p] = now;
-        boolean fresh = routers[p].fresh();
-        routers[p].streamBegins();
+        boolean fresh = routers[p].hasOnlyStandingTable();
+        routers[p].onStreamOpened();
         double rate = model.rate() * model.proxyWeights()[p] / proxySums[proxySums.length - 1];
-        drivers[rank].joined(now, new Frame.Hello(Frame.PROTOCOL, p, p, model.proxyZones()[p], rate, fresh,
+        drivers[rank].onProxyJoined(now, new Frame.Hello(Frame.PROTOCOL_VERSION, p, p, model.proxyZones()[p], rate, fresh,
                 routers[p].epoch(), routers[p].version(), "p"));
         tickBy(rank, now);
     }
@@ -922,9 +922,9 @@
             return; // lost with its stream
         }
         if (sent.frame() instanceof Frame.Snapshot snapshot) {
-            routers[p].heed(snapshot);
+            routers[p].apply(snapshot);
         } else if (sent.frame() instanceof Frame.Update update
-                && routers[p].heed(update) == Router.Heed.DONE) {
+                && routers[p].apply(update) == Router.UpdateResult.APPLIED) {
             if (idle != null) {
                 dropIdle(p); // connections to backends that no table names any more are closed at once
             }
@@ -944,9 +944,9 @@
             return;
         }
         if (frame instanceof Frame.Applied applied) {
-            drivers[rank].applied(now, p, applied);
+            drivers[rank].onApplied(now, p, applied);
         } else if (frame instanceof Frame.Report report) {
-            drivers[rank].report(p, report);
+            drivers[rank].onReport(p, report);
         }
         tickBy(rank, now);
     }
@@ -957,7 +957,7 @@
             int most = model.machines().get(b).connections();
             boolean full = idle != null && most > 0 && connections[b] >= most; // a probe needs one of its own
             boolean up = !down && !full;
-            drivers[rank].hearProbe(new Probed(backends[b], up, up ? Prober.STATUS_OK : down ? Prober.STATUS_UNREACHABLE
+            drivers[rank].onProbeResult(new Probed(backends[b], up, up ? Prober.STATUS_OK : down ? Prober.STATUS_UNREACHABLE
                     : Prober.STATUS_CONNECTION_LOST, 2 * model.sameZone(), up ? load(b) : List.of()));
             tickBy(rank, now);
         }
@@ -969,7 +969,7 @@
             return;
         }
         if (rosterDown) {
-            drivers[rank].hearList(new Members(ListKind.FAILED, version, List.of()));
+            drivers[rank].onMembers(new Members(ListKind.FAILED, version, List.of()));
         } else {
             List<Member> members = new ArrayList<>();
             for (int b = 0; b < backends.length; b++) {
@@ -979,7 +979,7 @@
                             startedAt[b]));
                 }
             }
-            drivers[rank].hearList(new Members(ListKind.FULL, version, members));
+            drivers[rank].onMembers(new Members(ListKind.FULL, version, members));
         }
         tickBy(rank, now);
     }
@@ -1036,7 +1036,7 @@
         int rank = joinedTo[p];
         joinedTo[p] = -1;
         if (!dead[rank]) {
-            drivers[rank].left(p);
+            drivers[rank].onProxyLeft(p);
             tickBy(rank, now);
         }
         agenda.add(now + notice + (long) (REDIAL * (0.5 + ways.nextDouble())), JOIN, p, next);
