--- a/src/test/java/rowanmoor/discovery/ProberTest.java
+++ b/src/test/java/rowanmoor/discovery/ProberTest.java
@@ -19,7 +19,7 @@
 import rowanmoor.net.Loop;
 import rowanmoor.net.MemoryNet;
 
-/** Probes whose answers come at the wrong instant. */
+/** Probes whose responses arrive together with the timeout, too late, or after the backend has moved. */
 class ProberTest {
 
     private static final long MS = 1_000_000;
@@ -38,31 +38,31 @@
     private InetSocketAddress listenAsBackend() throws IOException {
         return backendLoop.listen(LOOPBACK, Connection.Options.usual(), c -> new Handler() {
             @Override
-            public void received(Connection its, ByteBuffer bytes) {
-                requests.add(its);
+            public void received(Connection source, ByteBuffer bytes) {
+                requests.add(source);
             }
         }).address();
     }
 
-    private void sendOk(int which) {
-        requests.get(which).send(ByteBuffer.wrap("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+    private void sendOk(int index) {
+        requests.get(index).send(ByteBuffer.wrap("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
                 .getBytes(StandardCharsets.ISO_8859_1)));
     }
 
     @Test
-    void anAnswerAndItsTimeOutInOneTurnAreToldOnce() throws IOException {
+    void responseAndTimeoutInOneTurnAreReportedOnce() throws IOException {
         addresses.put(BACKEND, listenAsBackend());
         prober.probe(BACKEND);
         net.runFor(100 * MS);
         net.freeze(proberLoop, true);
         sendOk(0);
-        net.runFor(600 * MS); // the answer has come and the time is over when it looks again
+        net.runFor(600 * MS); // when the loop runs again, the response has arrived and the timeout has passed
         net.freeze(proberLoop, false);
         net.runFor(100 * MS);
         assertEquals(1, probed.size());
         prober.probe(BACKEND);
         net.runFor(700 * MS);
-        sendOk(1); // too late
+        sendOk(1); // after the timeout
         net.runFor(100 * MS);
         assertEquals(2, probed.size());
         assertEquals(List.of(true, false), probed.stream().map(Probed::ok).toList());
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void whatIsSaidAtAnAddressThatWasLeftMeanwhileIsNotTold() throws IOException {
+    void responseFromAFormerAddressIsNotReported() throws IOException {
         addresses.put(BACKEND, listenAsBackend());
         prober.probe(BACKEND);
         net.runFor(100 * MS);
@@ -88,7 +88,7 @@
         addresses.remove(BACKEND);
         prober.probe(BACKEND);
         net.runFor(100 * MS);
-        assertEquals(2, probed.size(), "one without an address is down");
+        assertEquals(2, probed.size(), "a backend without an address is unreachable");
         assertEquals(0, net.connectionsOf(proberLoop));
     }
 }
--- a/src/test/java/rowanmoor/discovery/RosterViewTest.java
+++ b/src/test/java/rowanmoor/discovery/RosterViewTest.java
@@ -15,6 +15,7 @@
 import rowanmoor.ControlApi.Listed;
 import rowanmoor.ControlApi.Members;
 
+/** Lists, changes, empty lists, restarted rosters, start times and unreadable entries. */
 class RosterViewTest {
 
     private static final long SECOND = 1_000_000_000L;
@@ -29,12 +30,12 @@
         return new RosterResponse(List.of(entries), List.of());
     }
 
-    private Members eventFor(long now, long index, RosterResponse answer) {
-        return view.apply(now, 5_000_000, index, answer).event();
+    private Members eventFor(long now, long index, RosterResponse response) {
+        return view.apply(now, 5_000_000, index, response).event();
     }
 
     @Test
-    void theFirstAnswerIsWholeAndLaterOnesAreChanges() {
+    void firstResponseIsAFullListAndLaterOnesAreChanges() {
         assertEquals(ListKind.FULL, eventFor(NOW, 5, response(entry(1, Listed.READY, 0), entry(2, Listed.READY, 0)))
                 .kind());
         assertNull(eventFor(NOW, 6, response(entry(1, Listed.READY, 0), entry(2, Listed.READY, 0))));
@@ -46,7 +47,7 @@
     }
 
     @Test
-    void theRosterEmptiesForOneAnswerAndComesBack() {
+    void oneEmptyListIsReportedAsAFailedQuery() {
         eventFor(NOW, 5, response(entry(1, Listed.READY, 0)));
         RosterView.Result empty = view.apply(NOW + SECOND, 0, 6, response());
         assertFalse(empty.accepted());
@@ -58,7 +59,7 @@
     }
 
     @Test
-    void aListThatStaysEmptyIsBelievedInTheEnd() {
+    void emptyListIsAcceptedAfterTheHold() {
         eventFor(NOW, 5, response(entry(1, Listed.READY, 0)));
         view.apply(NOW, 0, 6, response());
         assertFalse(view.apply(NOW + 2 * SECOND, 0, 6, response()).accepted());
@@ -67,7 +68,7 @@
     }
 
     @Test
-    void anIndexThatGoesBackStartsOverAndTheListMayBeStale() {
+    void indexThatGoesBackwardsMakesTheListStaleAndRestartsFromNoIndex() {
         eventFor(NOW, 50, response(entry(1, Listed.READY, 0)));
         RosterView.Result step = view.apply(NOW, 0, 3, response(entry(1, Listed.READY, 0)));
         assertEquals(0, step.index());
@@ -76,7 +77,7 @@
     }
 
     @Test
-    void aStartIsToldInTheModulesClockAndStaysWhatItWas() {
+    void startTimeIsConvertedToTheControllersClockAndStaysTheSame() {
         long wall = 10_000_000;
         Members first = view.apply(NOW, wall, 5, response(entry(1, Listed.READY, wall - 4000))).event();
         assertEquals(NOW - 4 * SECOND, first.entries().get(0).startedAt());
@@ -87,11 +88,11 @@
         assertEquals(NOW + 19 * SECOND, again.entries().get(0).startedAt());
         Members ahead = view.apply(NOW + 30 * SECOND, wall, 8,
                 response(entry(1, Listed.READY, wall + 99_000))).event();
-        assertEquals(NOW + 30 * SECOND, ahead.entries().get(0).startedAt(), "a clock ahead of ours");
+        assertEquals(NOW + 30 * SECOND, ahead.entries().get(0).startedAt(), "the instance's clock is ahead of the controller's");
     }
 
     @Test
-    void anEntryThatCannotBeReadKeepsWhatIsKnownOfItsAddress() throws IOException {
+    void unreadableEntryKeepsWhatIsKnownOfItsAddress() throws IOException {
         String good = "{\"Service\":{\"ID\":\"a\",\"Address\":\"10.0.0.1\",\"Port\":80,\"Tags\":[],"
                 + "\"Meta\":{\"zone\":\"z\",\"kind\":\"k\"},\"Weights\":{\"Passing\":2}},\"Checks\":[]}";
         RosterResponse first = RosterResponse.parse(("[" + good + "]").getBytes(), List.of("z"), List.of("k"));
@@ -109,11 +110,11 @@
     }
 
     @Test
-    void machinesReplacedForYearsAreNotRememberedForGood() {
+    void replacedInstancesAreForgotten() {
         for (int i = 1; i <= 20_000; i++) {
             view.apply(NOW + i * 5 * SECOND, 5_000_000, 4 + i, response(entry(i, Listed.READY, 7),
                     entry(i + 1, Listed.READY, 7)));
         }
-        assertTrue(view.trackedCount() < 300, view.trackedCount() + " remembered of 20000");
+        assertTrue(view.trackedCount() < 300, view.trackedCount() + " tracked of 20000");
     }
 }
--- a/src/test/java/rowanmoor/platform/CatalogViewTest.java
+++ b/src/test/java/rowanmoor/platform/CatalogViewTest.java
@@ -21,7 +21,7 @@
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
 
-/** Lists, changes, versions, starts, names. */
+/** Catalog lists, changes, versions and start times; mapping of instance IDs to backends. */
 class CatalogViewTest {
 
     private static final String HOST_PORT = "127.0.0.1:3000";
@@ -35,8 +35,8 @@
         List<Map<String, Object>> all = new ArrayList<>();
         for (Map<?, ?> entry : entries) {
             @SuppressWarnings("unchecked")
-            Map<String, Object> its = (Map<String, Object>) entry;
-            all.add(its);
+            Map<String, Object> typed = (Map<String, Object>) entry;
+            all.add(typed);
         }
         return view.apply(START_NS, WALL_MS, catalogObject(generation, reset, all), false, problems);
     }
@@ -46,32 +46,32 @@
     }
 
     @Test
-    void wholeListsChangesAndWhatIsGone() throws IOException {
-        assertEquals(ListKind.CACHED, view.apply(START_NS, WALL_MS, catalogObject(4, true, List.of(inService("s-1"), inService("s-2"))), true,
-                problems).kind());
+    void fullListsChangesAndRemovals() throws IOException {
+        assertEquals(ListKind.CACHED, view.apply(START_NS, WALL_MS,
+                catalogObject(4, true, List.of(inService("s-1"), inService("s-2"))), true, problems).kind());
         assertEquals(4, view.generation());
         Members change = apply(5, false, instance("s-1", "north", "terminating", 0, HOST_PORT));
         assertEquals(ListKind.DELTA, change.kind());
         assertEquals(Listed.DRAINING, change.entries().get(0).listed());
-        assertNull(apply(6, false, instance("s-1", "north", "terminating", 0, HOST_PORT)), "nothing has changed");
+        assertNull(apply(6, false, instance("s-1", "north", "terminating", 0, HOST_PORT)), "nothing changed");
         assertEquals(Listed.GONE, apply(7, false, instance("s-1", "north", "terminated", 0, HOST_PORT)).entries().get(0)
                 .listed());
-        Members whole = apply(8, true, inService("s-3"));
-        assertEquals(ListKind.FULL, whole.kind());
-        assertEquals(1, whole.entries().size(), "the module takes what a whole list lacks for gone");
+        Members full = apply(8, true, inService("s-3"));
+        assertEquals(ListKind.FULL, full.kind());
+        assertEquals(1, full.entries().size(), "the decision module treats instances missing from a full list as gone");
         assertNull(apply(9, true, inService("s-3")), "the same list again");
-        assertThrows(IOException.class, () -> apply(3, false, inService("s-1")), "changes that go back");
-        assertEquals(ListKind.FULL, apply(2, true, inService("s-1")).kind(), "a whole list may go back");
+        assertThrows(IOException.class, () -> apply(3, false, inService("s-1")), "changes of an older version");
+        assertEquals(ListKind.FULL, apply(2, true, inService("s-1")).kind(), "a full list may have an older version");
         assertEquals(2, view.generation());
     }
 
     @Test
-    void anEntryThatCannotBeReadRemovesNothing() throws IOException {
+    void unreadableEntryRemovesNothing() throws IOException {
         apply(1, true, inService("s-1"), inService("s-2"));
         Map<String, Object> bad = inService("s-1");
         bad.put("lifecycle", "resting");
-        Members whole = apply(2, true, bad, inService("s-2"), inService("s-3"));
-        assertEquals(3, whole.entries().size());
+        Members full = apply(2, true, bad, inService("s-2"), inService("s-3"));
+        assertEquals(3, full.entries().size());
         assertEquals(1, problems.size());
         for (String key : List.of("zone", "machineType", "weight", "cell", "startedAtMs", "instanceId")) {
             Map<String, Object> wrong = inService("s-4");
@@ -85,47 +85,49 @@
     }
 
     @Test
-    void anEntryThatNamesNobodyLeavesAllThatAreNotMentioned() throws IOException {
+    void entryWithoutAnIdKeepsAllMissingInstances() throws IOException {
         apply(1, true, inService("s-1"), inService("s-2"));
         Map<String, Object> bad = inService("s-2");
         bad.remove("instanceId");
-        assertNull(apply(2, true, inService("s-1"), bad), "s-2 may be the one");
+        assertNull(apply(2, true, inService("s-1"), bad), "the entry may be s-2");
         assertEquals(1, problems.size());
         assertEquals(2, apply(3, true, inService("s-1"), inService("s-3"), bad).entries().size() - 1, "all three are listed");
     }
 
     @Test
-    void anOlderListDoesNotUndoADrainUnlessItsProcessIsNew() throws IOException {
+    void olderListDoesNotUndoADrainUnlessTheInstanceRestarted() throws IOException {
         apply(5, true, inService("s-1"), inService("s-2"), inService("s-3"));
-        apply(6, false, instance("s-1", "north", "terminating", 0, HOST_PORT), instance("s-2", "north", "terminated", 0, HOST_PORT));
+        apply(6, false, instance("s-1", "north", "terminating", 0, HOST_PORT),
+                instance("s-2", "north", "terminated", 0, HOST_PORT));
         Members older = apply(5, true, inService("s-1"), inService("s-2"), inService("s-3"));
         assertNull(older, "nothing is undone: " + older);
-        assertEquals(5, view.generation(), "it is followed from what it has said");
-        assertNull(apply(6, false, instance("s-1", "north", "terminating", 0, HOST_PORT)), "and said again");
-        assertEquals(Listed.READY, apply(7, false, inService("s-1")).entries().get(0).listed(), "a newer one may");
+        assertEquals(5, view.generation(), "the next watch continues from the list's version");
+        assertNull(apply(6, false, instance("s-1", "north", "terminating", 0, HOST_PORT)), "the same drain again");
+        assertEquals(Listed.READY, apply(7, false, inService("s-1")).entries().get(0).listed(),
+                "a newer version may undo the drain");
         apply(8, false, instance("s-1", "north", "terminated", 0, HOST_PORT));
-        assertEquals(Listed.READY, apply(4, true, instance("s-1", "north", "in_service", WALL_MS - 500, HOST_PORT), inService("s-2"),
-                inService("s-3")).entries().get(0).listed(), "started anew");
+        assertEquals(Listed.READY, apply(4, true, instance("s-1", "north", "in_service", WALL_MS - 500, HOST_PORT),
+                inService("s-2"), inService("s-3")).entries().get(0).listed(), "restarted since");
     }
 
     @Test
-    void anEmptyListIsBelievedOnceItHasStayedSo() throws IOException {
+    void emptyListIsAcceptedAfterTheHold() throws IOException {
         apply(1, true, inService("s-1"));
         Map<String, Object> empty = catalogObject(2, true, List.of());
         for (long ms : new long[] {0, 3000, 5999}) {
             assertThrows(IOException.class, () -> view.apply(START_NS + ms * 1_000_000, WALL_MS, empty, false, problems));
         }
-        assertEquals(1, view.generation(), "it is asked from what is held");
+        assertEquals(1, view.generation(), "the next watch continues from the version held");
         apply(2, false, inService("s-2"));
         assertThrows(IOException.class, () -> view.apply(START_NS + 6 * SECOND, WALL_MS, empty, false, problems),
-                "something was said meanwhile");
+                "a change in between restarts the hold");
         Members gone = view.apply(START_NS + 12 * SECOND, WALL_MS, empty, false, problems);
         assertEquals(ListKind.FULL, gone.kind());
         assertEquals(List.of(), gone.entries());
     }
 
     @Test
-    void aStartSecondsBeforeThisControllersIsNotLongAgo() throws IOException {
+    void startSecondsBeforeTheControllersStartIsRecent() throws IOException {
         Member started = apply(1, true, instance("s-1", "north", "in_service", WALL_MS - 3000, HOST_PORT)).entries().get(0);
         assertEquals(START_NS - 3 * SECOND, started.startedAt());
         assertTrue(InMemoryPlatform.parsedSettings().settings().rules().warmth(started.startedAt(), START_NS) < 0.5, "cold");
@@ -135,7 +137,7 @@
     }
 
     @Test
-    void aStartStaysThoughTheWallClockIsSet() throws IOException {
+    void startTimeSurvivesAnAdjustedWallClock() throws IOException {
         long first = apply(1, true, instance("s-1", "north", "in_service", WALL_MS - 3000, HOST_PORT)).entries().get(0)
                 .startedAt();
         Members again = view.apply(START_NS + SECOND, WALL_MS + 500_000, catalogObject(2, true, List.of(instance("s-1", "north",
@@ -144,7 +146,7 @@
     }
 
     @Test
-    void placesFollowFromIdsAlone() {
+    void backendsAreDerivedFromIdsAlone() {
         InstanceRegistry other = new InstanceRegistry();
         for (int i = 999; i >= 0; i--) {
             other.register("s-" + i);
@@ -158,20 +160,21 @@
     }
 
     @Test
-    void idsThatMeetAreToldApart() {
-        InstanceRegistry met = new InstanceRegistry(id -> id.startsWith("s-") && !id.contains("#") ? 5 : InstanceRegistry.hash(id));
-        Backend one = met.register("s-1");
-        Backend two = met.register("s-2");
+    void collidingIdsGetDifferentBackends() {
+        InstanceRegistry colliding = new InstanceRegistry(
+                id -> id.startsWith("s-") && !id.contains("#") ? 5 : InstanceRegistry.hash(id));
+        Backend one = colliding.register("s-1");
+        Backend two = colliding.register("s-2");
         assertNotEquals(one, two);
-        assertEquals("s-2", met.id(two));
-        assertEquals(one, met.register("s-1"));
-        met.forget(one);
-        assertNull(met.id(one));
-        assertEquals(two, met.find("s-2"), "letting one go does not misdirect the other");
+        assertEquals("s-2", colliding.id(two));
+        assertEquals(one, colliding.register("s-1"));
+        colliding.forget(one);
+        assertNull(colliding.id(one));
+        assertEquals(two, colliding.find("s-2"), "removing one does not affect the other");
     }
 
     @Test
-    void replacedForGoodTheyAreLetGo() throws IOException {
+    void replacedInstancesAreForgotten() throws IOException {
         for (int i = 0; i < 5000; i++) {
             apply(2 * i + 1, false, instance("s-" + i, "north", "in_service", WALL_MS, HOST_PORT));
             apply(2 * i + 2, false, instance("s-" + i, "north", "terminated", WALL_MS, HOST_PORT));
--- a/src/test/java/rowanmoor/platform/InMemoryPlatform.java
+++ b/src/test/java/rowanmoor/platform/InMemoryPlatform.java
@@ -20,7 +20,10 @@
 import rowanmoor.settings.SettingsReader;
 import rowanmoor.settings.SettingsReader.Told;
 
-/** A platform in memory, on a clock that the test moves: catalog, backends, and peers that say anything. */
+/**
+ * A controller with catalog, backends and peers on an in-memory network whose clock the test advances. Peers can
+ * send arbitrary bytes.
+ */
 final class InMemoryPlatform {
 
     static final long MS = 1_000_000;
@@ -64,11 +67,12 @@
         return SettingsReader.ofTree(parseJson(SETTINGS));
     }
 
-    /** An entry of the catalog's. */
-    static Map<String, Object> instance(String id, String zone, String lifecycle, long startedAtMs, String at) {
+    /** One entry of a catalog object. */
+    static Map<String, Object> instance(String id, String zone, String lifecycle, long startedAtMs,
+            String hostPort) {
         Map<String, Object> entry = new LinkedHashMap<>();
         entry.put("instanceId", id);
-        entry.put("hostPort", at);
+        entry.put("hostPort", hostPort);
         entry.put("zone", zone);
         entry.put("machineType", "big");
         entry.put("cell", 1L);
@@ -88,9 +92,9 @@
 
     static String toJson(Object value) {
         if (value instanceof Map<?, ?> map) {
-            List<String> all = new ArrayList<>();
-            map.forEach((k, v) -> all.add("\"" + k + "\":" + toJson(v)));
-            return "{" + String.join(",", all) + "}";
+            List<String> fields = new ArrayList<>();
+            map.forEach((k, v) -> fields.add("\"" + k + "\":" + toJson(v)));
+            return "{" + String.join(",", fields) + "}";
         }
         if (value instanceof List<?> list) {
             return "[" + String.join(",", list.stream().map(InMemoryPlatform::toJson).toList()) + "]";
@@ -98,7 +102,7 @@
         return value instanceof String s ? "\"" + s + "\"" : String.valueOf(value);
     }
 
-    /** Six instances, the even ones in the north, all of which answer probes. */
+    /** Six instances, the even ones in zone north; all answer probes. */
     InMemoryPlatform() {
         this(11);
     }
@@ -123,9 +127,9 @@
     private InetSocketAddress listenAsBackend() {
         return listen(connection -> new Handler() {
             @Override
-            public void received(Connection its, ByteBuffer bytes) {
+            public void received(Connection source, ByteBuffer bytes) {
                 probesAnswered++;
-                its.send(asciiBytes("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nqueue=2,latency_ms=9"));
+                source.send(asciiBytes("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nqueue=2,latency_ms=9"));
             }
         });
     }
@@ -153,8 +157,8 @@
 
     InMemoryPlatform start(int sockets, Map<String, Object> known) {
         try {
-            controller = new PlatformController(new PlatformConfig("n1", LOOPBACK, catalog.address, 7, sockets, known, parsedSettings()),
-                    loop, () -> WALL_MS + (net.now() - START_NS) / MS, log::add, () -> { });
+            controller = new PlatformController(new PlatformConfig("n1", LOOPBACK, catalog.address, 7, sockets, known,
+                    parsedSettings()), loop, () -> WALL_MS + (net.now() - START_NS) / MS, log::add, () -> { });
         } catch (java.io.IOException e) {
             throw new AssertionError(e);
         }
@@ -162,7 +166,7 @@
         return this;
     }
 
-    /** The catalog: keeps every watch open and tells them what it is told to. */
+    /** A catalog that keeps every watch open and sends what the test tells it to. */
     final class FakeCatalog {
         final InetSocketAddress address;
         final List<Connection> watches = new ArrayList<>();
@@ -173,23 +177,23 @@
         FakeCatalog(InetSocketAddress at) {
             address = listen(at, connection -> new Handler() {
                 @Override
-                public void received(Connection its, ByteBuffer bytes) {
-                    if (watches.contains(its)) {
-                        return; // the rest of a question that came in pieces
+                public void received(Connection source, ByteBuffer bytes) {
+                    if (watches.contains(source)) {
+                        return; // the rest of a request received in pieces
                     }
                     byte[] all = new byte[bytes.remaining()];
                     bytes.get(all);
                     requestLines.add(new String(all, StandardCharsets.ISO_8859_1).lines().findFirst().orElse(""));
-                    watches.add(its);
-                    its.send(asciiBytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
-                    if (firstLine == null || !firstLine.isEmpty()) { // an empty chunk would end the answer
-                        write(its, firstLine == null ? "\n" : firstLine);
+                    watches.add(source);
+                    source.send(asciiBytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
+                    if (firstLine == null || !firstLine.isEmpty()) { // an empty chunk would end the response
+                        write(source, firstLine == null ? "\n" : firstLine);
                     }
                 }
 
                 @Override
-                public void closed(Connection its, Close why, String detail) {
-                    watches.remove(its);
+                public void closed(Connection source, Close why, String detail) {
+                    watches.remove(source);
                 }
             });
             loop.after(1900 * MS, this::sendKeepAlive);
@@ -215,7 +219,7 @@
         }
     }
 
-    /** One connection to the controller's address. */
+    /** One connection to the controller, which acknowledges pushes once it has joined. */
     final class FakePeer implements Handler {
         final List<List<String>> messages = new ArrayList<>();
         private final RespReader reader = new RespReader(RespReader.MESSAGE_MOST, 64);
@@ -226,8 +230,8 @@
             connection = loop.connect(null, controller.address(), Connection.Options.usual(), this);
         }
 
-        FakePeer send(String words) {
-            return send(List.of(words.split(" ")));
+        FakePeer send(String message) {
+            return send(List.of(message.split(" ")));
         }
 
         FakePeer send(List<String> parts) {
@@ -241,7 +245,7 @@
         }
 
         @Override
-        public void received(Connection its, ByteBuffer bytes) {
+        public void received(Connection source, ByteBuffer bytes) {
             try {
                 for (List<String> m = reader.next(bytes); m != null; m = reader.next(bytes)) {
                     messages.add(m);
@@ -263,11 +267,11 @@
         }
 
         @Override
-        public void closed(Connection its, Close why, String detail) {
+        public void closed(Connection source, Close why, String detail) {
             closeReason = why;
         }
 
-        /** The pushes heard, as maps. */
+        /** The pushes received, as field maps. */
         List<Map<String, String>> pushes() {
             List<Map<String, String>> all = new ArrayList<>();
             for (List<String> m : messages) {
@@ -282,7 +286,7 @@
             return all;
         }
 
-        /** The table that all pushes add up to, for all classes alike. */
+        /** The table that results from all pushes, taking all classes together. */
         TreeMap<String, Double> table() {
             TreeMap<String, Double> table = new TreeMap<>();
             for (Map<String, String> push : pushes()) {
@@ -301,15 +305,15 @@
             return table;
         }
 
-        /** The instances that it shuts out by now. */
+        /** The instances that are ejected by now. */
         List<String> ejected() {
-            java.util.TreeSet<String> out = new java.util.TreeSet<>();
+            java.util.TreeSet<String> ejected = new java.util.TreeSet<>();
             for (Map<String, String> push : pushes()) {
-                out.addAll(List.of(push.getOrDefault("eject", "").split(",")));
-                out.removeAll(List.of(push.getOrDefault("restore", "").split(",")));
+                ejected.addAll(List.of(push.getOrDefault("eject", "").split(",")));
+                ejected.removeAll(List.of(push.getOrDefault("restore", "").split(",")));
             }
-            out.remove("");
-            return List.copyOf(out);
+            ejected.remove("");
+            return List.copyOf(ejected);
         }
     }
 
--- a/src/test/java/rowanmoor/platform/MessagesTest.java
+++ b/src/test/java/rowanmoor/platform/MessagesTest.java
@@ -9,7 +9,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Field lists to typed messages: units, absent values, and bad fields that name themselves. */
+/** Parsing of field lists: units, absent values, and errors that name the bad field. */
 class MessagesTest {
 
     private static final String OUTCOMES =
@@ -17,12 +17,12 @@
 
     private final Messages messages = new Messages(InMemoryPlatform.parsedSettings());
 
-    private Message parse(String words) throws MalformedMessageException {
-        return messages.parse(List.of(words.split(" ")));
+    private Message parse(String message) throws MalformedMessageException {
+        return messages.parse(List.of(message.split(" ")));
     }
 
     @Test
-    void messagesKeepTheirMeaning() throws MalformedMessageException {
+    void fieldsAndUnitsAreConverted() throws MalformedMessageException {
         assertEquals(new Message.Hello(17, 0, 21.5, true), parse("hello node 17 locality north w 21.5 cold 1"));
         assertEquals(new Message.Ack(17, 905, 310_400_000), parse("ack node 17 nonce 905 latency 310.4"));
         assertEquals(new Message.Outcomes("s-1", 1, 212, 3, 41_700_000, 1_000_000_000, List.of(7.0, 0.6)),
@@ -30,23 +30,24 @@
         assertEquals(new Message.Demand(17, 1, 19, 0, 1_000_000_000),
                 parse("demand node 17 route pay total 19 errors 0 interval 1000.0"));
         assertEquals(new Message.Demand(17, 1, 0, 1, 1_000_000_000),
-                parse("demand node 17 route pay total 0 errors 1 interval 1000.0"), "it came before the interval");
+                parse("demand node 17 route pay total 0 errors 1 interval 1000.0"), "the request arrived before the interval");
         assertEquals(new Message.Agent(1), parse("agent locality south"));
         assertEquals(new Message.Probe(), parse("probe"));
     }
 
     @Test
-    void absentIsAbsentAndNotZero() throws MalformedMessageException {
+    void absentMetricsAreNotReadAsZero() throws MalformedMessageException {
         assertEquals(List.of(), ((Message.Outcomes) parse(OUTCOMES.replaceAll(" metrics .*", ""))).load());
         assertEquals(List.of(), ((Message.Outcomes) parse(OUTCOMES.replace("latency_ms", "other"))).load(),
-                "a report that lacks a figure the settings name tells nothing");
+                "a report without one of the configured columns is ignored");
         assertEquals(0, ((Message.Outcomes) parse(OUTCOMES.replace(" rtt 41.7", "").replace("errors 3",
-                "errors 212"))).latency(), "no good try, no mean");
-        assertThrows(MalformedMessageException.class, () -> parse(OUTCOMES.replace(" rtt 41.7", "")), "good tries without a mean");
+                "errors 212"))).latency(), "no successful try, no mean latency");
+        assertThrows(MalformedMessageException.class, () -> parse(OUTCOMES.replace(" rtt 41.7", "")),
+                "successful tries without a mean latency");
     }
 
     @Test
-    void aMalformedFieldNamesItself() {
+    void errorNamesTheMalformedField() {
         String[][] malformed = {{"endpoint s-1", "endpoint"}, {"total 212", "total"}, {"errors 3", "errors"},
             {"rtt 41.7", "rtt"}, {"interval 1000.0", "interval"}, {"locality south", "locality"},
             {"queue:7", "metrics"}};
@@ -56,7 +57,7 @@
                     continue;
                 }
                 String value = field[1].equals("metrics") ? "queue:" + bad : field[1] + " " + bad;
-                boolean fits = field[1].equals("metrics") && bad.equals("1e300");
+                boolean valid = field[1].equals("metrics") && bad.equals("1e300");
                 List<String> parts = new ArrayList<>(List.of(OUTCOMES.replace(field[0], value).split(" ")));
                 if (bad.isEmpty()) {
                     parts = new ArrayList<>(List.of(OUTCOMES.split(" ")));
@@ -64,9 +65,10 @@
                     parts.set(at, field[1].equals("metrics") ? "queue:" : "");
                 }
                 List<String> sent = parts;
-                if (!fits) {
-                    MalformedMessageException told = assertThrows(MalformedMessageException.class, () -> messages.parse(sent), sent.toString());
-                    assertTrue(told.getMessage().startsWith("outcomes " + field[1]), told.getMessage());
+                if (!valid) {
+                    MalformedMessageException thrown = assertThrows(MalformedMessageException.class,
+                            () -> messages.parse(sent), sent.toString());
+                    assertTrue(thrown.getMessage().startsWith("outcomes " + field[1]), thrown.getMessage());
                 }
             }
         }
@@ -83,13 +85,13 @@
     }
 
     @Test
-    void whateverIsMalformedOnlyTheMessageIsRefused() {
+    void randomlyChangedMessagesAreParsedOrRefusedAsMalformed() {
         Random random = new Random(5);
         List<String> words = List.of("outcomes", "demand", "hello", "ack", "agent", "probe", "node", "locality",
                 "endpoint", "total", "errors", "rtt", "interval", "metrics", "route", "w", "cold", "nonce", "north",
                 "pay", "s-1", "", "0", "1", "-1", "1e9", "9".repeat(30), "queue:1,latency_ms:2", ":", ",", "=", "\u0000",
                 "+");
-        int read = 0;
+        int parsed = 0;
         for (int i = 0; i < 100_000; i++) {
             List<String> parts = new ArrayList<>(List.of(i % 2 == 0 ? OUTCOMES.split(" ")
                     : "demand node 17 route pay total 19 errors 0 interval 1000.0".split(" ")));
@@ -98,11 +100,11 @@
             }
             try {
                 messages.parse(parts);
-                read++;
+                parsed++;
             } catch (MalformedMessageException e) {
                 assertTrue(e.getMessage().length() < 200, e.getMessage());
             }
         }
-        assertTrue(read > 1000 && read < 50_000, read + " were read");
+        assertTrue(parsed > 1000 && parsed < 50_000, parsed + " were parsed");
     }
 }
--- a/src/test/java/rowanmoor/platform/PlatformControllerTest.java
+++ b/src/test/java/rowanmoor/platform/PlatformControllerTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import rowanmoor.platform.InMemoryPlatform.FakePeer;
 
-/** One controller of the platform whole, in memory, with peers that do anything. */
+/** One complete controller on an in-memory network, with well-behaved and misbehaving peers. */
 class PlatformControllerTest {
 
     private static final long SECOND = 1000 * MS;
@@ -35,15 +35,15 @@
     }
 
     private FakePeer joined(int number) {
-        FakePeer client = platform.connectPeer().join(number, number % 2 == 0 ? "north" : "south", 1);
+        FakePeer peer = platform.connectPeer().join(number, number % 2 == 0 ? "north" : "south", 1);
         runFor(20 * MS);
-        return client;
+        return peer;
     }
 
     // ---- serving -------------------------------------------------------------------------------------
 
     @Test
-    void itAnswersASignOfLifeAndServesProxies() {
+    void answersLivenessProbesAndServesProxies() {
         platform.start();
         FakePeer probe = platform.connectPeer().send("probe");
         runFor(20 * MS);
@@ -54,23 +54,23 @@
         assertEquals("1", proxy.pushes().get(0).get("full"));
         assertTrue(proxy.pushes().get(0).containsKey("nonce_out"));
         runFor(20 * SECOND);
-        assertTrue(platform.probesAnswered >= 5, "backends were probed: " + platform.probesAnswered);
+        assertTrue(platform.probesAnswered >= 5, "probes answered: " + platform.probesAnswered);
         assertNull(proxy.closeReason);
     }
 
     @Test
-    void discoveryDownAtTheStartTheKnownListServes() {
+    void knownInstancesServeWhileTheCatalogIsDownAtStartup() {
         platform.catalog.firstLine = "";
         platform.catalog.keepAlive = false;
         platform.start();
         FakePeer proxy = joined(1);
         runFor(8 * SECOND);
         assertEquals(6, proxy.table().size());
-        assertTrue(platform.catalog.requestLines.size() >= 2, "a silent catalog is asked anew");
+        assertTrue(platform.catalog.requestLines.size() >= 2, "a silent catalog is queried again");
     }
 
     @Test
-    void withNothingKnownProxiesKeepWhatTheyHoldUntilTheListComes() {
+    void withoutKnownInstancesNothingIsPushedUntilAListArrives() {
         platform.start(256, catalogObject(0, true, List.of()));
         FakePeer proxy = joined(1);
         runFor(SECOND);
@@ -83,7 +83,7 @@
     // ---- discovery -----------------------------------------------------------------------------------
 
     @Test
-    void aDrainReachesProxiesAtOnceAndAReturnBringsItBack() {
+    void drainIsPushedAtOnceAndRevokedWhenTheInstanceReturns() {
         platform.start();
         FakePeer proxy = joined(1);
         runFor(3 * SECOND);
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void aSilentWatchIsLeftInTimeAndTheNextFollowsFromWhatIsHeld() {
+    void silentWatchIsReplacedAndTheNextContinuesFromTheVersionHeld() {
         platform.start();
         platform.catalog.send(7, false, List.of(instance("s-2", "north", "terminating", 0, "127.0.0.1:1")));
         runFor(100 * MS);
@@ -104,11 +104,12 @@
         platform.catalog.keepAlive = false;
         runFor(3 * SECOND);
         assertEquals(before + 1, platform.catalog.requestLines.size());
-        assertTrue(platform.catalog.requestLines.get(before).contains("since=7 "), platform.catalog.requestLines.get(before));
+        assertTrue(platform.catalog.requestLines.get(before).contains("since=7 "),
+                platform.catalog.requestLines.get(before));
     }
 
     @Test
-    void objectsSplitAnywhereAreRead() {
+    void objectsSplitAtAnyByteAreRead() {
         platform.net.faults(new rowanmoor.net.MemoryNet.Faults(1, 1000, 1000, 0, 0));
         platform.start();
         FakePeer proxy = joined(1);
@@ -119,64 +120,65 @@
     }
 
     @Test
-    void aWatchThatCannotBeReadIsBegunAnew() {
+    void unreadableWatchIsReopened() {
         platform.start();
-        for (String bad : List.of("{\"generation\":\n", "[]\n", "{}\n",
+        for (String malformed : List.of("{\"generation\":\n", "[]\n", "{}\n",
                 "{\"generation\":0,\"reset\":false,\"instances\":[]}\n")) {
             int before = platform.catalog.requestLines.size();
-            platform.catalog.send(bad);
+            platform.catalog.send(malformed);
             runFor(400 * MS);
-            assertEquals(before + 1, platform.catalog.requestLines.size(), bad);
+            assertEquals(before + 1, platform.catalog.requestLines.size(), malformed);
         }
     }
 
     @Test
-    void anotherCatalogIsFollowedBeforeTheOldOneIsLeftAndNoTableMoves() throws Exception {
+    void newCatalogIsEstablishedBeforeTheOldWatchCloses() throws Exception {
         platform.start();
         FakePeer proxy = joined(1);
         runFor(5 * SECOND);
         int pushes = proxy.messages.size();
         InMemoryPlatform.FakeCatalog other = platform.new FakeCatalog(InMemoryPlatform.LOOPBACK);
-        other.firstLine = ""; // says nothing yet
+        other.firstLine = ""; // sends no line yet
         PlatformConfig moved = new PlatformConfig("n1", InMemoryPlatform.LOOPBACK, other.address, 7, 256,
                 catalogObject(1, true, List.of()), InMemoryPlatform.parsedSettings());
         platform.controller.reload(moved);
         runFor(100 * MS);
-        assertEquals(1, platform.catalog.watches.size(), "the old watch still stands");
+        assertEquals(1, platform.catalog.watches.size(), "the old watch is still open");
         other.send("\n");
         runFor(100 * MS);
         assertEquals(0, platform.catalog.watches.size());
         other.send(2, false, List.of(instance("s-2", "north", "terminating", 0, "127.0.0.1:1")));
         runFor(200 * MS);
         assertEquals(List.of("s-2"), proxy.ejected());
-        assertTrue(proxy.messages.size() <= pushes + 2, "nothing else moved");
+        assertTrue(proxy.messages.size() <= pushes + 2, "no other pushes");
         platform.controller.reload(moved);
         runFor(SECOND);
-        assertEquals(1, other.requestLines.size(), "read again without a change");
+        assertEquals(1, other.requestLines.size(), "the configuration was reloaded without a change");
         assertNull(proxy.closeReason);
     }
 
+    /** The old watch ends at various times while the client redials a new address that refuses connections. */
     @Test
-    void theOldWatchEndingWhileTheNewAddressIsRedialledLeavesOneWatch() {
+    void oneWatchRemainsWhenTheOldOneEndsDuringRedials() {
         InetSocketAddress later = new InetSocketAddress(InMemoryPlatform.LOOPBACK.getAddress(), 9);
         for (int ms = 0; ms < 600; ms += 20) {
-            InMemoryPlatform its = new InMemoryPlatform(3 + ms).start();
-            its.controller.reload(new PlatformConfig("n1", InMemoryPlatform.LOOPBACK, later, 7, 256, catalogObject(1, true, List.of()),
-                    InMemoryPlatform.parsedSettings()));
-            its.net.runFor(5 * SECOND + ms * MS); // refused again and again, the old one stands
-            assertEquals(1, its.catalog.watches.size());
-            its.catalog.watches.get(0).reset("gone");
-            its.net.runFor(MS);
-            InMemoryPlatform.FakeCatalog other = its.new FakeCatalog(later);
-            its.net.runFor(4 * SECOND);
+            InMemoryPlatform moved = new InMemoryPlatform(3 + ms).start();
+            moved.controller.reload(new PlatformConfig("n1", InMemoryPlatform.LOOPBACK, later, 7, 256,
+                    catalogObject(1, true, List.of()), InMemoryPlatform.parsedSettings()));
+            moved.net.runFor(5 * SECOND + ms * MS); // connections are refused; the old watch stays open
+            assertEquals(1, moved.catalog.watches.size());
+            moved.catalog.watches.get(0).reset("gone");
+            moved.net.runFor(MS);
+            InMemoryPlatform.FakeCatalog other = moved.new FakeCatalog(later);
+            moved.net.runFor(4 * SECOND);
             assertEquals(1, other.watches.size(), "at " + ms + " ms");
             assertEquals(1, other.requestLines.size(), "at " + ms + " ms");
-            assertEquals(List.of(), its.faults);
+            assertEquals(List.of(), moved.faults);
         }
     }
 
     @Test
-    void aLineThatNeverEndsIsNoSignOfLife() {
+    void unfinishedLineDoesNotKeepAWatchAlive() {
         platform.start();
         platform.catalog.keepAlive = false;
         for (int i = 0; i < 10 && platform.catalog.requestLines.size() < 2; i++) {
@@ -189,13 +191,13 @@
     // ---- streams -------------------------------------------------------------------------------------
 
     @Test
-    void aSecondStreamTakesThePlaceOfTheFirst() {
+    void secondStreamOfAProxyReplacesTheFirst() {
         platform.start();
         FakePeer first = joined(4);
         FakePeer second = platform.connectPeer().join(4, "north", 0);
         runFor(200 * MS);
         assertTrue(first.closeReason != null && second.closeReason == null);
-        assertEquals(6, second.table().size(), "bound anew");
+        assertEquals(6, second.table().size(), "the new stream is bound");
         first.sendRaw("*1\r\n$5\r\nprobe\r\n");
         runFor(SECOND);
         assertNull(second.closeReason);
@@ -203,7 +205,7 @@
     }
 
     @Test
-    void nothingIsEverWrittenToACollector() {
+    void nothingIsWrittenToACollector() {
         platform.start();
         FakePeer collector = platform.connectPeer().send("agent locality north");
         runFor(10 * MS);
@@ -211,7 +213,7 @@
                 .send("outcomes locality north endpoint s-1 total x errors 0 rtt 9 interval 1000")
                 .send("demand node 99 route read total 5 errors 0 interval 1000").send("nonsense");
         runFor(5 * SECOND);
-        assertNull(collector.closeReason, "malformed reports are dropped alone");
+        assertNull(collector.closeReason, "only the malformed reports are dropped");
         assertEquals(3, platform.controller.malformedCount());
         collector.sendRaw("?");
         runFor(SECOND);
@@ -220,7 +222,7 @@
     }
 
     @Test
-    void aMalformedMessageOfAProxyIsDroppedAlone() {
+    void malformedMessagesOfAProxyDoNotCloseItsStream() {
         platform.start();
         FakePeer proxy = joined(2);
         proxy.send("ack node 2 nonce 60000 latency 5").send("ack node 3 nonce 1 latency 5").send("hello node 2")
@@ -231,12 +233,12 @@
     }
 
     @Test
-    void aProxyThatDoesNotReadCostsItsStreamAlone() {
+    void onlyTheStreamOfAProxyThatDoesNotReadIsClosed() {
         platform.start();
-        FakePeer deaf = joined(2);
+        FakePeer blocked = joined(2);
         FakePeer other = joined(3);
-        deaf.connection.pause();
-        for (int i = 0; i < 8000 && deaf.closeReason == null; i++) {
+        blocked.connection.pause();
+        for (int i = 0; i < 8000 && blocked.closeReason == null; i++) {
             platform.controller.send(2, List.of("push", "eject", "s-" + "1".repeat(100)));
             if (i % 100 == 0) {
                 runFor(MS);
@@ -250,7 +252,7 @@
     // ---- unjoined -----------------------------------------------------------------------------------
 
     @Test
-    void unjoinedConnectionsGetAnErrorOrACloseWithinTheSecond() {
+    void unjoinedConnectionsGetAnErrorOrAreClosedWithinOneSecond() {
         platform.start();
         List<FakePeer> unjoined = new ArrayList<>();
         unjoined.add(platform.connectPeer());
@@ -258,11 +260,11 @@
                 "*2\r\n$5\r\nhello\r\n$4\r\n", "*300\r\n", "x".repeat(100_000))) {
             unjoined.add(platform.connectPeer().sendRaw(raw));
         }
-        for (String words : List.of("hello node 40 locality north w 1 cold 1", "agent locality west",
+        for (String message : List.of("hello node 40 locality north w 1 cold 1", "agent locality west",
                 "hello node -1 locality north w 1 cold 1", "demand node 1 route read total 1 errors 0 interval 1",
                 "outcomes locality north endpoint s-1 total 1 errors 0 rtt 1 interval 1", "push full 1", "eh",
                 "ack node 1 nonce 1 latency 1", "probe")) {
-            unjoined.add(platform.connectPeer().send(words));
+            unjoined.add(platform.connectPeer().send(message));
         }
         runFor(1100 * MS);
         for (FakePeer peer : unjoined) {
@@ -274,7 +276,7 @@
     }
 
     @Test
-    void hundredsThatSayNothingDoNotKeepAProxyOut() {
+    void hundredsOfSilentConnectionsDoNotBlockAProxy() {
         platform.start(128, catalogObject(1, true, List.copyOf(platform.instances.values())));
         FakePeer before = joined(1);
         for (int wave = 0; wave < 20; wave++) {
@@ -285,7 +287,7 @@
                 }
             }
             runFor(10 * MS);
-            assertTrue(platform.controller.openConnections() <= 128 - 40, "descriptors are kept back");
+            assertTrue(platform.controller.openConnections() <= 128 - 40, "descriptors are reserved");
         }
         FakePeer late = joined(2);
         runFor(300 * MS);
@@ -294,7 +296,7 @@
     }
 
     @Test
-    void aHelloThatWaitsUnreadIsHeardBeforeItsSenderIsTurnedAway() {
+    void waitingHelloIsReadBeforeItsConnectionIsRejected() {
         platform.start(64, catalogObject(1, true, List.copyOf(platform.instances.values())));
         List<FakePeer> waiting = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
@@ -302,26 +304,26 @@
         }
         runFor(MS);
         FakePeer oldest = waiting.get(0).join(1, "south", 1);
-        platform.connectPeer(); // both arrive at once, and the door is looked at first
+        platform.connectPeer(); // arrives together with the hello; the loop accepts before it reads
         runFor(50 * MS);
-        assertNull(oldest.closeReason, "it had joined");
+        assertNull(oldest.closeReason, "its hello had arrived");
         assertEquals(1, platform.controller.joinedProxies());
-        assertNotNull(waiting.get(1).closeReason, "the next oldest went");
+        assertNotNull(waiting.get(1).closeReason, "the next oldest was closed");
     }
 
     @Test
-    void whenAllDescriptorsAreTakenByProxiesTheNextOneIsTurnedAwayAtOnce() {
+    void connectionIsRejectedAtOnceWhenProxiesHoldAllDescriptors() {
         platform.start(64, catalogObject(1, true, List.copyOf(platform.instances.values())));
         for (int i = 0; i < 8; i++) {
             assertNull(joined(i).closeReason);
         }
         FakePeer ninth = joined(8);
-        assertNotNull(ninth.closeReason, "it can go to another controller");
+        assertNotNull(ninth.closeReason, "it can join another controller");
         assertEquals(8, platform.controller.openConnections());
     }
 
     @Test
-    void withoutADescriptorAcceptingRestsAndGoesOn() {
+    void acceptingPausesWithoutDescriptorsAndResumes() {
         platform.start();
         platform.net.descriptors(0);
         FakePeer waiting = platform.connectPeer();
@@ -334,28 +336,28 @@
         assertFalse(later.pushes().isEmpty());
     }
 
-    // ---- for good ------------------------------------------------------------------------------------
+    // ---- leaks ---------------------------------------------------------------------------------------
 
     @Test
-    void overReplacedBackendsAndBrokenStreamsNothingGrows() {
+    void replacedBackendsAndBrokenStreamsLeakNothing() {
         platform.start();
         platform.catalog.send(2, true, List.copyOf(platform.instances.values()));
         long generation = 3;
-        int most = 0;
+        int maxTracked = 0;
         for (int i = 0; i < 1500; i++) {
             platform.catalog.send(generation++, false, List.of(instance("n-" + i, "north", "in_service",
                     WALL_MS + (platform.net.now() - InMemoryPlatform.START_NS) / MS, "127.0.0.1:1"),
                     instance("n-" + (i - 1), "north", "terminated", 0, "127.0.0.1:1")));
-            FakePeer client = platform.connectPeer().join(i % 40, "north", 0);
+            FakePeer peer = platform.connectPeer().join(i % 40, "north", 0);
             runFor(500 * MS);
             if (i % 3 == 0) {
-                client.connection.reset("gone");
+                peer.connection.reset("gone");
             }
-            if (i >= 400) { // what is gone is let go after two minutes
-                most = Math.max(most, platform.controller.trackedCount());
+            if (i >= 400) { // instances that are gone are removed after two minutes
+                maxTracked = Math.max(maxTracked, platform.controller.trackedCount());
             }
         }
-        assertTrue(most < 400, "remembered at most " + most);
+        assertTrue(maxTracked < 400, "tracked at most " + maxTracked);
         assertTrue(platform.controller.openConnections() <= 45, platform.controller.openConnections() + " open");
     }
 }
--- a/src/test/java/rowanmoor/platform/RandomDisconnectTest.java
+++ b/src/test/java/rowanmoor/platform/RandomDisconnectTest.java
@@ -20,9 +20,9 @@
 import rowanmoor.platform.InMemoryPlatform.FakePeer;
 
 /**
- * Seeded interleavings of accepting, joining, bytes split anywhere, resets, half-closes, silence, list changes,
- * moves of the catalog and ends. Whatever the order: no descriptor or timer is left, each leave is told once,
- * nothing is ordered to one that has gone, and every wait ends.
+ * Seeded random sequences of accepts, joins, bytes split anywhere, resets, half-closes, silence, list changes, moves
+ * of the catalog and disconnects. In any order: no descriptor or timer leaks, each leave is reported once, nothing
+ * is sent to a proxy that has left, and every wait ends.
  */
 class RandomDisconnectTest {
 
@@ -30,7 +30,7 @@
     private static final int STEPS = 120;
     private static final int PROXIES = 6;
 
-    /** One run of random steps, and what has to hold after them. */
+    /** One sequence of random steps, and the checks after it. */
     private static final class Run {
         private final SplittableRandom random;
         private final InMemoryPlatform platform;
@@ -68,7 +68,7 @@
                 case 6 -> endRandomPeer(true);
                 case 7 -> {
                     if (!peers.isEmpty()) {
-                        peers.get(random.nextInt(peers.size())).connection.pause(); // reads nothing
+                        peers.get(random.nextInt(peers.size())).connection.pause(); // stops reading
                     }
                 }
                 case 8 -> changeInstances();
@@ -87,24 +87,25 @@
             if (peers.isEmpty()) {
                 return;
             }
-            FakePeer client = peers.get(random.nextInt(peers.size()));
+            FakePeer peer = peers.get(random.nextInt(peers.size()));
             if (reset) {
-                client.connection.reset("the test");
+                peer.connection.reset("the test");
             } else {
-                client.connection.end();
+                peer.connection.end();
             }
-            ended.add(client);
+            ended.add(peer);
         }
 
         private void changeInstances() {
-            List<Map<String, Object>> some = new ArrayList<>();
+            List<Map<String, Object>> entries = new ArrayList<>();
             for (int i = random.nextInt(3); i < 6; i += 3) {
-                some.add(instance("s-" + i, i % 2 == 0 ? "north" : "south",
+                entries.add(instance("s-" + i, i % 2 == 0 ? "north" : "south",
                         random.nextBoolean() ? "in_service" : "terminating", 0, "127.0.0.1:1"));
             }
             generation += random.nextInt(2);
-            boolean whole = random.nextInt(4) == 0;
-            catalogs.get(configuredCatalog % 2).send(Math.max(0, generation - (whole ? random.nextInt(3) : 0)), whole, some);
+            boolean full = random.nextInt(4) == 0;
+            catalogs.get(configuredCatalog % 2).send(Math.max(0, generation - (full ? random.nextInt(3) : 0)),
+                    full, entries);
         }
 
         private void breakWatches() {
@@ -120,13 +121,13 @@
             }
         }
 
-        /** To one of the two catalogs, or to an address where nobody is. */
-        private void moveCatalog(int where) {
-            configuredCatalog = where;
-            InetSocketAddress to = where < 2 ? catalogs.get(where).address
+        /** Moves to one of the two catalogs, or, for 2, to an address where nothing listens. */
+        private void moveCatalog(int target) {
+            configuredCatalog = target;
+            InetSocketAddress address = target < 2 ? catalogs.get(target).address
                     : new InetSocketAddress(InMemoryPlatform.LOOPBACK.getAddress(), 9);
-            platform.controller.reload(new PlatformConfig("n1", InMemoryPlatform.LOOPBACK, to, 7, 64, catalogObject(1, true, List.of()),
-                    InMemoryPlatform.parsedSettings()));
+            platform.controller.reload(new PlatformConfig("n1", InMemoryPlatform.LOOPBACK, address, 7, 64,
+                    catalogObject(1, true, List.of()), InMemoryPlatform.parsedSettings()));
         }
 
         void verify(String name) {
@@ -134,26 +135,27 @@
             moveCatalog(0);
             platform.net.runFor(4 * SECOND);
             assertEquals(platform.controller.joinedProxies(), platform.controller.openConnections(),
-                    name + ": only who has joined holds a descriptor, though some read nothing");
-            List<Integer> heard = ended.stream().map(c -> c.messages.size()).toList();
+                    name + ": only joined peers hold a descriptor, although some do not read");
+            List<Integer> messagesBefore = ended.stream().map(c -> c.messages.size()).toList();
             peers.stream().filter(c -> c.connection.isOpen() && !ended.contains(c)).forEach(c ->
                     c.connection.resume());
             platform.net.runFor(6 * SECOND);
-            assertEquals(heard, ended.stream().map(c -> c.messages.size()).toList(),
-                    name + ": nothing is ordered to one that has gone");
-            assertEquals(1, catalogs.get(0).watches.size(), name + ": one watch, at the right address");
+            assertEquals(messagesBefore, ended.stream().map(c -> c.messages.size()).toList(),
+                    name + ": nothing is sent to a peer that has left");
+            assertEquals(1, catalogs.get(0).watches.size(), name + ": one watch, at the configured address");
             assertEquals(0, catalogs.get(1).watches.size(), name);
-            List<String> there = peers.stream().filter(c -> c.closeReason == null && c.nodeId != null && !ended.contains(c))
+            List<String> present = peers.stream().filter(c -> c.closeReason == null && c.nodeId != null && !ended.contains(c))
                     .map(c -> c.nodeId).toList();
-            assertEquals(new TreeSet<>(there).size(), there.size(), name + ": a stream for each proxy");
-            assertEquals(there.size(), platform.controller.joinedProxies(), name + ": who is there is counted");
-            assertEquals(there.size(), platform.controller.openConnections(), name + ": and nobody else holds a descriptor");
+            assertEquals(new TreeSet<>(present).size(), present.size(), name + ": one stream per proxy");
+            assertEquals(present.size(), platform.controller.joinedProxies(), name + ": joined proxies are counted");
+            assertEquals(present.size(), platform.controller.openConnections(), name + ": no other peer holds a descriptor");
             peers.forEach(c -> c.connection.reset("the end"));
             platform.net.runFor(3 * SECOND);
             assertEquals(0, platform.controller.joinedProxies(), name);
             assertEquals(0, platform.controller.openConnections(), name);
-            assertEquals(List.of(), platform.faults, name + ": a leave told twice, or a join over one, throws");
-            // Both ends of the watch; its silence, two beats, the statistics, the next turn, probes under way.
+            assertEquals(List.of(), platform.faults, name + ": a leave reported twice, or a join of a joined proxy, throws");
+            // Connections: both ends of the watch, probes in progress. Timers: the watch's silence, two keep-alives,
+            // statistics, the next tick, probes.
             assertTrue(platform.net.connectionsOf(platform.loop) <= 2 + 2 * 8, name + ": "
                     + platform.net.connectionsOf(platform.loop) + " connections");
             assertTrue(platform.net.timersOf(platform.loop) <= 5 + 2 * 8, name + ": "
@@ -162,7 +164,7 @@
     }
 
     @Test
-    void whateverTheOrderNothingIsOwedInTheEnd() {
+    void randomDisconnectsLeakNothing() {
         for (long seed = 1; seed <= 120; seed++) {
             Run run = new Run(seed);
             run.runSteps();
--- a/src/test/java/rowanmoor/platform/SocketDisconnectTest.java
+++ b/src/test/java/rowanmoor/platform/SocketDisconnectTest.java
@@ -19,7 +19,10 @@
 import rowanmoor.platform.SocketPlatform.ScriptedCatalog;
 import rowanmoor.platform.SocketPlatform.Watch;
 
-/** Ends at the wrong instant, on real loopback sockets: the peer or the catalog makes the bad order each time. */
+/**
+ * Disconnects at critical moments on real loopback sockets. In each test the peer or the catalog forces the
+ * problematic order of events.
+ */
 @Timeout(120)
 class SocketDisconnectTest {
 
@@ -52,10 +55,10 @@
 
     // ---- peers ---------------------------------------------------------------------------------------
 
-    /** Fills the buffers of a proxy's stream until bytes wait in the controller. */
+    /** Fills the buffers of a proxy's stream until bytes are queued in the controller. */
     private void fillSendBuffers(int proxy) {
         List<String> large = List.of("push", "eject", "s-" + "1".repeat(30_000));
-        platform.awaitOnLoop(() -> { // what was sent in an earlier turn and still waits, no buffer takes
+        platform.awaitOnLoop(() -> { // bytes still queued after a turn fit in no socket buffer
             boolean waits = platform.controller.queuedBytes(proxy) > 0;
             if (!waits) {
                 platform.controller.send(proxy, large);
@@ -65,7 +68,7 @@
     }
 
     @Test
-    void aProxyThatEndsWithOrdersUnreadHasLeftAtOnceAndItsDescriptorIsFreed() throws Exception {
+    void proxyThatEndsWithUnreadOrdersLeavesAtOnceAndFreesItsDescriptor() throws Exception {
         try (SocketPlatform.SocketPeer proxy = platform.connectPeer().join(1)) {
             proxy.receiveWith("full", "1");
             fillSendBuffers(1);
@@ -75,26 +78,26 @@
                 open[0] = platform.controller.openConnections();
                 return platform.controller.joinedProxies() == 0;
             });
-            assertEquals(1, open[0], "the leave does not wait for the descriptor");
+            assertEquals(1, open[0], "the proxy leaves before its descriptor is freed");
             platform.awaitOnLoop(() -> platform.controller.openConnections() == 0);
         }
     }
 
     @Test
-    void killedRightAfterItsHelloAProxyLeavesNothing() throws Exception {
+    void proxyKilledRightAfterItsHelloLeavesNothingBehind() throws Exception {
         platform.whileLoopIsBlocked(() -> {
             for (int i = 0; i < 40; i++) {
                 platform.connectPeer().join(i).reset();
             }
             return null;
         });
-        platform.connectPeer().join(39).close(); // and one after them, whose end tells that all were met
+        platform.connectPeer().join(39).close(); // its end shows that the earlier ones were handled
         platform.awaitOnLoop(() -> platform.controller.openConnections() == 0);
         assertEquals(0, platform.callOnLoop(platform.controller::joinedProxies));
     }
 
     @Test
-    void streamsOfAllProxiesOfADeadControllerComeInOneTurnAndAllAreBound() throws Exception {
+    void fortyProxiesThatJoinInOneTurnAreAllBound() throws Exception {
         List<SocketPlatform.SocketPeer> proxies = new ArrayList<>();
         platform.whileLoopIsBlocked(() -> {
             for (int i = 0; i < 40; i++) {
@@ -111,11 +114,12 @@
     }
 
     @Test
-    void aHelloInPiecesOverAResetStreamOfTheSameProxyIsTheOneThatCounts() throws Exception {
+    void helloInPiecesReplacesAResetStreamOfTheSameProxy() throws Exception {
         SocketPlatform.SocketPeer first = platform.connectPeer().join(5);
         first.receiveWith("full", "1");
         try (SocketPlatform.SocketPeer second = platform.connectPeer()) {
-            byte[] hello = "*9\r\n$5\r\nhello\r\n$4\r\nnode\r\n$1\r\n5\r\n$8\r\nlocality\r\n$5\r\nnorth\r\n$1\r\nw\r\n$1\r\n5\r\n$4\r\ncold\r\n$1\r\n0\r\n"
+            byte[] hello = ("*9\r\n$5\r\nhello\r\n$4\r\nnode\r\n$1\r\n5\r\n"
+                    + "$8\r\nlocality\r\n$5\r\nnorth\r\n$1\r\nw\r\n$1\r\n5\r\n$4\r\ncold\r\n$1\r\n0\r\n")
                     .getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
             for (int i = 0; i < hello.length; i++) {
                 if (i == hello.length / 2) {
@@ -129,67 +133,70 @@
         }
     }
 
-    // ---- the catalog's watch -------------------------------------------------------------------------
+    // ---- catalog watch -------------------------------------------------------------------------------
 
     @Test
-    void aWatchWhoseAnswerEndsIsClosedThoughItsConnectionCouldStay() throws Exception {
+    void watchWhoseResponseEndsIsClosedDespiteKeepAlive() throws Exception {
         Watch first = catalog.acceptWatch().sendHead().sendLine("");
-        first.sendRaw("0\r\n\r\n"); // the answer is whole; the connection is not ended
-        assertTrue(first.isClosedByController(), "its descriptor is given back");
+        first.sendRaw("0\r\n\r\n"); // the response is complete; the connection stays open
+        assertTrue(first.isClosedByController(), "its descriptor is freed");
         assertTrue(catalog.acceptWatch().requestLine.contains("since=4 "));
     }
 
     @Test
-    void anOlderWholeListDoesNotBringBackWhatDrains() throws Exception {
+    void olderFullListDoesNotUndoADrain() throws Exception {
         try (SocketPlatform.SocketPeer proxy = platform.connectPeer().join(1)) {
             Watch watch = catalog.acceptWatch().sendHead();
             watch.sendObject(6, false, List.of(numberedInstance(2, "terminating"), numberedInstance(3, "terminated")));
             proxy.receiveWith("eject", "s-2");
-            watch.sendObject(5, true, sixInstances()); // told by an agent that lags
+            watch.sendObject(5, true, sixInstances()); // from a catalog agent that lags behind
             watch.sendObject(7, false, List.of(numberedInstance(4, "terminating")));
             List<String> next = proxy.receiveWith("eject", "s-4");
-            assertEquals(-1, next.indexOf("restore"), "nothing was let back: " + next);
+            assertEquals(-1, next.indexOf("restore"), "no instance was restored: " + next);
         }
     }
 
     @Test
-    void anEmptyWholeListEmptiesNoTableUntilItHasStayedSo() throws Exception {
+    void emptyFullListIsNotAcceptedAtOnce() throws Exception {
         try (SocketPlatform.SocketPeer proxy = platform.connectPeer().join(1)) {
             proxy.receiveWith("full", "1");
             Watch first = catalog.acceptWatch().sendHead().sendObject(9, true, List.of());
-            assertTrue(first.isClosedByController(), "not believed");
+            assertTrue(first.isClosedByController(), "the empty list is not accepted");
             Watch second = catalog.acceptWatch();
-            assertTrue(second.requestLine.contains("since=4 "), "it is asked from what is held: " + second.requestLine);
-            second.sendHead().sendObject(9, true, sixInstances()).sendObject(10, false, List.of(numberedInstance(1, "terminating")));
-            List<String> shut = proxy.receiveWith("eject", "s-");
-            assertEquals("s-1", shut.get(shut.indexOf("eject") + 1), "and nothing before it");
+            assertTrue(second.requestLine.contains("since=4 "),
+                    "the next watch continues from the version held: " + second.requestLine);
+            second.sendHead().sendObject(9, true, sixInstances())
+                    .sendObject(10, false, List.of(numberedInstance(1, "terminating")));
+            List<String> ejection = proxy.receiveWith("eject", "s-");
+            assertEquals("s-1", ejection.get(ejection.indexOf("eject") + 1), "no instance was ejected before");
         }
     }
 
     @Test
-    void aMoveWhileTheNewAddressFailsKeepsOneWatchAndOneOnly() throws Exception {
-        Watch old = catalog.acceptWatch().sendHead().sendLine("");
+    void oldWatchStaysWhileTheNewAddressFails() throws Exception {
+        Watch oldWatch = catalog.acceptWatch().sendHead().sendLine("");
         try (ScriptedCatalog other = new ScriptedCatalog()) {
             platform.callOnLoop(() -> {
                 platform.controller.reload(SocketPlatform.config(other.address(), 256, catalogObject(4, true, sixInstances())));
                 return null;
             });
-            Watch asked = other.acceptWatch();
-            asked.sendRaw("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
-            assertTrue(asked.isClosedByController());
-            old.sendObject(5, false, List.of(numberedInstance(2, "terminating"))); // the old one still counts
-            Watch stands = other.acceptWatch().sendHead();
-            stands.sendLine("");
-            assertTrue(old.isClosedByController(), "once the new one stands");
+            Watch failing = other.acceptWatch();
+            failing.sendRaw("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+            assertTrue(failing.isClosedByController());
+            oldWatch.sendObject(5, false, List.of(numberedInstance(2, "terminating"))); // the old watch is still followed
+            Watch established = other.acceptWatch().sendHead();
+            established.sendLine("");
+            assertTrue(oldWatch.isClosedByController(), "closed once the new watch is established");
         }
     }
 
-    // ---- signals -------------------------------------------------------------------------------------
+    // ---- configuration reload -------------------------------------------------------------------------------------
 
     private static String configText(ScriptedCatalog at) {
         return "{\"name\":\"n1\",\"discovery\":\"" + at.address().getAddress().getHostAddress() + ":"
                 + at.address().getPort() + "\",\"seed\":\"7\",\"limits\":{\"sockets\":256},\"known\":"
-                + InMemoryPlatform.toJson(catalogObject(4, true, sixInstances())) + ",\"settings\":" + InMemoryPlatform.SETTINGS + "}";
+                + InMemoryPlatform.toJson(catalogObject(4, true, sixInstances())) + ",\"settings\":"
+                + InMemoryPlatform.SETTINGS + "}";
     }
 
     private static Map<String, String> environment(Path file) {
@@ -197,43 +204,47 @@
     }
 
     @Test
-    void aHalfWrittenConfigurationIsNotUsedAndOfTwoSignalsAtOnceTheLastIs(@TempDir Path folder) throws Exception {
+    void halfWrittenConfigurationIsIgnoredAndTheLastOfTwoReloadsApplies(@TempDir Path folder)
+            throws Exception {
         Path file = Files.writeString(folder.resolve("config.json"), configText(catalog));
-        try (ScriptedCatalog other = new ScriptedCatalog(); SocketPlatform its = SocketPlatform.fromFile(environment(file))) {
-            catalog.acceptWatch(); // the other controller's
+        try (ScriptedCatalog other = new ScriptedCatalog();
+                SocketPlatform fromFile = SocketPlatform.fromFile(environment(file))) {
+            catalog.acceptWatch(); // of the controller started for every test
             Watch first = catalog.acceptWatch().sendHead().sendLine("");
             Files.writeString(file, configText(other).substring(0, 400));
-            its.configFile.reload();
-            assertTrue(its.log.toString().contains("configuration kept as it was: GW_CONFIG " + file), its.log::toString);
+            fromFile.configFile.reload();
+            assertTrue(fromFile.log.toString().contains("configuration kept as it was: GW_CONFIG " + file),
+                    fromFile.log::toString);
             Files.writeString(file, configText(other));
-            its.whileLoopIsBlocked(() -> { // neither waits for the loop
-                its.configFile.reload();
-                its.configFile.reload();
+            fromFile.whileLoopIsBlocked(() -> { // reloading does not wait for the loop
+                fromFile.configFile.reload();
+                fromFile.configFile.reload();
                 return null;
             });
             other.acceptWatch().sendHead().sendLine("").sendObject(5, false, List.of(numberedInstance(2, "terminating")));
             assertTrue(first.isClosedByController());
-            try (SocketPlatform.SocketPeer proxy = its.connectPeer().join(1)) {
+            try (SocketPlatform.SocketPeer proxy = fromFile.connectPeer().join(1)) {
                 proxy.receiveWith("eject", "s-2");
             }
         }
     }
 
     @Test
-    void aCatalogThatMovedWithoutASignalIsFoundByTheFile(@TempDir Path folder) throws Exception {
+    void catalogMovedWithoutASignalIsFoundInTheFile(@TempDir Path folder) throws Exception {
         Path file = Files.writeString(folder.resolve("config.json"), configText(catalog));
-        try (ScriptedCatalog other = new ScriptedCatalog(); SocketPlatform its = SocketPlatform.fromFile(environment(file))) {
+        try (ScriptedCatalog other = new ScriptedCatalog();
+                SocketPlatform fromFile = SocketPlatform.fromFile(environment(file))) {
             catalog.acceptWatch();
             Watch first = catalog.acceptWatch().sendHead().sendLine("");
-            its.awaitOnLoop(() -> its.log.stream().anyMatch(l -> l.contains("listens")));
-            Files.writeString(file, configText(other).substring(0, 400)); // and half of it first
+            fromFile.awaitOnLoop(() -> fromFile.log.stream().anyMatch(l -> l.contains("listens")));
+            Files.writeString(file, configText(other).substring(0, 400)); // half written
             catalog.close();
-            its.awaitOnLoop(() -> its.log.stream().anyMatch(l -> l.contains("kept as it was")));
+            fromFile.awaitOnLoop(() -> fromFile.log.stream().anyMatch(l -> l.contains("kept as it was")));
             Files.writeString(file, configText(other));
             Watch watch = other.acceptWatch().sendHead();
             assertTrue(watch.requestLine.contains("since=4 "), watch.requestLine);
             watch.sendObject(5, false, List.of(numberedInstance(2, "terminating")));
-            try (SocketPlatform.SocketPeer proxy = its.connectPeer().join(1)) {
+            try (SocketPlatform.SocketPeer proxy = fromFile.connectPeer().join(1)) {
                 proxy.receiveWith("eject", "s-2");
             }
             assertTrue(first.isClosedByController());
--- a/src/test/java/rowanmoor/platform/SocketPlatform.java
+++ b/src/test/java/rowanmoor/platform/SocketPlatform.java
@@ -26,8 +26,8 @@
 import rowanmoor.resp.RespWriter;
 
 /**
- * A controller of the platform on real loopback sockets, with a catalog and peers that are scripted by plain
- * blocking sockets: the test says which byte comes when. Nothing sleeps; every wait has a bound.
+ * A controller on real loopback sockets, with a catalog and peers on blocking sockets, so that the test controls
+ * which byte arrives when. Nothing sleeps; every wait is bounded by {@code TIMEOUT_MS}.
  */
 final class SocketPlatform implements AutoCloseable {
 
@@ -37,14 +37,14 @@
     final List<String> log = new CopyOnWriteArrayList<>();
     final Loop loop;
     final PlatformController controller;
-    final ConfigFile configFile; // null unless it was started from one
+    final ConfigFile configFile; // null unless started from a file
     private final Thread thread;
 
     SocketPlatform(ScriptedCatalog catalog, int sockets, Map<String, Object> known) throws IOException {
         this(config(catalog.address(), sockets, known), new CopyOnWriteArrayList<>(), null);
     }
 
-    /** One whose configuration is a file, or null. */
+    /** Uses the configuration file of {@code env}; without one if {@code env} is null. */
     SocketPlatform(PlatformConfig config, List<Throwable> faults, Map<String, String> env) throws IOException {
         this.faults = faults;
         loop = Loop.onSockets(faults::add);
@@ -55,7 +55,7 @@
         thread.start();
     }
 
-    /** A controller started from a file as the program starts it. */
+    /** Starts a controller from its configuration file, as the program does. */
     static SocketPlatform fromFile(Map<String, String> env) throws IOException {
         return new SocketPlatform(PlatformConfig.read(env), new CopyOnWriteArrayList<>(), env);
     }
@@ -68,47 +68,47 @@
         return new PlatformConfig("n1", InMemoryPlatform.LOOPBACK, catalog, 7, sockets, known, InMemoryPlatform.parsedSettings());
     }
 
-    /** Asks something on the loop's thread. */
-    <T> T callOnLoop(Callable<T> what) {
-        CompletableFuture<T> answer = new CompletableFuture<>();
+    /** Calls something on the loop's thread and returns its result. */
+    <T> T callOnLoop(Callable<T> call) {
+        CompletableFuture<T> result = new CompletableFuture<>();
         loop.post(() -> {
             try {
-                answer.complete(what.call());
+                result.complete(call.call());
             } catch (Exception e) {
-                answer.completeExceptionally(e);
+                result.completeExceptionally(e);
             }
         });
         try {
-            return answer.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            return result.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException | ExecutionException | TimeoutException e) {
             throw new AssertionError(e);
         }
     }
 
-    /** Turns the loop until something holds there. */
-    void awaitOnLoop(Callable<Boolean> holds) {
+    /** Waits until a condition, checked on the loop's thread, holds. */
+    void awaitOnLoop(Callable<Boolean> condition) {
         long until = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
-        while (!callOnLoop(holds)) {
+        while (!callOnLoop(condition)) {
             if (System.nanoTime() > until) {
-                throw new AssertionError("it never held; log: " + log);
+                throw new AssertionError("condition not met within " + TIMEOUT_MS + " ms; log: " + log);
             }
             Thread.onSpinWait();
         }
     }
 
-    /** Stands the loop still while a test puts bytes in place, so that it meets them all in one turn. */
+    /** Blocks the loop while the test sends bytes, so that the loop receives them all in one turn. */
     void whileLoopIsBlocked(Callable<Void> step) throws Exception {
-        CompletableFuture<Void> still = new CompletableFuture<>();
-        CompletableFuture<Void> on = new CompletableFuture<>();
+        CompletableFuture<Void> blocked = new CompletableFuture<>();
+        CompletableFuture<Void> released = new CompletableFuture<>();
         loop.post(() -> {
-            still.complete(null);
-            on.join();
+            blocked.complete(null);
+            released.join();
         });
-        still.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        blocked.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         try {
             step.call();
         } finally {
-            on.complete(null);
+            released.complete(null);
         }
     }
 
@@ -125,19 +125,19 @@
         }
     }
 
-    /** One connection to the controller's address. */
+    /** One connection to the controller. */
     final class SocketPeer implements AutoCloseable {
         final Socket socket;
         private final RespReader reader = new RespReader(RespReader.MESSAGE_MOST, 256);
-        private ByteBuffer read = ByteBuffer.allocate(0);
+        private ByteBuffer received = ByteBuffer.allocate(0);
 
         SocketPeer() throws IOException {
             socket = new Socket(controller.address().getAddress(), controller.address().getPort());
             socket.setSoTimeout(TIMEOUT_MS);
         }
 
-        SocketPeer send(String words) throws IOException {
-            ByteBuffer bytes = RespWriter.encode(List.of(words.split(" ")));
+        SocketPeer send(String message) throws IOException {
+            ByteBuffer bytes = RespWriter.encode(List.of(message.split(" ")));
             socket.getOutputStream().write(bytes.array(), bytes.arrayOffset() + bytes.position(), bytes.remaining());
             return this;
         }
@@ -146,11 +146,11 @@
             return send("hello node " + number + " locality north w 5.0 cold 1");
         }
 
-        /** The next message; null once the stream has ended. */
+        /** Returns the next message; null once the stream has ended. */
         List<String> receive() throws IOException {
             try {
                 while (true) {
-                    List<String> message = read.hasRemaining() ? reader.next(read) : null;
+                    List<String> message = received.hasRemaining() ? reader.next(received) : null;
                     if (message != null) {
                         return message;
                     }
@@ -159,14 +159,14 @@
                     if (count < 0) {
                         return null;
                     }
-                    read = ByteBuffer.wrap(into, 0, count);
+                    received = ByteBuffer.wrap(into, 0, count);
                 }
             } catch (RespError e) {
                 throw new AssertionError(e);
             }
         }
 
-        /** The first message in which a field has a value that holds this text. */
+        /** Returns the next message with a field whose value contains the text. */
         List<String> receiveWith(String field, String text) throws IOException {
             for (List<String> message = receive(); message != null; message = receive()) {
                 int at = message.indexOf(field);
@@ -174,7 +174,7 @@
                     return message;
                 }
             }
-            throw new AssertionError("ended before " + field + " " + text);
+            throw new AssertionError("stream ended before a message with " + field + " " + text);
         }
 
         void reset() throws IOException {
@@ -192,7 +192,7 @@
         return new SocketPeer();
     }
 
-    /** The catalog's address; the test takes each watch itself and says what it is told. */
+    /** A catalog whose watches the test accepts and answers itself. */
     static final class ScriptedCatalog implements AutoCloseable {
         private final ServerSocket serverSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         private final List<Watch> watches = new ArrayList<>();
@@ -205,7 +205,7 @@
             return new InetSocketAddress(serverSocket.getInetAddress(), serverSocket.getLocalPort());
         }
 
-        /** The next watch, whose question has been read and whose answer has not begun. */
+        /** Accepts the next watch; its request has been read and its response not begun. */
         Watch acceptWatch() throws IOException {
             Watch watch = new Watch(serverSocket.accept());
             watches.add(watch);
@@ -221,7 +221,7 @@
         }
     }
 
-    /** One watch, at the catalog's end. */
+    /** The catalog's side of one watch. */
     static final class Watch {
         final Socket socket;
         final String requestLine;
@@ -258,7 +258,7 @@
             return this;
         }
 
-        /** Waits until the controller has closed it. */
+        /** Waits for the controller to close the watch; returns false on a timeout. */
         boolean isClosedByController() throws IOException {
             try {
                 return in.read() < 0;
--- a/src/test/java/rowanmoor/platform/TranslatorTest.java
+++ b/src/test/java/rowanmoor/platform/TranslatorTest.java
@@ -27,7 +27,7 @@
 import rowanmoor.ControlApi.Withdraw;
 import rowanmoor.host.Fanout;
 
-/** What each order of the module's means on the simulator's wire comes out the same in pushes. */
+/** Each order of the decision module is encoded in pushes with the meaning it has in the simulator's protocol. */
 class TranslatorTest {
 
     private final InstanceRegistry registry = new InstanceRegistry();
@@ -45,7 +45,7 @@
         fanout.join(8);
     }
 
-    /** What these orders write to proxy 7, a string a part. */
+    /** The pushes that these actions send to proxy 7, one string per part. */
     private List<String> pushesFor(Action... actions) {
         return pushesFor(7, actions);
     }
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aBindIsTheWholeTableWithItsLevelsAndWithdrawals() {
+    void bindSendsTheFullTableWithLevelsAndWithdrawals() {
         pushesFor(new SetLine(3, one, 1.5), new SetLine(3, two, 2), new Admit(3, 3, 4.5, Retry.ONCE_UNRUN),
                 new Withdraw(two, true));
         assertEquals(List.of("push full 1 endpoints " + endpointsField(one, "1.5", two, "2") + " admit 4.5 policy 1"
@@ -74,19 +74,19 @@
     }
 
     @Test
-    void laterChangesReachOnlyProxiesBoundToThatTable() {
+    void changesReachOnlyProxiesBoundToTheTable() {
         pushesFor(new SetLine(3, one, 1), new Bind(7, 3, 0), new Bind(8, 4, 0));
         assertEquals(List.of("push endpoints s-2:0.25"), pushesFor(new SetLine(3, two, 0.25)));
         assertEquals(List.of(), pushesFor(8, new SetLine(3, two, 0.5)));
-        assertEquals(List.of("push endpoints s-1:0"), pushesFor(new SetLine(3, one, 0)), "weight 0 takes it out");
+        assertEquals(List.of("push endpoints s-1:0"), pushesFor(new SetLine(3, one, 0)), "weight 0 removes the backend");
         fanout.leave(7);
-        assertEquals(List.of(), pushesFor(new SetLine(3, two, 1)), "nothing for one that has gone");
+        assertEquals(List.of(), pushesFor(new SetLine(3, two, 1)), "nothing for a proxy that has left");
         fanout.join(7);
-        assertEquals(List.of(), pushesFor(new SetLine(3, two, 2)), "nor for one that has not been bound again");
+        assertEquals(List.of(), pushesFor(new SetLine(3, two, 2)), "nothing before the proxy is bound again");
     }
 
     @Test
-    void classesWithDifferentTablesAreParts() {
+    void classesWithDifferentTablesGetSeparateParts() {
         pushesFor(new SetLine(3, one, 1), new SetLine(4, two, 1));
         assertEquals(List.of("push routes read full 1 endpoints s-1:1 continued 1",
                 "push routes pay full 1 endpoints s-2:1 nonce_out 5"),
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void aLevelGoesWithItsWayOfTryingAgain() {
+    void levelIsSentWithItsRetryPolicy() {
         pushesFor(new SetLine(3, one, 1), new Bind(7, 3, 0));
         assertEquals(List.of("push admit 0.5 policy 3"), pushesFor(new Admit(3, 0, 0.5, Retry.TWICE)));
         assertEquals(List.of("push routes pay admit 2 policy 0"), pushesFor(new Admit(3, 2, 2, Retry.NEVER)));
@@ -105,21 +105,21 @@
                         new Admit(3, 2, 3, Retry.ONCE_UNRUN), new Mark(6)));
         assertEquals(List.of("push endpoints s-2:2 admit 7 policy 1"), pushesFor(new SetLine(3, two, 2),
                 new Admit(3, 1, 7, Retry.ONCE_UNRUN), new Admit(3, 2, 7, Retry.ONCE_UNRUN)),
-                "equal levels of all classes are one");
+                "equal levels of all classes are combined");
     }
 
     @Test
-    void withdrawalsReachThoseThatMayHoldTheBackend() {
+    void withdrawalsReachProxiesThatMayUseTheBackend() {
         pushesFor(new SetLine(3, one, 1), new Bind(7, 3, 0));
-        assertEquals(List.of(), pushesFor(new Withdraw(two, true)), "its table has no such line");
+        assertEquals(List.of(), pushesFor(new Withdraw(two, true)), "the proxy's table has no line for it");
         assertEquals(List.of("push eject s-1"), pushesFor(new Withdraw(one, true)));
         assertEquals(List.of("push restore s-1"), pushesFor(new Withdraw(one, false)));
         assertEquals(List.of("push eject s-3"), pushesFor(8, new Withdraw(three, true)),
-                "of one that is not bound nothing is known");
+                "the table of an unbound proxy is unknown");
     }
 
     @Test
-    void whatDiscoveryHasNotListedIsNeverNamed() {
+    void backendsNotListedByDiscoveryAreNeverSent() {
         Backend unknown = new Backend(77);
         for (String push : pushesFor(new SetLine(3, one, 1), new SetLine(3, unknown, 1), new Bind(7, 3, 0),
                 new Withdraw(unknown, true))) {
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void figuresHaveNoExponent() {
+    void numbersAreFormattedWithoutExponent() {
         for (double value : List.of(1e-9, 1.0 / 3, 12.3456789, 1e6, 100.0, 1e12, 4.9e-5)) {
             String text = Translator.formatNumber(value);
             assertFalse(text.contains("E") || text.contains("-"), text);
@@ -137,26 +137,26 @@
         assertEquals("0", Translator.formatNumber(0));
     }
 
-    /** Each kind of action either writes something here or is told to a part of the service. */
+    /** Every kind of action either causes a push or is handled by another part of the controller. */
     @Test
-    void everyActionHasItsOrder() {
-        List<Action> writing = List.of(new SetLine(3, one, 1), new Withdraw(one, true),
+    void everyActionKindIsHandled() {
+        List<Action> pushed = List.of(new SetLine(3, one, 1), new Withdraw(one, true),
                 new Admit(3, 0, 1, Retry.ONCE), new Bind(7, 3, 0), new Mark(1));
-        List<Action> elsewhere = List.of(new Watch(true), new Probe(one), new TimerAt(1, 1), new Log("x"));
+        List<Action> handledElsewhere = List.of(new Watch(true), new Probe(one), new TimerAt(1, 1), new Log("x"));
         TreeSet<String> kinds = new TreeSet<>();
-        new ArrayList<>(writing).forEach(a -> kinds.add(a.getClass().getSimpleName()));
-        elsewhere.forEach(a -> kinds.add(a.getClass().getSimpleName()));
+        new ArrayList<>(pushed).forEach(a -> kinds.add(a.getClass().getSimpleName()));
+        handledElsewhere.forEach(a -> kinds.add(a.getClass().getSimpleName()));
         TreeSet<String> all = new TreeSet<>();
         for (Class<?> kind : Action.class.getPermittedSubclasses()) {
             all.add(kind.getSimpleName());
         }
         assertEquals(all, kinds);
         pushesFor(new Bind(7, 3, 0));
-        for (Action action : writing) {
-            List<String> push = pushesFor(action instanceof Mark ? new Action[] {writing.get(0), action}
+        for (Action action : pushed) {
+            List<String> push = pushesFor(action instanceof Mark ? new Action[] {pushed.get(0), action}
                     : new Action[] {action});
             assertEquals(1, push.size(), action + ": " + push);
         }
-        elsewhere.forEach(a -> assertEquals(List.of(), pushesFor(a)));
+        handledElsewhere.forEach(a -> assertEquals(List.of(), pushesFor(a)));
     }
 }
