--- a/src/main/java/rowanmoor/discovery/RosterResponse.java
+++ b/src/main/java/rowanmoor/discovery/RosterResponse.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.config.Section;
 
 /**
@@ -25,7 +25,7 @@
      * @param startedAtMs 0 if not stated
      * @param complete false if a field is missing or invalid; then only the address is usable
      */
-    record Entry(Backend backend, int zone, int kind, int cell, Listed listed, double weight,
+    record Entry(Backend backend, int zone, int kind, int cell, Availability listed, double weight,
             long startedAtMs, boolean complete) { }
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -83,7 +83,7 @@
         for (JsonNode tag : service.path("Tags")) {
             draining |= tag.asText().equals("draining");
         }
-        return new Entry(backend, zone, kind, cell, draining ? Listed.DRAINING : Listed.READY, weight,
+        return new Entry(backend, zone, kind, cell, draining ? Availability.DRAINING : Availability.READY, weight,
                 startedAtMs, complete);
     }
 
--- a/src/main/java/rowanmoor/discovery/RosterView.java
+++ b/src/main/java/rowanmoor/discovery/RosterView.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.TreeMap;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
 
@@ -53,12 +53,12 @@
 
     /** Returns the empty list with which the decision module starts. */
     public Members initialMembers() {
-        return new Members(ListKind.CACHED, ++version, List.of());
+        return new Members(CatalogUpdateKind.CACHED, ++version, List.of());
     }
 
     /** Returns the event for a failed query. */
     Members failed() {
-        return new Members(ListKind.FAILED, version, List.of());
+        return new Members(CatalogUpdateKind.FAILED, version, List.of());
     }
 
     /** Starts a new watch: without an index, and its first response is reported even if nothing changed. */
@@ -77,7 +77,7 @@
         boolean firstOfWatch = index == 0;
         boolean indexWentBack = newIndex < index;
         boolean empty = response.entries().isEmpty() && members.values().stream()
-                .anyMatch(m -> m.listed() != Listed.GONE);
+                .anyMatch(m -> m.availability() != Availability.GONE);
         if (empty && emptySince < 0) {
             emptySince = now;
         }
@@ -90,12 +90,12 @@
         boolean first = !answered;
         answered = true;
         if (indexWentBack || first) {
-            List<Member> present = members.values().stream().filter(m -> m.listed() != Listed.GONE).toList();
-            return new Result(new Members(indexWentBack ? ListKind.CACHED : ListKind.FULL, ++version,
+            List<Member> present = members.values().stream().filter(m -> m.availability() != Availability.GONE).toList();
+            return new Result(new Members(indexWentBack ? CatalogUpdateKind.CACHED : CatalogUpdateKind.FULL, ++version,
                     present), index, true);
         }
         boolean report = firstOfWatch || !changes.isEmpty();
-        return new Result(report ? new Members(ListKind.DELTA, ++version, changes) : null, index, true);
+        return new Result(report ? new Members(CatalogUpdateKind.DELTA, ++version, changes) : null, index, true);
     }
 
     private List<Member> applyEntries(long now, long wallMs, RosterResponse response) {
@@ -112,12 +112,12 @@
         goneAt.keySet().removeAll(listed.keySet());
         goneAt.entrySet().removeIf(e -> now - e.getValue() > FORGET_AFTER_NS && forget(e.getKey()));
         members.replaceAll((backend, old) -> {
-            if (listed.containsKey(backend) || old.listed() == Listed.GONE) {
+            if (listed.containsKey(backend) || old.availability() == Availability.GONE) {
                 return old;
             }
-            changes.add(old.gone());
+            changes.add(old.asGone());
             goneAt.put(backend, now);
-            return old.gone();
+            return old.asGone();
         });
         listed.forEach((backend, member) -> {
             if (!member.equals(members.put(backend, member))) {
--- a/src/main/java/rowanmoor/platform/CatalogView.java
+++ b/src/main/java/rowanmoor/platform/CatalogView.java
@@ -9,12 +9,12 @@
 import java.util.Set;
 import java.util.TreeMap;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
 import rowanmoor.config.Section;
-import rowanmoor.settings.SettingsReader.Told;
+import rowanmoor.settings.SettingsReader.NamedSettings;
 
 /**
  * Translates the catalog's objects into member lists for the decision module: full lists and changes,
@@ -29,8 +29,8 @@
 final class CatalogView {
 
     private static final long NS_PER_MS = 1_000_000L;
-    private static final Map<String, Listed> LIFECYCLES = Map.of("in_service", Listed.READY,
-            "terminating", Listed.DRAINING, "terminated", Listed.GONE);
+    private static final Map<String, Availability> LIFECYCLES = Map.of("in_service", Availability.READY,
+            "terminating", Availability.DRAINING, "terminated", Availability.GONE);
     private static final int MAX_PROBLEMS = 3;
     /** How long an empty list must persist to be accepted: the longest delay of the catalog's updates. */
     private static final long EMPTY_LIST_HOLD_NS = 6_000 * NS_PER_MS;
@@ -38,7 +38,7 @@
     /** A start as the catalog states it, and the same start in this controller's clock in ns. */
     private record StartTime(long startedAtMs, long startedAt) { }
 
-    private final Told parsedSettings;
+    private final NamedSettings parsedSettings;
     private final InstanceRegistry instances;
     private final TreeMap<Backend, Member> members = new TreeMap<>();
     private final Map<Backend, StartTime> startTimes = new HashMap<>();
@@ -46,7 +46,7 @@
     private long newestVersion; // the highest version applied
     private long emptySince = -1; // -1 while the list is not empty
 
-    CatalogView(Told parsedSettings, InstanceRegistry instances) {
+    CatalogView(NamedSettings parsedSettings, InstanceRegistry instances) {
         this.parsedSettings = parsedSettings;
         this.instances = instances;
     }
@@ -79,7 +79,7 @@
             throw new IOException("changes up to " + version + " after version " + generation);
         }
         boolean empty = full && !known && rawEntries.isEmpty()
-                && members.values().stream().anyMatch(m -> m.listed() != Listed.GONE);
+                && members.values().stream().anyMatch(m -> m.availability() != Availability.GONE);
         emptySince = !empty ? -1 : emptySince < 0 ? now : emptySince;
         if (empty && now - emptySince < EMPTY_LIST_HOLD_NS) { // a catalog that just started may know none yet
             throw new IOException(
@@ -107,13 +107,13 @@
             return applyFullList(known, entries, mentioned, hasUnidentified);
         }
         entries.removeIf(m -> m.equals(members.put(m.backend(), m)));
-        return entries.isEmpty() ? null : new Members(ListKind.DELTA, version, List.copyOf(entries));
+        return entries.isEmpty() ? null : new Members(CatalogUpdateKind.DELTA, version, List.copyOf(entries));
     }
 
     /** Keeps an instance draining or gone as in a newer version, unless it has been restarted since. */
     private Member keepNewerState(Member member) {
         Member old = members.get(member.backend());
-        boolean undone = old != null && old.listed() != Listed.READY && member.listed() == Listed.READY
+        boolean undone = old != null && old.availability() != Availability.READY && member.availability() == Availability.READY
                 && old.startedAt() == member.startedAt();
         return undone ? old : member;
     }
@@ -129,16 +129,16 @@
             same &= member.equals(members.put(member.backend(), member));
         }
         for (Member old : List.copyOf(members.values())) {
-            if (!mentioned.contains(old.backend()) && old.listed() != Listed.GONE) {
+            if (!mentioned.contains(old.backend()) && old.availability() != Availability.GONE) {
                 if (hasUnidentified) {
                     entries.add(old);
                 } else {
-                    members.put(old.backend(), old.gone());
+                    members.put(old.backend(), old.asGone());
                     same = false;
                 }
             }
         }
-        return same ? null : new Members(known ? ListKind.CACHED : ListKind.FULL, generation,
+        return same ? null : new Members(known ? CatalogUpdateKind.CACHED : CatalogUpdateKind.FULL, generation,
                 List.copyOf(entries));
     }
 
@@ -150,7 +150,7 @@
     private Member member(long now, long wallMs, String id, Map<?, ?> entry, List<String> problems) {
         Backend backend = instances.register(id);
         Member old = members.get(backend);
-        Listed listed = LIFECYCLES.get(entry.get("lifecycle"));
+        Availability listed = LIFECYCLES.get(entry.get("lifecycle"));
         int zone = parsedSettings.zones().indexOf(entry.get("zone"));
         int kind = parsedSettings.kinds().indexOf(entry.get("machineType"));
         double weight = entry.get("weight") instanceof Number n ? n.doubleValue() : 1;
@@ -159,8 +159,8 @@
         if (entry.get("hostPort") instanceof String text && Section.parseAddress(text) != null) {
             instances.setAddress(backend, Section.parseAddress(text));
         }
-        if (listed == Listed.GONE && old != null) {
-            return old.gone(); // the other fields may be missing
+        if (listed == Availability.GONE && old != null) {
+            return old.asGone(); // the other fields may be missing
         }
         if (listed == null || zone < 0 || kind < 0 || !(weight >= 0 && weight <= 1e9)
                 || !(cell >= 0 && cell <= 65535) || !(started >= 0 && started <= 1e15)) {
@@ -200,7 +200,7 @@
     /** Removes an instance that the decision module has removed, unless it is listed again. */
     void forget(Backend backend) {
         Member member = members.get(backend);
-        if (member == null || member.listed() == Listed.GONE) {
+        if (member == null || member.availability() == Availability.GONE) {
             members.remove(backend);
             startTimes.remove(backend);
             instances.forget(backend);
--- a/src/main/java/rowanmoor/platform/Messages.java
+++ b/src/main/java/rowanmoor/platform/Messages.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import rowanmoor.settings.SettingsReader.Told;
+import rowanmoor.settings.SettingsReader.NamedSettings;
 
 /**
  * Parses received field lists into typed messages. A list is the kind followed by alternating field names and
@@ -23,9 +23,9 @@
             "q", "queue", "rif", "inflight", "busy", "util",
             "lat_ms", "latency_ms", "rate", "qps", "fail_rate", "eps");
 
-    private final Told parsedSettings;
+    private final NamedSettings parsedSettings;
 
-    Messages(Told parsedSettings) {
+    Messages(NamedSettings parsedSettings) {
         this.parsedSettings = parsedSettings;
     }
 
--- a/src/main/java/rowanmoor/platform/Peer.java
+++ b/src/main/java/rowanmoor/platform/Peer.java
@@ -8,7 +8,7 @@
 import rowanmoor.net.Handler;
 import rowanmoor.net.Loop;
 import rowanmoor.net.Timer;
-import rowanmoor.resp.RespError;
+import rowanmoor.resp.RespException;
 import rowanmoor.resp.RespReader;
 import rowanmoor.resp.RespWriter;
 
@@ -74,7 +74,7 @@
         role = newRole;
         number = newNumber;
         deadlineTimer.cancel();
-        reader.allow(RespReader.MESSAGE_MOST);
+        reader.setMaxMessageBytes(RespReader.MAX_MESSAGE_BYTES);
     }
 
     /** Adds a mark that was sent on this stream; only the newest {@code MAX_PENDING_MARKS} are kept. */
@@ -105,7 +105,7 @@
                     dispatch(parts);
                 }
             }
-        } catch (RespError e) {
+        } catch (RespException e) {
             endWithError(e.getMessage());
         }
     }
--- a/src/main/java/rowanmoor/platform/PlatformConfig.java
+++ b/src/main/java/rowanmoor/platform/PlatformConfig.java
@@ -6,9 +6,9 @@
 import java.nio.file.Path;
 import java.util.Map;
 import rowanmoor.config.Section;
-import rowanmoor.settings.SettingsError;
+import rowanmoor.settings.InvalidSettingsException;
 import rowanmoor.settings.SettingsReader;
-import rowanmoor.settings.SettingsReader.Told;
+import rowanmoor.settings.SettingsReader.NamedSettings;
 
 /**
  * Configuration of one controller of the platform, from environment variables and a JSON file.
@@ -20,7 +20,7 @@
  * @param knownInstances the last known list of instances, in the catalog's format; may be empty
  */
 record PlatformConfig(String name, InetSocketAddress listenAddress, InetSocketAddress catalogAddress,
-        long seed, int maxSockets, Map<String, Object> knownInstances, Told parsedSettings) {
+        long seed, int maxSockets, Map<String, Object> knownInstances, NamedSettings parsedSettings) {
 
     private static final int MIN_SOCKETS = 64;
     private static final int HEX_RADIX = 16;
@@ -46,8 +46,8 @@
             return new PlatformConfig(text(root, "name"), address("GW_LISTEN", variable(env, "GW_LISTEN")),
                     address("discovery", text(root, "discovery")), seed(text(root, "seed")),
                     sockets(limits.get("sockets")), map(root, "known"),
-                    SettingsReader.ofTree(map(root, "settings")));
-        } catch (SettingsError e) {
+                    SettingsReader.fromTree(map(root, "settings")));
+        } catch (InvalidSettingsException e) {
             throw new IOException("GW_CONFIG " + file + ": " + e.getMessage());
         }
     }
@@ -64,7 +64,7 @@
         if (root.get(key) instanceof String text && !text.isEmpty()) {
             return text;
         }
-        throw new SettingsError(key + " is missing or not a string");
+        throw new InvalidSettingsException(key + " is missing or not a string");
     }
 
     @SuppressWarnings("unchecked")
@@ -72,13 +72,13 @@
         if (root.get(key) instanceof Map<?, ?> map) {
             return (Map<String, Object>) map;
         }
-        throw new SettingsError(key + " is missing or not an object");
+        throw new InvalidSettingsException(key + " is missing or not an object");
     }
 
     private static InetSocketAddress address(String key, String text) {
         InetSocketAddress address = Section.parseAddress(text);
         if (address == null) {
-            throw new SettingsError(key + " is not an IPv4 address and port: " + Messages.sanitize(text));
+            throw new InvalidSettingsException(key + " is not an IPv4 address and port: " + Messages.sanitize(text));
         }
         return address;
     }
@@ -87,7 +87,7 @@
         try {
             return Long.parseUnsignedLong(text, HEX_RADIX);
         } catch (NumberFormatException e) {
-            throw new SettingsError("seed is not a hexadecimal number: " + Messages.sanitize(text));
+            throw new InvalidSettingsException("seed is not a hexadecimal number: " + Messages.sanitize(text));
         }
     }
 
@@ -95,6 +95,6 @@
         if (value instanceof Number n && n.doubleValue() >= MIN_SOCKETS && n.doubleValue() <= 1e6) {
             return n.intValue();
         }
-        throw new SettingsError("limits.sockets is missing or not within " + MIN_SOCKETS + " to 1000000");
+        throw new InvalidSettingsException("limits.sockets is missing or not within " + MIN_SOCKETS + " to 1000000");
     }
 }
--- a/src/main/java/rowanmoor/platform/PlatformController.java
+++ b/src/main/java/rowanmoor/platform/PlatformController.java
@@ -15,8 +15,8 @@
 import rowanmoor.ControlApi.Action;
 import rowanmoor.ControlApi.Applied;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Log;
 import rowanmoor.ControlApi.Members;
 import rowanmoor.ControlApi.Probe;
@@ -30,7 +30,7 @@
 import rowanmoor.channel.Frame;
 import rowanmoor.discovery.Prober;
 import rowanmoor.host.Fanout;
-import rowanmoor.host.Turns;
+import rowanmoor.host.TickRunner;
 import rowanmoor.net.Bound;
 import rowanmoor.net.Connection;
 import rowanmoor.net.Loop;
@@ -70,7 +70,7 @@
     private final InstanceRegistry instances = new InstanceRegistry();
     private final CatalogView catalogView;
     private final Fanout fanout;
-    private final Turns turns;
+    private final TickRunner turns;
     private final Translator translator;
     private final CatalogClient catalog;
     private final Prober prober;
@@ -108,8 +108,8 @@
         this.messages = new Messages(config.parsedSettings());
         this.catalogView = new CatalogView(config.parsedSettings(), instances);
         this.fanout = new Fanout(settings.classes().size());
-        this.turns = new Turns(settings, config.seed(), System::nanoTime);
-        this.ticks = new Ticks(loop, config.parsedSettings().tick(), this::runTick, turns::nextAt);
+        this.turns = new TickRunner(settings, config.seed(), System::nanoTime);
+        this.ticks = new Ticks(loop, config.parsedSettings().tick(), this::runTick, turns::nextTickAt);
         this.translator = new Translator(config.parsedSettings().classes(), instances, fanout);
         this.listener = loop.listen(config.listenAddress(), Connection.Options.usual()
                 .bound(new Bound(MAX_QUEUED_BYTES, MAX_QUEUED_MESSAGES, Bound.Policy.CLOSE)), c -> accept());
@@ -117,8 +117,8 @@
         this.prober = new Prober(loop, config.parsedSettings().columns().isEmpty() ? "/ping" : "/_load",
                 PROBE_TIMEOUT_NS, MAX_CONCURRENT_PROBES, instances::address,
                 response -> parseLoadReport(response.body()), probed -> {
-                    if (fanout.knows(probed.backend())) {
-                        turns.hearProbe(probed);
+                    if (fanout.isKnown(probed.backend())) {
+                        turns.onProbeResult(probed);
                         ticks.soon();
                     }
                 });
@@ -127,7 +127,7 @@
             loop.after(STATE_LOG_PERIOD_NS, this::writeStateLog);
         }
         applyKnownInstances();
-        if (!settings.mustAsk()) {
+        if (!settings.catalogOnRequest()) {
             catalog.follow();
         }
         ticks.soon();
@@ -146,7 +146,7 @@
             applyCatalogObject(config.knownInstances(), true);
         } catch (IOException e) {
             log.accept("known instances of the configuration not used: " + e.getMessage());
-            turns.hearList(new Members(ListKind.CACHED, 0, List.of()));
+            turns.onCatalog(new Members(CatalogUpdateKind.CACHED, 0, List.of()));
         }
     }
 
@@ -217,7 +217,7 @@
             if (ack.proxy() != peer.number() || !peer.acknowledge(ack.mark())) {
                 throw new MalformedMessageException("ack node or nonce: not this stream's");
             }
-            turns.hearStream(new Applied(ack.proxy(), ack.mark(), ack.latency()));
+            turns.onStreamEvent(new Applied(ack.proxy(), ack.mark(), ack.latency()));
             ticks.soon();
         } else {
             handleReport(peer, message);
@@ -241,7 +241,7 @@
         peer.assignRole(Peer.Role.PROXY, hello.proxy());
         proxies.put(hello.proxy(), peer);
         fanout.join(hello.proxy());
-        turns.hearStream(new ProxyJoined(hello.proxy(), hello.zone(), hello.rate(), hello.fresh()));
+        turns.onStreamEvent(new ProxyJoined(hello.proxy(), hello.zone(), hello.rate(), hello.fresh()));
         ticks.soon();
     }
 
@@ -261,7 +261,7 @@
         }
         if (message instanceof Message.Outcomes o) {
             Backend backend = instances.find(o.instance());
-            if (backend == null || !fanout.knows(backend)) {
+            if (backend == null || !fanout.isKnown(backend)) {
                 throw new MalformedMessageException(
                         "outcomes endpoint: unknown: " + Messages.sanitize(o.instance()));
             }
@@ -270,9 +270,9 @@
             if (stateLog != null) {
                 stateLog.record(tally);
             }
-            turns.hearReport(tally);
+            turns.onReport(tally);
         } else if (message instanceof Message.Demand d) {
-            turns.hearReport(new Usage(d.proxy(), d.cls(), d.requests(), d.failed(), d.span()));
+            turns.onReport(new Usage(d.proxy(), d.cls(), d.requests(), d.failed(), d.span()));
         }
         ticks.soon();
     }
@@ -303,7 +303,7 @@
     private void removeProxy(Peer peer) {
         if (proxies.remove(peer.number(), peer)) {
             fanout.leave(peer.number());
-            turns.hearStream(new ProxyLeft(peer.number()));
+            turns.onStreamEvent(new ProxyLeft(peer.number()));
             ticks.soon();
         }
     }
@@ -326,16 +326,16 @@
         problems.forEach(p -> logProblem("catalog: " + p));
         if (members != null) {
             log.accept("catalog: " + members.kind() + " " + members.version() + ": " + countByState(members));
-            fanout.hearList(members);
-            turns.hearList(members);
+            fanout.onCatalog(members);
+            turns.onCatalog(members);
             ticks.soon();
         }
     }
 
     /** The number of entries in each state, to log a list of any length in one line. */
     private static String countByState(Members members) {
-        TreeMap<Listed, Integer> counts = new TreeMap<>();
-        members.entries().forEach(m -> counts.merge(m.listed(), 1, Integer::sum));
+        TreeMap<Availability, Integer> counts = new TreeMap<>();
+        members.entries().forEach(m -> counts.merge(m.availability(), 1, Integer::sum));
         return counts.toString();
     }
 
@@ -343,11 +343,11 @@
     public boolean onWatchLost(String why) {
         logProblem("catalog: watch over: " + why);
         checkConfigFile.run(); // the catalog may have moved
-        if (settings.mustAsk()) {
-            turns.hearList(new Members(ListKind.FAILED, catalogView.generation(), List.of()));
+        if (settings.catalogOnRequest()) {
+            turns.onCatalog(new Members(CatalogUpdateKind.FAILED, catalogView.generation(), List.of()));
             ticks.soon();
         }
-        return !settings.mustAsk();
+        return !settings.catalogOnRequest();
     }
 
     /** Applies a new configuration: only the catalog's address; all other changes need a restart. */
@@ -359,17 +359,17 @@
     // ---- ticks ---------------------------------------------------------------------------------------
 
     private void runTick(long now) {
-        Turns.Turn turn = turns.turn(now);
+        TickRunner.TickResult turn = turns.runTick(now);
         if (turn != null) {
             decisionCount++;
-            decisionTimeNs += turn.took();
-            maxDecisionTimeNs = Math.max(maxDecisionTimeNs, turn.took());
+            decisionTimeNs += turn.decisionTime();
+            maxDecisionTimeNs = Math.max(maxDecisionTimeNs, turn.decisionTime());
             execute(turn.actions());
         }
     }
 
     private void execute(List<Action> actions) {
-        fanout.messages(actions).forEach(this::sendOrders);
+        fanout.ordersByProxy(actions).forEach(this::sendOrders);
         for (Action action : actions) {
             if (action instanceof Probe a) {
                 prober.probe(a.backend());
@@ -377,7 +377,7 @@
                 catalog.follow();
             } else if (action instanceof Log a) {
                 log.accept(instances.withInstanceIds(a.text()));
-            } else if (action instanceof Withdraw a && !a.out() && !fanout.knows(a.backend())) {
+            } else if (action instanceof Withdraw a && !a.withdrawn() && !fanout.isKnown(a.backend())) {
                 catalogView.forget(a.backend());
             }
         }
@@ -391,7 +391,7 @@
                     peer.addPendingMark(mark.number());
                 }
             }
-            orderedLines += settings.channel().head();
+            orderedLines += settings.channel().messageOverhead();
             for (List<String> part : translator.pushMessages(proxy, orders)) {
                 orderedLines += Translator.lineCount(part);
                 send(proxy, part);
@@ -400,7 +400,7 @@
     }
 
     private void writeStateLog() {
-        stateLog.write(turns.beliefs(loop.now()), fanout.picks());
+        stateLog.write(turns.backendEstimates(loop.now()), fanout.pickShares());
         loop.after(STATE_LOG_PERIOD_NS, this::writeStateLog);
     }
 
@@ -423,7 +423,7 @@
 
     /** Size of the largest map of backends, to detect leaks. */
     int trackedCount() {
-        return Math.max(Math.max(instances.size(), catalogView.trackedCount()), fanout.backendsKnown());
+        return Math.max(Math.max(instances.size(), catalogView.trackedCount()), fanout.knownBackendCount());
     }
 
     /** Bytes queued for a joined proxy. */
--- a/src/main/java/rowanmoor/platform/Rehearsal.java
+++ b/src/main/java/rowanmoor/platform/Rehearsal.java
@@ -59,7 +59,7 @@
             ((Map<String, Object>) entry).put("hostPort", "127.0.0.1:" + backend.getPort());
         }
         PlatformConfig config = new PlatformConfig("rehearsal", LOOPBACK, catalog, 1, 256, known,
-                SettingsReader.ofTree((Map<String, Object>) script.get("settings")));
+                SettingsReader.fromTree((Map<String, Object>) script.get("settings")));
         PlatformController controller = new PlatformController(config, loop, System::currentTimeMillis,
                 log::log, () -> { });
         for (int proxy = 0; proxy < PROXY_COUNT; proxy++) {
--- a/src/main/java/rowanmoor/platform/Translator.java
+++ b/src/main/java/rowanmoor/platform/Translator.java
@@ -60,10 +60,10 @@
                         levels.put(c, l)));
                 bind.withdrawn().forEach(b -> ejections.put(b, true));
             } else if (order instanceof Frame.SetLine line) {
-                partFor(parts, fanout.classesOn(proxy, line.table())).lines
+                partFor(parts, fanout.boundClasses(proxy, line.table())).lines
                         .put(line.line().backend(), line.line().weight());
             } else if (order instanceof Frame.Admit admit) {
-                forEachClass(fanout.classesOn(proxy, admit.table()) & admit.level().classMask(), c ->
+                forEachClass(fanout.boundClasses(proxy, admit.table()) & admit.level().classMask(), c ->
                         levels.put(c, admit.level()));
             } else if (order instanceof Frame.Withdraw withdraw) {
                 ejections.put(withdraw.backend(), withdraw.withdrawn());
--- a/src/test/java/rowanmoor/platform/CatalogViewTest.java
+++ b/src/test/java/rowanmoor/platform/CatalogViewTest.java
@@ -16,8 +16,8 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
 
@@ -47,21 +47,21 @@
 
     @Test
     void fullListsChangesAndRemovals() throws IOException {
-        assertEquals(ListKind.CACHED, view.apply(START_NS, WALL_MS,
+        assertEquals(CatalogUpdateKind.CACHED, view.apply(START_NS, WALL_MS,
                 catalogObject(4, true, List.of(inService("s-1"), inService("s-2"))), true, problems).kind());
         assertEquals(4, view.generation());
         Members change = apply(5, false, instance("s-1", "north", "terminating", 0, HOST_PORT));
-        assertEquals(ListKind.DELTA, change.kind());
-        assertEquals(Listed.DRAINING, change.entries().get(0).listed());
+        assertEquals(CatalogUpdateKind.DELTA, change.kind());
+        assertEquals(Availability.DRAINING, change.entries().get(0).availability());
         assertNull(apply(6, false, instance("s-1", "north", "terminating", 0, HOST_PORT)), "nothing changed");
-        assertEquals(Listed.GONE, apply(7, false, instance("s-1", "north", "terminated", 0, HOST_PORT)).entries().get(0)
-                .listed());
+        assertEquals(Availability.GONE, apply(7, false, instance("s-1", "north", "terminated", 0, HOST_PORT)).entries().get(0)
+                .availability());
         Members full = apply(8, true, inService("s-3"));
-        assertEquals(ListKind.FULL, full.kind());
+        assertEquals(CatalogUpdateKind.FULL, full.kind());
         assertEquals(1, full.entries().size(), "the decision module treats instances missing from a full list as gone");
         assertNull(apply(9, true, inService("s-3")), "the same list again");
         assertThrows(IOException.class, () -> apply(3, false, inService("s-1")), "changes of an older version");
-        assertEquals(ListKind.FULL, apply(2, true, inService("s-1")).kind(), "a full list may have an older version");
+        assertEquals(CatalogUpdateKind.FULL, apply(2, true, inService("s-1")).kind(), "a full list may have an older version");
         assertEquals(2, view.generation());
     }
 
@@ -103,11 +103,11 @@
         assertNull(older, "nothing is undone: " + older);
         assertEquals(5, view.generation(), "the next watch continues from the list's version");
         assertNull(apply(6, false, instance("s-1", "north", "terminating", 0, HOST_PORT)), "the same drain again");
-        assertEquals(Listed.READY, apply(7, false, inService("s-1")).entries().get(0).listed(),
+        assertEquals(Availability.READY, apply(7, false, inService("s-1")).entries().get(0).availability(),
                 "a newer version may undo the drain");
         apply(8, false, instance("s-1", "north", "terminated", 0, HOST_PORT));
-        assertEquals(Listed.READY, apply(4, true, instance("s-1", "north", "in_service", WALL_MS - 500, HOST_PORT),
-                inService("s-2"), inService("s-3")).entries().get(0).listed(), "restarted since");
+        assertEquals(Availability.READY, apply(4, true, instance("s-1", "north", "in_service", WALL_MS - 500, HOST_PORT),
+                inService("s-2"), inService("s-3")).entries().get(0).availability(), "restarted since");
     }
 
     @Test
@@ -122,7 +122,7 @@
         assertThrows(IOException.class, () -> view.apply(START_NS + 6 * SECOND, WALL_MS, empty, false, problems),
                 "a change in between restarts the hold");
         Members gone = view.apply(START_NS + 12 * SECOND, WALL_MS, empty, false, problems);
-        assertEquals(ListKind.FULL, gone.kind());
+        assertEquals(CatalogUpdateKind.FULL, gone.kind());
         assertEquals(List.of(), gone.entries());
     }
 
--- a/src/test/java/rowanmoor/platform/InMemoryPlatform.java
+++ b/src/test/java/rowanmoor/platform/InMemoryPlatform.java
@@ -14,11 +14,11 @@
 import rowanmoor.net.Handler;
 import rowanmoor.net.Loop;
 import rowanmoor.net.MemoryNet;
-import rowanmoor.resp.RespError;
+import rowanmoor.resp.RespException;
 import rowanmoor.resp.RespReader;
 import rowanmoor.resp.RespWriter;
 import rowanmoor.settings.SettingsReader;
-import rowanmoor.settings.SettingsReader.Told;
+import rowanmoor.settings.SettingsReader.NamedSettings;
 
 /**
  * A controller with catalog, backends and peers on an in-memory network whose clock the test advances. Peers can
@@ -63,8 +63,8 @@
         }
     }
 
-    static Told parsedSettings() {
-        return SettingsReader.ofTree(parseJson(SETTINGS));
+    static NamedSettings parsedSettings() {
+        return SettingsReader.fromTree(parseJson(SETTINGS));
     }
 
     /** One entry of a catalog object. */
@@ -222,7 +222,7 @@
     /** One connection to the controller, which acknowledges pushes once it has joined. */
     final class FakePeer implements Handler {
         final List<List<String>> messages = new ArrayList<>();
-        private final RespReader reader = new RespReader(RespReader.MESSAGE_MOST, 64);
+        private final RespReader reader = new RespReader(RespReader.MAX_MESSAGE_BYTES, 64);
         final Connection connection;
         Close closeReason;
 
@@ -254,7 +254,7 @@
                         send("ack node " + nodeId + " nonce " + m.get(mark + 1) + " latency 12.5");
                     }
                 }
-            } catch (RespError e) {
+            } catch (RespException e) {
                 throw new AssertionError(e);
             }
         }
--- a/src/test/java/rowanmoor/platform/PlatformConfigTest.java
+++ b/src/test/java/rowanmoor/platform/PlatformConfigTest.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rowanmoor.ControlApi.Effect;
+import rowanmoor.ControlApi.Idempotency;
 
 /** A missing or invalid setting is named in a one-line error, and the controller does not start. */
 class PlatformConfigTest {
@@ -40,9 +40,9 @@
         assertEquals(8500, config.catalogAddress().getPort());
         assertEquals(256, config.maxSockets());
         assertEquals(2, config.parsedSettings().settings().classes().size());
-        assertEquals(Effect.UNSAFE, config.parsedSettings().settings().classes().get(1).effect());
-        assertTrue(config.parsedSettings().settings().classes().get(1).write());
-        assertEquals(0, config.parsedSettings().settings().columns().queue());
+        assertEquals(Idempotency.UNSAFE, config.parsedSettings().settings().classes().get(1).idempotency());
+        assertTrue(config.parsedSettings().settings().classes().get(1).mutating());
+        assertEquals(0, config.parsedSettings().settings().reportColumns().queue());
         assertEquals("pay", config.parsedSettings().classes().get(1));
         assertEquals(5_000_000, config.parsedSettings().tick());
     }
