--- a/src/main/java/rowanmoor/discovery/RosterResponse.java
+++ b/src/main/java/rowanmoor/discovery/RosterResponse.java
@@ -83,8 +83,8 @@
         for (JsonNode tag : service.path("Tags")) {
             draining |= tag.asText().equals("draining");
         }
-        return new Entry(backend, zone, kind, cell, draining ? Availability.DRAINING : Availability.READY, weight,
-                startedAtMs, complete);
+        return new Entry(backend, zone, kind, cell,
+                draining ? Availability.DRAINING : Availability.READY, weight, startedAtMs, complete);
     }
 
     static Backend toBackend(InetSocketAddress address) {
--- a/src/main/java/rowanmoor/discovery/RosterView.java
+++ b/src/main/java/rowanmoor/discovery/RosterView.java
@@ -90,12 +90,14 @@
         boolean first = !answered;
         answered = true;
         if (indexWentBack || first) {
-            List<Member> present = members.values().stream().filter(m -> m.availability() != Availability.GONE).toList();
-            return new Result(new Members(indexWentBack ? CatalogUpdateKind.CACHED : CatalogUpdateKind.FULL, ++version,
-                    present), index, true);
+            List<Member> present = members.values().stream()
+                    .filter(m -> m.availability() != Availability.GONE).toList();
+            return new Result(new Members(indexWentBack ? CatalogUpdateKind.CACHED : CatalogUpdateKind.FULL,
+                    ++version, present), index, true);
         }
         boolean report = firstOfWatch || !changes.isEmpty();
-        return new Result(report ? new Members(CatalogUpdateKind.DELTA, ++version, changes) : null, index, true);
+        return new Result(report ? new Members(CatalogUpdateKind.DELTA, ++version, changes) : null, index,
+                true);
     }
 
     private List<Member> applyEntries(long now, long wallMs, RosterResponse response) {
--- a/src/main/java/rowanmoor/platform/BackendStateLog.java
+++ b/src/main/java/rowanmoor/platform/BackendStateLog.java
@@ -34,16 +34,19 @@
     }
 
     /** Writes one line per backend and starts a new period. */
-    void write(List<BackendEstimate> beliefs, TreeMap<Backend, Double> picks) {
+    void write(List<BackendEstimate> estimates, TreeMap<Backend, Double> picks) {
         double totalPicks = Math.max(1e-9, picks.values().stream().mapToDouble(w -> w).sum());
         double totalTries = Math.max(1, reported.values().stream().mapToLong(s -> s[0]).sum());
-        for (BackendEstimate b : beliefs) {
-            long[] sums = reported.getOrDefault(b.backend(), new long[2]);
-            log.accept(String.format(Locale.ROOT, "belief %s %s%s picks %.3f tried %.3f of %d failed %d"
-                    + " load %.0f ms health %s correction %.2f warmth %.2f judged by %.1f",
-                    instances.id(b.backend()), b.availability(), b.withdrawn() ? " out" : "",
-                    picks.getOrDefault(b.backend(), 0.0) / totalPicks, sums[0] / totalTries, sums[0], sums[1],
-                    b.load() / 1e6, b.health(), b.correction(), b.warmth(), b.tries()));
+        for (BackendEstimate estimate : estimates) {
+            long[] sums = reported.getOrDefault(estimate.backend(), new long[2]);
+            log.accept(String.format(Locale.ROOT, "estimate %s %s%s picks %.3f tried %.3f of %d failed %d"
+                    + " load %.0f ms health %s correction %.2f warmth %.2f smoothed tries %.1f",
+                    instances.id(estimate.backend()), estimate.availability(),
+                    estimate.withdrawn() ? " withdrawn" : "",
+                    picks.getOrDefault(estimate.backend(), 0.0) / totalPicks, sums[0] / totalTries,
+                    sums[0], sums[1],
+                    estimate.load() / 1e6, estimate.health(), estimate.correction(),
+                    estimate.warmth(), estimate.tries()));
         }
         reported.clear();
     }
--- a/src/main/java/rowanmoor/platform/CatalogView.java
+++ b/src/main/java/rowanmoor/platform/CatalogView.java
@@ -38,7 +38,7 @@
     /** A start as the catalog states it, and the same start in this controller's clock in ns. */
     private record StartTime(long startedAtMs, long startedAt) { }
 
-    private final NamedSettings parsedSettings;
+    private final NamedSettings namedSettings;
     private final InstanceRegistry instances;
     private final TreeMap<Backend, Member> members = new TreeMap<>();
     private final Map<Backend, StartTime> startTimes = new HashMap<>();
@@ -46,8 +46,8 @@
     private long newestVersion; // the highest version applied
     private long emptySince = -1; // -1 while the list is not empty
 
-    CatalogView(NamedSettings parsedSettings, InstanceRegistry instances) {
-        this.parsedSettings = parsedSettings;
+    CatalogView(NamedSettings namedSettings, InstanceRegistry instances) {
+        this.namedSettings = namedSettings;
         this.instances = instances;
     }
 
@@ -90,7 +90,7 @@
         List<Member> entries = new ArrayList<>();
         Set<Backend> mentioned = new HashSet<>();
         for (Object rawEntry : rawEntries) {
-            String id = id(rawEntry);
+            String id = validInstanceId(rawEntry);
             if (id == null) {
                 addProblem(problems, "an entry has no valid instanceId");
                 hasUnidentified = true;
@@ -113,8 +113,8 @@
     /** Keeps an instance draining or gone as in a newer version, unless it has been restarted since. */
     private Member keepNewerState(Member member) {
         Member old = members.get(member.backend());
-        boolean undone = old != null && old.availability() != Availability.READY && member.availability() == Availability.READY
-                && old.startedAt() == member.startedAt();
+        boolean undone = old != null && old.availability() != Availability.READY
+                && member.availability() == Availability.READY && old.startedAt() == member.startedAt();
         return undone ? old : member;
     }
 
@@ -138,11 +138,11 @@
                 }
             }
         }
-        return same ? null : new Members(known ? CatalogUpdateKind.CACHED : CatalogUpdateKind.FULL, generation,
-                List.copyOf(entries));
+        return same ? null : new Members(known ? CatalogUpdateKind.CACHED : CatalogUpdateKind.FULL,
+                generation, List.copyOf(entries));
     }
 
-    private static String id(Object instance) {
+    private static String validInstanceId(Object instance) {
         return instance instanceof Map<?, ?> entry && entry.get("instanceId") instanceof String id
                 && id.matches("[!-~&&[^,:]]{1,200}") ? id : null;
     }
@@ -151,8 +151,8 @@
         Backend backend = instances.register(id);
         Member old = members.get(backend);
         Availability listed = LIFECYCLES.get(entry.get("lifecycle"));
-        int zone = parsedSettings.zones().indexOf(entry.get("zone"));
-        int kind = parsedSettings.kinds().indexOf(entry.get("machineType"));
+        int zone = namedSettings.zones().indexOf(entry.get("zone"));
+        int kind = namedSettings.kinds().indexOf(entry.get("machineType"));
         double weight = entry.get("weight") instanceof Number n ? n.doubleValue() : 1;
         double cell = entry.get("cell") instanceof Number n ? n.doubleValue() : 0;
         double started = entry.get("startedAtMs") instanceof Number n ? n.doubleValue() : 0;
@@ -170,7 +170,7 @@
             return old;
         }
         return new Member(backend, zone, kind, (int) cell, listed, weight,
-                startedAt(now, wallMs, backend, (long) started));
+                toControllerClock(now, wallMs, backend, (long) started));
     }
 
     private static void addProblem(List<String> problems, String problem) {
@@ -183,7 +183,7 @@
      * Converts a start time to this controller's clock. The same stated time always yields the same result,
      * even if the wall clock has been adjusted since. At least 1, since 0 means "long ago".
      */
-    private long startedAt(long now, long wallMs, Backend backend, long startedAtMs) {
+    private long toControllerClock(long now, long wallMs, Backend backend, long startedAtMs) {
         if (startedAtMs == 0) {
             startTimes.remove(backend);
             return 0;
--- a/src/main/java/rowanmoor/platform/ConfigFile.java
+++ b/src/main/java/rowanmoor/platform/ConfigFile.java
@@ -38,11 +38,11 @@
     }
 
     /**
-     * Reads the file at startup.
+     * Reads the file and remembers its fingerprint.
      *
      * @throws IOException if it is missing or invalid
      */
-    synchronized PlatformConfig readInitial() throws IOException {
+    synchronized PlatformConfig read() throws IOException {
         lastRead = fingerprint();
         return PlatformConfig.read(env);
     }
@@ -50,7 +50,7 @@
     /** Reads the file unconditionally; of concurrent callers, the last to read is the last to deliver. */
     synchronized void reload() {
         try {
-            onConfig.accept(readInitial());
+            onConfig.accept(read());
         } catch (IOException | IllegalArgumentException e) {
             log.accept("configuration kept as it was: " + e.getMessage());
         }
--- a/src/main/java/rowanmoor/platform/Messages.java
+++ b/src/main/java/rowanmoor/platform/Messages.java
@@ -23,10 +23,10 @@
             "q", "queue", "rif", "inflight", "busy", "util",
             "lat_ms", "latency_ms", "rate", "qps", "fail_rate", "eps");
 
-    private final NamedSettings parsedSettings;
+    private final NamedSettings namedSettings;
 
-    Messages(NamedSettings parsedSettings) {
-        this.parsedSettings = parsedSettings;
+    Messages(NamedSettings namedSettings) {
+        this.namedSettings = namedSettings;
     }
 
     /** Parses one message of at least one part; throws if the kind is unknown or a field is invalid. */
@@ -45,9 +45,9 @@
         Fields fields = new Fields(kind, values);
         return switch (kind) {
             case "probe" -> new Message.Probe();
-            case "agent" -> new Message.Agent(fields.indexIn("locality", parsedSettings.zones()));
+            case "agent" -> new Message.Agent(fields.indexIn("locality", namedSettings.zones()));
             case "hello" -> new Message.Hello(fields.proxy(),
-                    fields.indexIn("locality", parsedSettings.zones()),
+                    fields.indexIn("locality", namedSettings.zones()),
                     fields.decimal("w", MAX_REQUESTS_PER_SECOND), fields.integer("cold", 1) == 1);
             case "ack" -> new Message.Ack(fields.proxy(), (int) fields.integer("nonce", MARK_COUNT - 1),
                     fields.durationNs("latency"));
@@ -62,16 +62,16 @@
         long failed = fields.integer("errors", tries);
         long latency = tries > failed || fields.has("rtt") ? fields.durationNs("rtt") : 0;
         List<Double> load = fields.has("metrics")
-                ? parseLoad(fields.kind, fields.text("metrics"), ":", parsedSettings.columns()) : List.of();
+                ? parseLoad(fields.kind, fields.text("metrics"), ":", namedSettings.columns()) : List.of();
         return new Message.Outcomes(fields.text("endpoint"),
-                fields.indexIn("locality", parsedSettings.zones()), tries, failed,
+                fields.indexIn("locality", namedSettings.zones()), tries, failed,
                 tries > failed ? latency : 0, fields.intervalNs(), load);
     }
 
     private Message demand(Fields fields) throws MalformedMessageException {
         long requests = fields.integer("total", MAX_COUNT);
         // Not bounded by the total: a request may arrive in one interval and fail in the next.
-        return new Message.Demand(fields.proxy(), fields.indexIn("route", parsedSettings.classes()), requests,
+        return new Message.Demand(fields.proxy(), fields.indexIn("route", namedSettings.classes()), requests,
                 fields.integer("errors", MAX_COUNT), fields.intervalNs());
     }
 
@@ -165,7 +165,7 @@
         }
 
         int proxy() throws MalformedMessageException {
-            return (int) integer("node", parsedSettings.settings().proxies() - 1);
+            return (int) integer("node", namedSettings.settings().proxies() - 1);
         }
 
         int indexIn(String field, List<String> names) throws MalformedMessageException {
--- a/src/main/java/rowanmoor/platform/PlatformConfig.java
+++ b/src/main/java/rowanmoor/platform/PlatformConfig.java
@@ -20,7 +20,7 @@
  * @param knownInstances the last known list of instances, in the catalog's format; may be empty
  */
 record PlatformConfig(String name, InetSocketAddress listenAddress, InetSocketAddress catalogAddress,
-        long seed, int maxSockets, Map<String, Object> knownInstances, NamedSettings parsedSettings) {
+        long seed, int maxSockets, Map<String, Object> knownInstances, NamedSettings namedSettings) {
 
     private static final int MIN_SOCKETS = 64;
     private static final int HEX_RADIX = 16;
@@ -78,7 +78,8 @@
     private static InetSocketAddress address(String key, String text) {
         InetSocketAddress address = Section.parseAddress(text);
         if (address == null) {
-            throw new InvalidSettingsException(key + " is not an IPv4 address and port: " + Messages.sanitize(text));
+            throw new InvalidSettingsException(
+                    key + " is not an IPv4 address and port: " + Messages.sanitize(text));
         }
         return address;
     }
@@ -87,7 +88,8 @@
         try {
             return Long.parseUnsignedLong(text, HEX_RADIX);
         } catch (NumberFormatException e) {
-            throw new InvalidSettingsException("seed is not a hexadecimal number: " + Messages.sanitize(text));
+            throw new InvalidSettingsException(
+                    "seed is not a hexadecimal number: " + Messages.sanitize(text));
         }
     }
 
@@ -95,6 +97,7 @@
         if (value instanceof Number n && n.doubleValue() >= MIN_SOCKETS && n.doubleValue() <= 1e6) {
             return n.intValue();
         }
-        throw new InvalidSettingsException("limits.sockets is missing or not within " + MIN_SOCKETS + " to 1000000");
+        throw new InvalidSettingsException(
+                "limits.sockets is missing or not within " + MIN_SOCKETS + " to 1000000");
     }
 }
--- a/src/main/java/rowanmoor/platform/PlatformController.java
+++ b/src/main/java/rowanmoor/platform/PlatformController.java
@@ -70,7 +70,7 @@
     private final InstanceRegistry instances = new InstanceRegistry();
     private final CatalogView catalogView;
     private final Fanout fanout;
-    private final TickRunner turns;
+    private final TickRunner tickRunner;
     private final Translator translator;
     private final CatalogClient catalog;
     private final Prober prober;
@@ -88,7 +88,7 @@
     private long decisionCount;
     private long decisionTimeNs;
     private long maxDecisionTimeNs;
-    private double orderedLines;
+    private double sentLines;
 
     /**
      * Starts to listen; connections are served once the loop runs.
@@ -104,21 +104,21 @@
         this.wallClock = wallClock;
         this.log = log;
         this.checkConfigFile = checkConfigFile;
-        this.settings = config.parsedSettings().settings();
-        this.messages = new Messages(config.parsedSettings());
-        this.catalogView = new CatalogView(config.parsedSettings(), instances);
+        this.settings = config.namedSettings().settings();
+        this.messages = new Messages(config.namedSettings());
+        this.catalogView = new CatalogView(config.namedSettings(), instances);
         this.fanout = new Fanout(settings.classes().size());
-        this.turns = new TickRunner(settings, config.seed(), System::nanoTime);
-        this.ticks = new Ticks(loop, config.parsedSettings().tick(), this::runTick, turns::nextTickAt);
-        this.translator = new Translator(config.parsedSettings().classes(), instances, fanout);
+        this.tickRunner = new TickRunner(settings, config.seed(), System::nanoTime);
+        this.ticks = new Ticks(loop, config.namedSettings().tick(), this::runTick, tickRunner::nextTickAt);
+        this.translator = new Translator(config.namedSettings().classes(), instances, fanout);
         this.listener = loop.listen(config.listenAddress(), Connection.Options.usual()
                 .bound(new Bound(MAX_QUEUED_BYTES, MAX_QUEUED_MESSAGES, Bound.Policy.CLOSE)), c -> accept());
         this.catalog = new CatalogClient(loop, config.catalogAddress(), config.seed(), this);
-        this.prober = new Prober(loop, config.parsedSettings().columns().isEmpty() ? "/ping" : "/_load",
+        this.prober = new Prober(loop, config.namedSettings().columns().isEmpty() ? "/ping" : "/_load",
                 PROBE_TIMEOUT_NS, MAX_CONCURRENT_PROBES, instances::address,
                 response -> parseLoadReport(response.body()), probed -> {
                     if (fanout.isKnown(probed.backend())) {
-                        turns.onProbeResult(probed);
+                        tickRunner.onProbeResult(probed);
                         ticks.soon();
                     }
                 });
@@ -146,14 +146,14 @@
             applyCatalogObject(config.knownInstances(), true);
         } catch (IOException e) {
             log.accept("known instances of the configuration not used: " + e.getMessage());
-            turns.onCatalog(new Members(CatalogUpdateKind.CACHED, 0, List.of()));
+            tickRunner.onCatalog(new Members(CatalogUpdateKind.CACHED, 0, List.of()));
         }
     }
 
     private List<Double> parseLoadReport(byte[] body) {
         try {
             return Messages.parseLoad("load report", new String(body, StandardCharsets.UTF_8).trim(), "=",
-                    config.parsedSettings().columns());
+                    config.namedSettings().columns());
         } catch (MalformedMessageException e) {
             malformedCount++;
             logProblem(e.getMessage());
@@ -217,7 +217,7 @@
             if (ack.proxy() != peer.number() || !peer.acknowledge(ack.mark())) {
                 throw new MalformedMessageException("ack node or nonce: not this stream's");
             }
-            turns.onStreamEvent(new Applied(ack.proxy(), ack.mark(), ack.latency()));
+            tickRunner.onStreamEvent(new Applied(ack.proxy(), ack.mark(), ack.latency()));
             ticks.soon();
         } else {
             handleReport(peer, message);
@@ -241,7 +241,7 @@
         peer.assignRole(Peer.Role.PROXY, hello.proxy());
         proxies.put(hello.proxy(), peer);
         fanout.join(hello.proxy());
-        turns.onStreamEvent(new ProxyJoined(hello.proxy(), hello.zone(), hello.rate(), hello.fresh()));
+        tickRunner.onStreamEvent(new ProxyJoined(hello.proxy(), hello.zone(), hello.rate(), hello.fresh()));
         ticks.soon();
     }
 
@@ -270,9 +270,9 @@
             if (stateLog != null) {
                 stateLog.record(tally);
             }
-            turns.onReport(tally);
+            tickRunner.onReport(tally);
         } else if (message instanceof Message.Demand d) {
-            turns.onReport(new Usage(d.proxy(), d.cls(), d.requests(), d.failed(), d.span()));
+            tickRunner.onReport(new Usage(d.proxy(), d.cls(), d.requests(), d.failed(), d.span()));
         }
         ticks.soon();
     }
@@ -303,7 +303,7 @@
     private void removeProxy(Peer peer) {
         if (proxies.remove(peer.number(), peer)) {
             fanout.leave(peer.number());
-            turns.onStreamEvent(new ProxyLeft(peer.number()));
+            tickRunner.onStreamEvent(new ProxyLeft(peer.number()));
             ticks.soon();
         }
     }
@@ -327,7 +327,7 @@
         if (members != null) {
             log.accept("catalog: " + members.kind() + " " + members.version() + ": " + countByState(members));
             fanout.onCatalog(members);
-            turns.onCatalog(members);
+            tickRunner.onCatalog(members);
             ticks.soon();
         }
     }
@@ -344,7 +344,7 @@
         logProblem("catalog: watch over: " + why);
         checkConfigFile.run(); // the catalog may have moved
         if (settings.catalogOnRequest()) {
-            turns.onCatalog(new Members(CatalogUpdateKind.FAILED, catalogView.generation(), List.of()));
+            tickRunner.onCatalog(new Members(CatalogUpdateKind.FAILED, catalogView.generation(), List.of()));
             ticks.soon();
         }
         return !settings.catalogOnRequest();
@@ -359,12 +359,12 @@
     // ---- ticks ---------------------------------------------------------------------------------------
 
     private void runTick(long now) {
-        TickRunner.TickResult turn = turns.runTick(now);
-        if (turn != null) {
+        TickRunner.TickResult result = tickRunner.runTick(now);
+        if (result != null) {
             decisionCount++;
-            decisionTimeNs += turn.decisionTime();
-            maxDecisionTimeNs = Math.max(maxDecisionTimeNs, turn.decisionTime());
-            execute(turn.actions());
+            decisionTimeNs += result.decisionTime();
+            maxDecisionTimeNs = Math.max(maxDecisionTimeNs, result.decisionTime());
+            execute(result.actions());
         }
     }
 
@@ -391,16 +391,16 @@
                     peer.addPendingMark(mark.number());
                 }
             }
-            orderedLines += settings.channel().messageOverhead();
+            sentLines += settings.channel().messageOverhead();
             for (List<String> part : translator.pushMessages(proxy, orders)) {
-                orderedLines += Translator.lineCount(part);
+                sentLines += Translator.lineCount(part);
                 send(proxy, part);
             }
         }
     }
 
     private void writeStateLog() {
-        stateLog.write(turns.backendEstimates(loop.now()), fanout.pickShares());
+        stateLog.write(tickRunner.backendEstimates(loop.now()), fanout.pickShares());
         loop.after(STATE_LOG_PERIOD_NS, this::writeStateLog);
     }
 
@@ -443,7 +443,7 @@
         Runtime runtime = Runtime.getRuntime();
         log.accept("stats: " + proxies.size() + " proxies, " + unjoined.size() + " unjoined, "
                 + openConnections + " open, " + instances.size() + " instances, " + catalogView.trackedCount()
-                + " listed, " + malformedCount + " malformed, " + Math.round(orderedLines) + " lines sent, "
+                + " listed, " + malformedCount + " malformed, " + Math.round(sentLines) + " lines sent, "
                 + rejectedCount + " rejected, " + decisionCount + " decisions, mean "
                 + decisionTimeNs / Math.max(1, decisionCount) / 1000 + " us, max "
                 + maxDecisionTimeNs / 1000 + " us, heap "
@@ -451,7 +451,7 @@
         decisionCount = 0;
         decisionTimeNs = 0;
         maxDecisionTimeNs = 0;
-        orderedLines = 0;
+        sentLines = 0;
         loop.after(STATS_PERIOD_NS, this::logStats);
     }
 }
--- a/src/main/java/rowanmoor/platform/PlatformServer.java
+++ b/src/main/java/rowanmoor/platform/PlatformServer.java
@@ -22,7 +22,7 @@
             loop[0] = Loop.onSockets(cause -> logFault(log, cause));
             PlatformController[] controller = new PlatformController[1];
             ConfigFile file = new ConfigFile(env, c -> loop[0].post(() -> controller[0].reload(c)), log::log);
-            controller[0] = new PlatformController(file.readInitial(), loop[0], System::currentTimeMillis,
+            controller[0] = new PlatformController(file.read(), loop[0], System::currentTimeMillis,
                     log::log, file::checkForChange);
             onSignal("HUP", file::reload);
             // Ends at once: proxies reconnect to another controller by themselves, and there is no state to
--- a/src/test/java/rowanmoor/discovery/RosterViewTest.java
+++ b/src/test/java/rowanmoor/discovery/RosterViewTest.java
@@ -36,8 +36,8 @@
 
     @Test
     void firstResponseIsAFullListAndLaterOnesAreChanges() {
-        assertEquals(CatalogUpdateKind.FULL, eventFor(NOW, 5, response(entry(1, Availability.READY, 0), entry(2, Availability.READY, 0)))
-                .kind());
+        assertEquals(CatalogUpdateKind.FULL, eventFor(NOW, 5,
+                response(entry(1, Availability.READY, 0), entry(2, Availability.READY, 0))).kind());
         assertNull(eventFor(NOW, 6, response(entry(1, Availability.READY, 0), entry(2, Availability.READY, 0))));
         Members changed = eventFor(NOW, 7, response(entry(2, Availability.DRAINING, 0), entry(3, Availability.READY, 0)));
         assertEquals(CatalogUpdateKind.DELTA, changed.kind());
--- a/src/test/java/rowanmoor/platform/CatalogViewTest.java
+++ b/src/test/java/rowanmoor/platform/CatalogViewTest.java
@@ -28,7 +28,7 @@
     private static final long SECOND = 1_000_000_000L;
 
     private final InstanceRegistry registry = new InstanceRegistry();
-    private final CatalogView view = new CatalogView(InMemoryPlatform.parsedSettings(), registry);
+    private final CatalogView view = new CatalogView(InMemoryPlatform.namedSettings(), registry);
     private final List<String> problems = new ArrayList<>();
 
     private Members apply(long generation, boolean reset, Map<?, ?>... entries) throws IOException {
@@ -130,7 +130,7 @@
     void startSecondsBeforeTheControllersStartIsRecent() throws IOException {
         Member started = apply(1, true, instance("s-1", "north", "in_service", WALL_MS - 3000, HOST_PORT)).entries().get(0);
         assertEquals(START_NS - 3 * SECOND, started.startedAt());
-        assertTrue(InMemoryPlatform.parsedSettings().settings().rules().warmth(started.startedAt(), START_NS) < 0.5, "cold");
+        assertTrue(InMemoryPlatform.namedSettings().settings().rules().warmth(started.startedAt(), START_NS) < 0.5, "cold");
         assertEquals(0, apply(2, false, inService("s-2")).entries().get(0).startedAt(), "0 means long ago");
         assertEquals(START_NS, apply(3, false, instance("s-3", "north", "in_service", WALL_MS + 900, HOST_PORT)).entries()
                 .get(0).startedAt(), "never in the future");
--- a/src/test/java/rowanmoor/platform/InMemoryPlatform.java
+++ b/src/test/java/rowanmoor/platform/InMemoryPlatform.java
@@ -63,7 +63,7 @@
         }
     }
 
-    static NamedSettings parsedSettings() {
+    static NamedSettings namedSettings() {
         return SettingsReader.fromTree(parseJson(SETTINGS));
     }
 
@@ -158,7 +158,7 @@
     InMemoryPlatform start(int sockets, Map<String, Object> known) {
         try {
             controller = new PlatformController(new PlatformConfig("n1", LOOPBACK, catalog.address, 7, sockets, known,
-                    parsedSettings()), loop, () -> WALL_MS + (net.now() - START_NS) / MS, log::add, () -> { });
+                    namedSettings()), loop, () -> WALL_MS + (net.now() - START_NS) / MS, log::add, () -> { });
         } catch (java.io.IOException e) {
             throw new AssertionError(e);
         }
--- a/src/test/java/rowanmoor/platform/MessagesTest.java
+++ b/src/test/java/rowanmoor/platform/MessagesTest.java
@@ -15,7 +15,7 @@
     private static final String OUTCOMES =
             "outcomes locality south endpoint s-1 total 212 errors 3 rtt 41.7 interval 1000.0 metrics queue:7,latency_ms:0.6";
 
-    private final Messages messages = new Messages(InMemoryPlatform.parsedSettings());
+    private final Messages messages = new Messages(InMemoryPlatform.namedSettings());
 
     private Message parse(String message) throws MalformedMessageException {
         return messages.parse(List.of(message.split(" ")));
--- a/src/test/java/rowanmoor/platform/PlatformConfigTest.java
+++ b/src/test/java/rowanmoor/platform/PlatformConfigTest.java
@@ -39,12 +39,12 @@
         assertEquals(3000, config.listenAddress().getPort());
         assertEquals(8500, config.catalogAddress().getPort());
         assertEquals(256, config.maxSockets());
-        assertEquals(2, config.parsedSettings().settings().classes().size());
-        assertEquals(Idempotency.UNSAFE, config.parsedSettings().settings().classes().get(1).idempotency());
-        assertTrue(config.parsedSettings().settings().classes().get(1).mutating());
-        assertEquals(0, config.parsedSettings().settings().reportColumns().queue());
-        assertEquals("pay", config.parsedSettings().classes().get(1));
-        assertEquals(5_000_000, config.parsedSettings().tick());
+        assertEquals(2, config.namedSettings().settings().classes().size());
+        assertEquals(Idempotency.UNSAFE, config.namedSettings().settings().classes().get(1).idempotency());
+        assertTrue(config.namedSettings().settings().classes().get(1).mutating());
+        assertEquals(0, config.namedSettings().settings().reportColumns().queue());
+        assertEquals("pay", config.namedSettings().classes().get(1));
+        assertEquals(5_000_000, config.namedSettings().tick());
     }
 
     @Test
--- a/src/test/java/rowanmoor/platform/PlatformControllerTest.java
+++ b/src/test/java/rowanmoor/platform/PlatformControllerTest.java
@@ -140,7 +140,7 @@
         InMemoryPlatform.FakeCatalog other = platform.new FakeCatalog(InMemoryPlatform.LOOPBACK);
         other.firstLine = ""; // sends no line yet
         PlatformConfig moved = new PlatformConfig("n1", InMemoryPlatform.LOOPBACK, other.address, 7, 256,
-                catalogObject(1, true, List.of()), InMemoryPlatform.parsedSettings());
+                catalogObject(1, true, List.of()), InMemoryPlatform.namedSettings());
         platform.controller.reload(moved);
         runFor(100 * MS);
         assertEquals(1, platform.catalog.watches.size(), "the old watch is still open");
@@ -164,7 +164,7 @@
         for (int ms = 0; ms < 600; ms += 20) {
             InMemoryPlatform moved = new InMemoryPlatform(3 + ms).start();
             moved.controller.reload(new PlatformConfig("n1", InMemoryPlatform.LOOPBACK, later, 7, 256,
-                    catalogObject(1, true, List.of()), InMemoryPlatform.parsedSettings()));
+                    catalogObject(1, true, List.of()), InMemoryPlatform.namedSettings()));
             moved.net.runFor(5 * SECOND + ms * MS); // connections are refused; the old watch stays open
             assertEquals(1, moved.catalog.watches.size());
             moved.catalog.watches.get(0).reset("gone");
--- a/src/test/java/rowanmoor/platform/RandomDisconnectTest.java
+++ b/src/test/java/rowanmoor/platform/RandomDisconnectTest.java
@@ -127,7 +127,7 @@
             InetSocketAddress address = target < 2 ? catalogs.get(target).address
                     : new InetSocketAddress(InMemoryPlatform.LOOPBACK.getAddress(), 9);
             platform.controller.reload(new PlatformConfig("n1", InMemoryPlatform.LOOPBACK, address, 7, 64,
-                    catalogObject(1, true, List.of()), InMemoryPlatform.parsedSettings()));
+                    catalogObject(1, true, List.of()), InMemoryPlatform.namedSettings()));
         }
 
         void verify(String name) {
--- a/src/test/java/rowanmoor/platform/SocketPlatform.java
+++ b/src/test/java/rowanmoor/platform/SocketPlatform.java
@@ -65,7 +65,7 @@
     }
 
     static PlatformConfig config(InetSocketAddress catalog, int sockets, Map<String, Object> known) {
-        return new PlatformConfig("n1", InMemoryPlatform.LOOPBACK, catalog, 7, sockets, known, InMemoryPlatform.parsedSettings());
+        return new PlatformConfig("n1", InMemoryPlatform.LOOPBACK, catalog, 7, sockets, known, InMemoryPlatform.namedSettings());
     }
 
     /** Calls something on the loop's thread and returns its result. */
