--- a/src/main/java/rowanmoor/discovery/LoadColumns.java
+++ b/src/main/java/rowanmoor/discovery/LoadColumns.java
@@ -5,7 +5,11 @@
 import java.util.Map;
 import rowanmoor.http.Orca;
 
-/** The metrics of a load report that are passed on to the decision module, in their order. */
+/**
+ * The metrics of a load report that are passed on to the decision module.
+ *
+ * @param names column names as in the settings, in the order in which their values are passed on
+ */
 public record LoadColumns(List<String> names) {
 
     private static final Map<String, String> ORCA_NAMES = Map.of(
--- a/src/main/java/rowanmoor/platform/PlatformController.java
+++ b/src/main/java/rowanmoor/platform/PlatformController.java
@@ -173,7 +173,7 @@
         }
     }
 
-    // ---- peers ---------------------------------------------------------------------------------------
+    // ---- peers --------------------------------------------------------------------------------------
 
     private Peer accept() {
         // Genuine peers join at once, so the connection that has been unjoined longest is closed first. Its
@@ -308,7 +308,7 @@
         }
     }
 
-    // ---- catalog -------------------------------------------------------------------------------------
+    // ---- catalog ------------------------------------------------------------------------------------
 
     @Override
     public long generation() {
@@ -356,7 +356,7 @@
         catalog.setAddress(newConfig.catalogAddress());
     }
 
-    // ---- ticks ---------------------------------------------------------------------------------------
+    // ---- ticks --------------------------------------------------------------------------------------
 
     private void runTick(long now) {
         TickRunner.TickResult result = tickRunner.runTick(now);
@@ -404,7 +404,7 @@
         loop.after(STATE_LOG_PERIOD_NS, this::writeStateLog);
     }
 
-    // ---- statistics, for the log and for tests -------------------------------------------------------
+    // ---- statistics, for the log and for tests ------------------------------------------------------
 
     /** Proxies that have joined and not left. */
     int joinedProxies() {
--- a/src/test/java/rowanmoor/platform/InMemoryPlatform.java
+++ b/src/test/java/rowanmoor/platform/InMemoryPlatform.java
@@ -166,7 +166,7 @@
         return this;
     }
 
-    /** A catalog that keeps every watch open and sends what the test tells it to. */
+    /** A catalog that keeps every watch open and sends the lines given by the test. */
     final class FakeCatalog {
         final InetSocketAddress address;
         final List<Connection> watches = new ArrayList<>();
--- a/src/test/java/rowanmoor/platform/PlatformControllerTest.java
+++ b/src/test/java/rowanmoor/platform/PlatformControllerTest.java
@@ -40,7 +40,7 @@
         return peer;
     }
 
-    // ---- serving -------------------------------------------------------------------------------------
+    // ---- serving ------------------------------------------------------------------------------------
 
     @Test
     void answersLivenessProbesAndServesProxies() {
@@ -80,7 +80,7 @@
         assertEquals(6, proxy.table().size());
     }
 
-    // ---- discovery -----------------------------------------------------------------------------------
+    // ---- discovery ----------------------------------------------------------------------------------
 
     @Test
     void drainIsPushedAtOnceAndRevokedWhenTheInstanceReturns() {
@@ -188,7 +188,7 @@
         assertEquals(2, platform.catalog.requestLines.size());
     }
 
-    // ---- streams -------------------------------------------------------------------------------------
+    // ---- streams ------------------------------------------------------------------------------------
 
     @Test
     void secondStreamOfAProxyReplacesTheFirst() {
@@ -336,7 +336,7 @@
         assertFalse(later.pushes().isEmpty());
     }
 
-    // ---- leaks ---------------------------------------------------------------------------------------
+    // ---- leaks --------------------------------------------------------------------------------------
 
     @Test
     void replacedBackendsAndBrokenStreamsLeakNothing() {
--- a/src/test/java/rowanmoor/platform/SocketDisconnectTest.java
+++ b/src/test/java/rowanmoor/platform/SocketDisconnectTest.java
@@ -53,7 +53,7 @@
         return instance("s-" + i, i % 2 == 0 ? "north" : "south", lifecycle, 0, "127.0.0.1:9");
     }
 
-    // ---- peers ---------------------------------------------------------------------------------------
+    // ---- peers --------------------------------------------------------------------------------------
 
     /** Fills the buffers of a proxy's stream until bytes are queued in the controller. */
     private void fillSendBuffers(int proxy) {
@@ -96,6 +96,7 @@
         assertEquals(0, platform.callOnLoop(platform.controller::joinedProxies));
     }
 
+    /** When another controller fails, all its proxies may join here within one turn of the loop. */
     @Test
     void fortyProxiesThatJoinInOneTurnAreAllBound() throws Exception {
         List<SocketPlatform.SocketPeer> proxies = new ArrayList<>();
@@ -133,7 +134,7 @@
         }
     }
 
-    // ---- catalog watch -------------------------------------------------------------------------------
+    // ---- catalog watch ------------------------------------------------------------------------------
 
     @Test
     void watchWhoseResponseEndsIsClosedDespiteKeepAlive() throws Exception {
@@ -177,20 +178,21 @@
         Watch oldWatch = catalog.acceptWatch().sendHead().sendLine("");
         try (ScriptedCatalog other = new ScriptedCatalog()) {
             platform.callOnLoop(() -> {
-                platform.controller.reload(SocketPlatform.config(other.address(), 256, catalogObject(4, true, sixInstances())));
+                platform.controller.reload(
+                        SocketPlatform.config(other.address(), 256, catalogObject(4, true, sixInstances())));
                 return null;
             });
             Watch failing = other.acceptWatch();
             failing.sendRaw("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
             assertTrue(failing.isClosedByController());
-            oldWatch.sendObject(5, false, List.of(numberedInstance(2, "terminating"))); // the old watch is still followed
+            oldWatch.sendObject(5, false, List.of(numberedInstance(2, "terminating"))); // still followed
             Watch established = other.acceptWatch().sendHead();
             established.sendLine("");
             assertTrue(oldWatch.isClosedByController(), "closed once the new watch is established");
         }
     }
 
-    // ---- configuration reload -------------------------------------------------------------------------------------
+    // ---- configuration reload -----------------------------------------------------------------------
 
     private static String configText(ScriptedCatalog at) {
         return "{\"name\":\"n1\",\"discovery\":\"" + at.address().getAddress().getHostAddress() + ":"
