--- a/src/main/java/rowanmoor/platform/CatalogClient.java
+++ b/src/main/java/rowanmoor/platform/CatalogClient.java
@@ -137,7 +137,7 @@
         private void checkSilence() {
             long left = lastReceivedAt + SILENCE_TIMEOUT_NS - loop.now();
             if (left <= 0) {
-                watchEnded(this, "no data within " + SILENCE_TIMEOUT_NS / NS_PER_MS + " ms");
+                watchEnded(this, "silent");
             } else if (lineBuffer.size() > 0 && loop.now() - lineStartedAt > LINE_TIMEOUT_NS) {
                 watchEnded(this, "a line did not end within " + LINE_TIMEOUT_NS / NS_PER_MS + " ms");
             } else {
