--- a/src/main/java/rowanmoor/FleetState.java
+++ b/src/main/java/rowanmoor/FleetState.java
@@ -26,40 +26,40 @@
         double newTries;
         double newFailed;
         double newLatencySum;
-        double newSpan; // seconds
-        double lastFailing;
-        double lastLatency;
-        long restUntil;
-        long trialFrom;
+        double newSpanSeconds; // seconds
+        double lastFailureFraction;
+        double lastLatencyNs;
+        long suspendedUntil;
+        long trialEvaluationAt;
         double health = 1;
 
-        static PathStats[] fresh(int regions) {
+        static PathStats[] newArray(int regions) {
             PathStats[] fresh = new PathStats[regions];
             Arrays.setAll(fresh, r -> new PathStats());
             return fresh;
         }
 
-        void hear(Tally tally) {
+        void add(Tally tally) {
             newTries += tally.tries();
-            newSpan += tally.span() / 1e9;
+            newSpanSeconds += tally.span() / 1e9;
             newFailed += tally.failed();
             newLatencySum += (double) tally.latency() * (tally.tries() - tally.failed());
         }
 
         /** Takes what came since the last round into the smoothed sums; too few tries tell nothing alone. */
-        void learn(double smooth, double enough) {
+        void endRound(double smooth, double enough) {
             double usual = tries < enough ? 0 : failed / tries;
-            lastFailing = newTries < enough / 2 ? usual : newFailed / newTries;
+            lastFailureFraction = newTries < enough / 2 ? usual : newFailed / newTries;
             boolean few = newTries - newFailed < enough / 2;
             double lately = few ? 0 : newLatencySum / (newTries - newFailed);
             tries += newTries - smooth * tries;
             failed += newFailed - smooth * failed;
             latencySum += newLatencySum - smooth * latencySum;
-            lastLatency = few && tries - failed >= enough / 2 ? latencySum / (tries - failed) : lately;
+            lastLatencyNs = few && tries - failed >= enough / 2 ? latencySum / (tries - failed) : lately;
             newTries = 0;
             newFailed = 0;
             newLatencySum = 0;
-            newSpan = 0;
+            newSpanSeconds = 0;
         }
     }
 
@@ -67,23 +67,23 @@
     static final class ProxyState {
         int zone;
         boolean joined;
-        boolean heard;
+        boolean hasReported;
         boolean bound;
-        double present; // its part in the smoothed sums of reports: 0 before its first round, towards 1
+        double presence; // its part in the smoothed sums of reports: 0 before its first round, towards 1
         long leftAt;
         long joinedAt;
         final double[] usage;
-        final double[] newUsage;
-        final double[] newSpan;
-        final double[] silent;
+        final double[] newRequests;
+        final double[] newSpanSeconds;
+        final double[] silentSeconds;
         final Pool[] pools;
-        int messageOf;
+        int lastMessageReply;
 
         ProxyState(int classes, int groups) {
             usage = new double[classes];
-            newUsage = new double[classes];
-            newSpan = new double[classes];
-            silent = new double[classes];
+            newRequests = new double[classes];
+            newSpanSeconds = new double[classes];
+            silentSeconds = new double[classes];
             pools = new Pool[groups];
         }
 
@@ -91,15 +91,15 @@
             zone = itsZone;
             joinedAt = now;
             joined = true;
-            Arrays.fill(newUsage, 0); // what was told late of its time before
-            Arrays.fill(newSpan, 0);
-            heard = false;
+            Arrays.fill(newRequests, 0); // what was told late of its time before
+            Arrays.fill(newSpanSeconds, 0);
+            hasReported = false;
             bound = false;
         }
 
         /** Whether it may hold a line of a backend; of one not bound yet nothing is known. */
         boolean mayHold(Backend backend, boolean boundOnly) {
-            return joined && (bound ? Arrays.stream(pools).anyMatch(p -> p.sent.containsKey(backend))
+            return joined && (bound ? Arrays.stream(pools).anyMatch(p -> p.sentWeights.containsKey(backend))
                     : !boundOnly);
         }
 
@@ -107,39 +107,39 @@
             leftAt = joined ? now : leftAt;
             joined = false;
             for (Pool pool : pools) {
-                pool.users.remove(number);
+                pool.proxies.remove(number);
             }
         }
 
-        void hear(Usage report) {
-            newUsage[report.cls()] += report.requests();
-            newSpan[report.cls()] += report.span() / 1e9;
+        void add(Usage report) {
+            newRequests[report.cls()] += report.requests();
+            newSpanSeconds[report.cls()] += report.span() / 1e9;
         }
 
         /**
          * A round's usage, smoothed: rates by the span that a report states. Where a cycle of all reports
          * takes more than a round, a proxy without a line is unknown, not idle. Times in seconds.
          */
-        void learn(double seconds, double cycle, double smooth) {
+        void endRound(double seconds, double cycle, double smooth) {
             for (int c = 0; c < usage.length; c++) {
-                silent[c] = newUsage[c] > 0 ? 0 : silent[c] + seconds;
-                boolean unknown = cycle > seconds && silent[c] < 2 * cycle;
-                if (newUsage[c] > 0 || !unknown) {
-                    double span = cycle > seconds ? Math.max(seconds, newSpan[c]) : seconds;
+                silentSeconds[c] = newRequests[c] > 0 ? 0 : silentSeconds[c] + seconds;
+                boolean unknown = cycle > seconds && silentSeconds[c] < 2 * cycle;
+                if (newRequests[c] > 0 || !unknown) {
+                    double span = cycle > seconds ? Math.max(seconds, newSpanSeconds[c]) : seconds;
                     double fresh = 1 - Math.pow(1 - smooth, span / seconds);
-                    usage[c] += fresh * (newUsage[c] / span - usage[c]);
+                    usage[c] += fresh * (newRequests[c] / span - usage[c]);
                 }
-                newUsage[c] = 0;
-                newSpan[c] = 0;
+                newRequests[c] = 0;
+                newSpanSeconds[c] = 0;
             }
         }
 
-        void use(int number, Pool pool) {
+        void moveTo(int number, Pool pool) {
             if (pools[pool.group] != null) {
-                pools[pool.group].users.remove(number);
+                pools[pool.group].proxies.remove(number);
             }
             pools[pool.group] = pool;
-            pool.users.put(number, this);
+            pool.proxies.put(number, this);
         }
     }
 
@@ -148,12 +148,12 @@
         final int table;
         final int group;
         final TreeSet<Backend> members = new TreeSet<>();
-        final TreeMap<Backend, Double> sent = new TreeMap<>();
-        final TreeMap<Integer, ProxyState> users = new TreeMap<>();
-        final Map<Integer, Double> levels = new TreeMap<>();
-        ControlApi.Retry retry; // as sent with them
+        final TreeMap<Backend, Double> sentWeights = new TreeMap<>();
+        final TreeMap<Integer, ProxyState> proxies = new TreeMap<>();
+        final Map<Integer, Double> sentLevels = new TreeMap<>();
+        ControlApi.Retry sentRetry; // as sent with them
 
-        final Map<Backend, Integer> holders; // of its set: how many pools hold each backend
+        final Map<Backend, Integer> poolCounts; // of its set: how many pools hold each backend
 
         double demand = 1; // as of the last laying of tables
 
@@ -164,47 +164,47 @@
         private Pool(int table, int group, Map<Backend, Integer> holders) {
             this.table = table;
             this.group = group;
-            this.holders = holders;
+            this.poolCounts = holders;
         }
 
         /** One more pool of the same set. */
         Pool sibling(int itsTable) {
-            return new Pool(itsTable, group, holders);
+            return new Pool(itsTable, group, poolCounts);
         }
 
         void add(Backend backend) {
             if (members.add(backend)) {
-                holders.merge(backend, 1, Integer::sum);
+                poolCounts.merge(backend, 1, Integer::sum);
             }
         }
 
         void remove(Backend backend) {
             if (members.remove(backend)) {
-                holders.computeIfPresent(backend, (b, n) -> n == 1 ? null : n - 1);
+                poolCounts.computeIfPresent(backend, (b, n) -> n == 1 ? null : n - 1);
             }
         }
 
         /** How many pools of its set hold a backend. */
-        int holding(Backend backend) {
-            return holders.getOrDefault(backend, 0);
+        int poolCount(Backend backend) {
+            return poolCounts.getOrDefault(backend, 0);
         }
 
         /** Its members' part of the flows, shared with the pools that hold them too, over its demand. */
-        double supply(Map<Backend, Double> flows) {
-            return members.stream().mapToDouble(b -> flows.getOrDefault(b, 0.0) / holding(b)).sum() / demand;
+        double supplyRatio(Map<Backend, Double> flows) {
+            return members.stream().mapToDouble(b -> flows.getOrDefault(b, 0.0) / poolCount(b)).sum() / demand;
         }
 
-        List<ProxyState> bound() {
-            return users.values().stream().filter(p -> p.bound).toList();
+        List<ProxyState> boundProxies() {
+            return proxies.values().stream().filter(p -> p.bound).toList();
         }
     }
 
     /** A line as it should be and as it was sent. */
-    record Change(Pool pool, Backend backend, double weight, double was) {
+    record WeightChange(Pool pool, Backend backend, double weight, double sentWeight) {
 
         /** How far it is off, relative to the larger of the two. */
-        double size() {
-            return Math.abs(weight - was) / Math.max(1e-9, Math.max(was, weight));
+        double relativeSize() {
+            return Math.abs(weight - sentWeight) / Math.max(1e-9, Math.max(sentWeight, weight));
         }
     }
 
@@ -230,87 +230,87 @@
     static final class SentMark {
         final int number;
         final double linesBefore;
-        final double linesEach;
+        final double linesPerMessage;
         final int messages;
-        int answered;
+        int answers;
 
         SentMark(int number, double linesBefore, double linesEach, int messages) {
             this.messages = messages;
             this.number = number;
             this.linesBefore = linesBefore;
-            this.linesEach = linesEach;
+            this.linesPerMessage = linesEach;
         }
     }
 
     /** Books what the channel was given and, by the marks answered, what has surely left it. */
-    static final class Sent {
-        private static final int MARKS = 65536;
-        private static final int MARKS_KEPT = 4096;
-
-        private final ArrayDeque<SentMark> marks = new ArrayDeque<>();
-        private double sent;
-        private double told; // of that, what marks have told to have left
-        private double assumed; // and what is taken to have left since the last that told more
-        private double reply;
-        int replies = 1;
-        private int messages;
+    static final class ChannelBacklog {
+        private static final int MARK_NUMBERS = 65536;
+        private static final int MAX_PENDING_MARKS = 4096;
+
+        private final ArrayDeque<SentMark> pendingMarks = new ArrayDeque<>();
+        private double sentLines;
+        private double confirmedLines; // of that, what marks have told to have left
+        private double assumedLines; // and what is taken to have left since the last that told more
+        private double replyLines;
+        int replyCount = 1;
+        private int replyMessages;
 
         /** One more order of this reply, with lines of its own; the first for a proxy opens its message. */
-        void book(ProxyState proxy, double lines, double head) {
-            boolean first = proxy.messageOf != replies;
-            proxy.messageOf = replies;
-            messages += first ? 1 : 0;
-            reply += lines + (first ? head : 0);
+        void add(ProxyState proxy, double lines, double head) {
+            boolean first = proxy.lastMessageReply != replyCount;
+            proxy.lastMessageReply = replyCount;
+            replyMessages += first ? 1 : 0;
+            replyLines += lines + (first ? head : 0);
         }
 
         /** The number to mark this reply with, or -1 if it sends nothing. */
         int closeReply() {
-            if (reply == 0) {
+            if (replyLines == 0) {
                 return -1;
             }
-            int number = Math.floorMod(replies++, MARKS);
-            marks.add(new SentMark(number, sent, messages == 0 ? 0 : reply / messages, messages));
-            if (marks.size() > MARKS_KEPT) {
-                marks.poll(); // nobody answers; an answer to a later one counts for it
+            int number = Math.floorMod(replyCount++, MARK_NUMBERS);
+            pendingMarks.add(new SentMark(number, sentLines, replyMessages == 0 ? 0 : replyLines / replyMessages, replyMessages));
+            if (pendingMarks.size() > MAX_PENDING_MARKS) {
+                pendingMarks.poll(); // nobody answers; an answer to a later one counts for it
             }
-            sent += reply;
-            reply = 0;
-            messages = 0;
+            sentLines += replyLines;
+            replyLines = 0;
+            replyMessages = 0;
             return number;
         }
 
-        int marksKept() {
-            return marks.size();
+        int pendingMarkCount() {
+            return pendingMarks.size();
         }
 
         /** Assumed to have left, until a mark tells: a channel may run slower still than is assumed. */
-        void drain(double lines) {
-            assumed = Math.min(sent - told, assumed + lines);
+        void assumeSent(double lines) {
+            assumedLines = Math.min(sentLines - confirmedLines, assumedLines + lines);
         }
 
         /**
          * A mark answered: all before it has left, and so has its part of the reply. Which messages of the
          * reply these were is not known, so that one is held back until the last has answered.
          */
-        void applied(int mark) {
-            if (marks.stream().anyMatch(m -> m.number == mark)) {
-                while (marks.peek().number != mark) {
-                    marks.poll();
+        void markApplied(int mark) {
+            if (pendingMarks.stream().anyMatch(m -> m.number == mark)) {
+                while (pendingMarks.peek().number != mark) {
+                    pendingMarks.poll();
                 }
-                SentMark first = marks.peek();
-                first.answered++;
-                int left = first.answered >= first.messages ? first.messages : first.answered - 1;
-                double by = first.linesBefore + first.linesEach * left;
-                if (by > told) {
-                    told = by;
-                    assumed = 0;
+                SentMark first = pendingMarks.peek();
+                first.answers++;
+                int left = first.answers >= first.messages ? first.messages : first.answers - 1;
+                double by = first.linesBefore + first.linesPerMessage * left;
+                if (by > confirmedLines) {
+                    confirmedLines = by;
+                    assumedLines = 0;
                 }
             }
         }
 
         /** The most lines that may still be in the channel, this reply's among them. */
-        double waiting() {
-            return sent - told - assumed + reply;
+        double waitingLines() {
+            return sentLines - confirmedLines - assumedLines + replyLines;
         }
     }
 
--- a/src/test/java/rowanmoor/RecordMeasure.java
+++ b/src/test/java/rowanmoor/DecisionBenchmark.java
@@ -9,9 +9,9 @@
 import rowanmoor.ControlApi.Members;
 
 /** Measured by hand, not in CI: the record and the time of a decision with all proxies held, and growth. */
-final class RecordMeasure {
+final class DecisionBenchmark {
 
-    private RecordMeasure() { }
+    private DecisionBenchmark() { }
 
     public static void main(String[] args) {
         held(100);
@@ -21,23 +21,23 @@
     }
 
     private static void held(int rounds) {
-        Stand stand = new Stand(TestSettings.large(364)).startAtOnce(120, 364).settle();
+        PolicyHarness stand = new PolicyHarness(TestSettings.large(364)).startInOneBatch(120, 364).advanceUntilBound();
         double[] took = new double[rounds];
         long lines = 0;
         long chars = 0;
         for (int i = 0; i < rounds; i++) {
             boolean calm = i < 8;
             for (int p = 0; p < 364; p++) {
-                stand.usage(p, 0, 12);
+                stand.reportUsage(p, 0, 12);
             }
             long before = System.nanoTime();
-            stand.report(120, 2, b -> calm ? 0 : 3, b -> calm ? 100 * TestSettings.MS : 700 * TestSettings.MS);
+            stand.reportRound(120, 2, b -> calm ? 0 : 3, b -> calm ? 100 * TestSettings.MS : 700 * TestSettings.MS);
             took[i] = (System.nanoTime() - before) / 1e3;
-            for (var action : stand.last) {
+            for (var action : stand.lastActions) {
                 lines += action instanceof Log ? 1 : 0;
                 chars += action instanceof Log log ? log.text().length() : 0;
             }
-            stand.all.clear();
+            stand.allActions.clear();
         }
         Arrays.sort(took);
         System.out.printf(Locale.ROOT, "364 proxies held, %d rounds: %.3f log lines a round, %.0f characters a round; "
@@ -46,18 +46,18 @@
     }
 
     private static void replaced(int machines) {
-        Stand stand = new Stand(TestSettings.plain()).start(4, 2);
+        PolicyHarness stand = new PolicyHarness(TestSettings.plain()).start(4, 2);
         double last = 0;
         for (int i = 4; i < machines + 4; i++) {
             stand.now += 4 * TestSettings.SECOND;
             long before = System.nanoTime();
-            stand.hear(new Members(ListKind.DELTA, i, List.of(Stand.member(i - 4, i % 2, Listed.GONE, 0),
-                    Stand.member(i, i % 2, Listed.READY, 0))));
-            stand.second();
+            stand.handle(new Members(ListKind.DELTA, i, List.of(PolicyHarness.member(i - 4, i % 2, Listed.GONE, 0),
+                    PolicyHarness.member(i, i % 2, Listed.READY, 0))));
+            stand.advanceOneSecond();
             last += i >= machines - 96 ? (System.nanoTime() - before) / 1e3 / 100 : 0;
-            stand.all.clear();
+            stand.allActions.clear();
         }
-        long lines = stand.tables.get(stand.bound.get(0).get(0)).values().stream().filter(w -> w > 0).count();
+        long lines = stand.tables.get(stand.boundTables.get(0).get(0)).values().stream().filter(w -> w > 0).count();
         System.out.printf(Locale.ROOT, "%d machines replaced: %d lines a table, the last hundred changes %.0f us each%n",
                 machines, lines, last);
     }
--- a/src/test/java/rowanmoor/DocsTest.java
+++ b/src/test/java/rowanmoor/DocsTest.java
@@ -60,25 +60,25 @@
 
     /** What the module logs through a day with a sick backend, an overload, a loss and a return. */
     private static String emitted() {
-        Stand stand = new Stand(TestSettings.plain()).start(8, 4);
+        PolicyHarness stand = new PolicyHarness(TestSettings.plain()).start(8, 4);
         for (int i = 0; i < 4; i++) {
-            stand.report(8, 2, b -> b == 2 ? 9 : 0, b -> 100 * MS);
+            stand.reportRound(8, 2, b -> b == 2 ? 9 : 0, b -> 100 * MS);
         }
         for (int i = 0; i < 50; i++) {
             boolean calm = i >= 8;
             for (int p = 0; p < 4; p++) {
-                stand.usage(p, 0, 50);
+                stand.reportUsage(p, 0, 50);
             }
-            stand.report(8, 2, b -> calm ? 0 : 4, b -> calm ? 100 * MS : 900 * MS);
+            stand.reportRound(8, 2, b -> calm ? 0 : 4, b -> calm ? 100 * MS : 900 * MS);
         }
-        stand.hear(new Members(ListKind.DELTA, 2, List.of(Stand.member(3, 1, Listed.GONE, 0))));
-        stand.second();
-        stand.hear(new Members(ListKind.DELTA, 3, List.of(Stand.member(3, 1, Listed.READY, stand.now))));
+        stand.handle(new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(3, 1, Listed.GONE, 0))));
+        stand.advanceOneSecond();
+        stand.handle(new Members(ListKind.DELTA, 3, List.of(PolicyHarness.member(3, 1, Listed.READY, stand.now))));
         for (int i = 0; i < 10; i++) {
-            stand.second();
+            stand.advanceOneSecond();
         }
         StringBuilder text = new StringBuilder();
-        stand.all.stream().filter(Log.class::isInstance).forEach(a ->
+        stand.allActions.stream().filter(Log.class::isInstance).forEach(a ->
                 text.append(((Log) a).text()).append('\n'));
         return text.toString();
     }
--- a/src/test/java/rowanmoor/LimitsTest.java
+++ b/src/test/java/rowanmoor/LimitsTest.java
@@ -13,7 +13,7 @@
 /** Where the decision module is, and the width of source lines. */
 class LimitsTest {
 
-    private static final int WIDTH_MOST = 110;
+    private static final int MAX_LINE_LENGTH = 110;
 
     @Test
     void decisionModuleHasCode() throws IOException {
@@ -28,7 +28,7 @@
             for (Path file : files.filter(f -> f.toString().endsWith(".java")).toList()) {
                 List<String> lines = Files.readAllLines(file);
                 for (int i = 0; i < lines.size(); i++) {
-                    assertTrue(lines.get(i).length() <= WIDTH_MOST, file + " line " + (i + 1));
+                    assertTrue(lines.get(i).length() <= MAX_LINE_LENGTH, file + " line " + (i + 1));
                 }
             }
         }
--- a/src/test/java/rowanmoor/ArithmeticTest.java
+++ b/src/test/java/rowanmoor/NumericEdgeCasesTest.java
@@ -19,25 +19,25 @@
 import rowanmoor.ControlApi.SetLine;
 
 /** Totals, levels and the lease at the edges of their arithmetic. */
-class ArithmeticTest {
+class NumericEdgeCasesTest {
 
     private static final long HOUR = 3600 * SECOND;
 
-    private final Stand stand = new Stand(TestSettings.plain());
+    private final PolicyHarness stand = new PolicyHarness(TestSettings.plain());
 
     /** Rounds in which four proxies ask 15 and 5 a second of the two classes. */
     private void rounds(int count, int failedOf10, long latency) {
         for (int i = 0; i < count; i++) {
             for (int proxy = 0; proxy < 4; proxy++) {
-                stand.usage(proxy, 0, 15);
-                stand.usage(proxy, 1, 5);
+                stand.reportUsage(proxy, 0, 15);
+                stand.reportUsage(proxy, 1, 5);
             }
-            stand.report(4, 2, b -> failedOf10, b -> latency);
+            stand.reportRound(4, 2, b -> failedOf10, b -> latency);
         }
     }
 
     private void allFinite() {
-        for (ControlApi.Action action : stand.all) {
+        for (ControlApi.Action action : stand.allActions) {
             double figure = action instanceof Admit a ? a.level() : action instanceof SetLine l ? l.weight() : 0;
             assertTrue(Double.isFinite(figure) && figure >= 0, action.toString());
         }
@@ -67,15 +67,15 @@
     void oneCalmReportAfterHoursOfSilenceCountsAsOneCalmRound() {
         double[] levels = new double[2];
         for (int silent = 0; silent < 2; silent++) {
-            Stand its = new Stand(TestSettings.plain()).start(4, 4);
+            PolicyHarness its = new PolicyHarness(TestSettings.plain()).start(4, 4);
             for (int i = 0; i < 18; i++) {
                 for (int proxy = 0; proxy < 4; proxy++) {
-                    its.usage(proxy, 0, 15);
-                    its.usage(proxy, 1, 5);
+                    its.reportUsage(proxy, 0, 15);
+                    its.reportUsage(proxy, 1, 5);
                 }
                 boolean calm = i < 5 || i == 17;
                 its.now += i == 17 ? silent * HOUR : 0;
-                its.report(4, 2, b -> calm ? 0 : 5, b -> calm ? 100 * MS : 700 * MS);
+                its.reportRound(4, 2, b -> calm ? 0 : 5, b -> calm ? 100 * MS : 700 * MS);
             }
             levels[silent] = its.level(0, 0);
         }
@@ -97,10 +97,10 @@
         stand.start(4, 4);
         rounds(8, 10, 0);
         for (int i = 0; i < 40; i++) {
-            stand.report(4, 2, b -> 0, b -> 100 * MS); // nobody asks
+            stand.reportRound(4, 2, b -> 0, b -> 100 * MS); // nobody asks
         }
-        stand.usage(0, 0, 15);
-        stand.second();
+        stand.reportUsage(0, 0, 15);
+        stand.advanceOneSecond();
         assertTrue(stand.level(0, 0) > 1000, "level " + stand.level(0, 0));
     }
 
@@ -111,15 +111,15 @@
         double before = stand.level(0, 0);
         for (int i = 0; i < 10; i++) {
             for (int proxy = 0; proxy < 4; proxy++) {
-                stand.usage(proxy, 0, 15);
-                stand.usage(proxy, 1, 5);
+                stand.reportUsage(proxy, 0, 15);
+                stand.reportUsage(proxy, 1, 5);
             }
             for (int b = 0; b < 4; b++) {
-                stand.logic.handle(stand.now, new ControlApi.Tally(Stand.backend(b), 0, 1, 1, 0, SECOND, List.of()));
+                stand.policy.handle(stand.now, new ControlApi.Tally(PolicyHarness.backend(b), 0, 1, 1, 0, SECOND, List.of()));
             }
-            stand.second();
+            stand.advanceOneSecond();
         }
-        assertTrue(stand.all.stream().noneMatch(a -> a instanceof ControlApi.Log l
+        assertTrue(stand.allActions.stream().noneMatch(a -> a instanceof ControlApi.Log l
                 && l.text().startsWith("overload ends")), "no calm was seen");
         assertTrue(stand.level(0, 0) < before + 1, "from " + before + " to " + stand.level(0, 0));
     }
@@ -128,28 +128,28 @@
     void noProxyAndNoBackendAtAll() {
         stand.start(0, 0);
         for (int i = 0; i < 5; i++) {
-            stand.second();
+            stand.advanceOneSecond();
         }
-        stand.hear(new ProxyJoined(0, 0, 20, true));
-        stand.second();
-        stand.hear(new Members(ListKind.FULL, 2, List.of(Stand.member(0, 0, Listed.READY, 0))));
-        stand.second();
+        stand.handle(new ProxyJoined(0, 0, 20, true));
+        stand.advanceOneSecond();
+        stand.handle(new Members(ListKind.FULL, 2, List.of(PolicyHarness.member(0, 0, Listed.READY, 0))));
+        stand.advanceOneSecond();
         allFinite();
         assertEquals(1, stand.share(0, 0, 0), 1e-9);
     }
 
     @Test
     void oneClassAndAListOnlyAfterTheFirstJoin() {
-        Stand one = new Stand(TestSettings.with(List.of(TestSettings.spec(ControlApi.Effect.SAFE, 1,
+        PolicyHarness one = new PolicyHarness(TestSettings.with(List.of(TestSettings.spec(ControlApi.Effect.SAFE, 1,
                 java.util.Set.of())), false, 0, 0));
-        one.hear(new ProxyJoined(0, 0, 20, true));
-        one.second();
-        one.hear(new Members(ListKind.FULL, 1, List.of(Stand.member(0, 0, Listed.READY, 0),
-                Stand.member(1, 1, Listed.READY, 0))));
+        one.handle(new ProxyJoined(0, 0, 20, true));
+        one.advanceOneSecond();
+        one.handle(new Members(ListKind.FULL, 1, List.of(PolicyHarness.member(0, 0, Listed.READY, 0),
+                PolicyHarness.member(1, 1, Listed.READY, 0))));
         for (int i = 0; i < 20; i++) {
             boolean calm = i < 6;
-            one.usage(0, 0, 60);
-            one.report(2, 2, b -> calm ? 0 : 3, b -> calm ? 100 * MS : 700 * MS);
+            one.reportUsage(0, 0, 60);
+            one.reportRound(2, 2, b -> calm ? 0 : 3, b -> calm ? 100 * MS : 700 * MS);
         }
         assertEquals(1, one.share(0, 0, 0) + one.share(0, 0, 1), 1e-9);
         assertTrue(one.level(0, 0) > 6 && one.level(0, 0) < 60, "level " + one.level(0, 0));
@@ -161,13 +161,13 @@
         rounds(3, 0, 100 * MS);
         rounds(8, 3, 700 * MS);
         for (int proxy = 0; proxy < 4; proxy++) {
-            stand.hear(new ProxyLeft(proxy));
+            stand.handle(new ProxyLeft(proxy));
         }
         stand.now += HOUR;
-        stand.report(4, 2, b -> 0, b -> 100 * MS);
-        stand.hear(new ProxyJoined(9, 0, 20, true));
-        stand.usage(9, 0, 5);
-        stand.report(4, 2, b -> 0, b -> 100 * MS);
+        stand.reportRound(4, 2, b -> 0, b -> 100 * MS);
+        stand.handle(new ProxyJoined(9, 0, 20, true));
+        stand.reportUsage(9, 0, 5);
+        stand.reportRound(4, 2, b -> 0, b -> 100 * MS);
         allFinite();
         assertTrue(stand.level(9, 0) > 1000, "level " + stand.level(9, 0));
     }
@@ -177,9 +177,9 @@
         stand.start(4, 1);
         for (int i = 0; i < 12; i++) {
             int failed = i < 5 ? 0 : 1;
-            stand.usage(0, 0, 60);
-            stand.usage(0, 1, 20);
-            stand.report(4, 2, b -> failed, b -> failed == 0 ? 100 * MS : 700 * MS);
+            stand.reportUsage(0, 0, 60);
+            stand.reportUsage(0, 1, 20);
+            stand.reportRound(4, 2, b -> failed, b -> failed == 0 ? 100 * MS : 700 * MS);
         }
         allFinite();
         assertTrue(stand.level(0, 0) > 6 && stand.level(0, 0) < 60, "level " + stand.level(0, 0));
@@ -189,11 +189,11 @@
     void backendsWhoseWeightsAreAllZeroAreUsedAlike() {
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            members.add(new Member(Stand.backend(i), i % 2, 0, 0, Listed.READY, 0, 0));
+            members.add(new Member(PolicyHarness.backend(i), i % 2, 0, 0, Listed.READY, 0, 0));
         }
-        stand.hear(new Members(ListKind.FULL, 1, members));
-        stand.hear(new ProxyJoined(0, 0, 20, true));
-        stand.second();
+        stand.handle(new Members(ListKind.FULL, 1, members));
+        stand.handle(new ProxyJoined(0, 0, 20, true));
+        stand.advanceOneSecond();
         allFinite();
         assertEquals(1, stand.share(0, 0, 0) + stand.share(0, 0, 1) + stand.share(0, 0, 2) + stand.share(0, 0, 3),
                 1e-6);
@@ -212,13 +212,13 @@
     void aReportThatComesAfterItsProxyLeftIsNotCountedWhenItReturns() {
         FleetState.ProxyState proxy = new FleetState.ProxyState(2, 0);
         proxy.join(0, 0);
-        proxy.hear(new ControlApi.Usage(1, 0, 10, 0, SECOND));
+        proxy.add(new ControlApi.Usage(1, 0, 10, 0, SECOND));
         proxy.leave(1, SECOND);
-        proxy.hear(new ControlApi.Usage(1, 0, 10, 0, SECOND));
+        proxy.add(new ControlApi.Usage(1, 0, 10, 0, SECOND));
         proxy.join(1, 0);
-        assertEquals(0, proxy.newUsage[0]);
-        assertEquals(0, proxy.newSpan[0]);
-        assertFalse(proxy.heard);
+        assertEquals(0, proxy.newRequests[0]);
+        assertEquals(0, proxy.newSpanSeconds[0]);
+        assertFalse(proxy.hasReported);
     }
 
     @Test
@@ -227,9 +227,9 @@
         rounds(3, 0, 100 * MS);
         rounds(4, 1, 700 * MS);
         double before = stand.level(0, 0);
-        stand.hear(new ProxyLeft(3));
+        stand.handle(new ProxyLeft(3));
         stand.now += SECOND;
-        stand.hear(new ProxyJoined(3, 0, 20, false));
+        stand.handle(new ProxyJoined(3, 0, 20, false));
         rounds(1, 1, 700 * MS);
         assertEquals(before, stand.level(0, 0), 0.3 * before, "its zone is another, its part the same");
     }
@@ -238,16 +238,16 @@
     void theLeaseEndsAtItsEdgeAndNotBefore() {
         double[] levels = new double[2];
         for (int late = 0; late < 2; late++) {
-            Stand its = new Stand(TestSettings.plain()).start(4, 4);
+            PolicyHarness its = new PolicyHarness(TestSettings.plain()).start(4, 4);
             for (int i = 0; i < 22; i++) {
                 boolean calm = i < 5;
                 for (int proxy = 0; proxy < (i < 12 ? 4 : 3); proxy++) {
-                    its.usage(proxy, 0, 20);
+                    its.reportUsage(proxy, 0, 20);
                 }
                 if (i == 12) { // ten rounds follow: the last is 10 s after the leave, or 0.1 s more
-                    its.logic.handle(its.now - late * 100 * MS, new ProxyLeft(3));
+                    its.policy.handle(its.now - late * 100 * MS, new ProxyLeft(3));
                 }
-                its.report(4, 2, b -> calm ? 0 : 3, b -> calm ? 100 * MS : 700 * MS);
+                its.reportRound(4, 2, b -> calm ? 0 : 3, b -> calm ? 100 * MS : 700 * MS);
             }
             levels[late] = its.level(0, 0);
         }
@@ -260,11 +260,11 @@
         rounds(5, 0, 100 * MS);
         for (int i = 0; i < 4000; i++) { // proxy 3 says nothing for over an hour of overload
             for (int proxy = 0; proxy < 3; proxy++) {
-                stand.usage(proxy, 0, 15);
-                stand.usage(proxy, 1, 5);
+                stand.reportUsage(proxy, 0, 15);
+                stand.reportUsage(proxy, 1, 5);
             }
-            stand.report(4, 2, b -> 2, b -> 700 * MS);
-            stand.all.clear();
+            stand.reportRound(4, 2, b -> 2, b -> 700 * MS);
+            stand.allActions.clear();
         }
         rounds(1, 2, 700 * MS);
         allFinite();
--- a/src/test/java/rowanmoor/Stand.java
+++ b/src/test/java/rowanmoor/PolicyHarness.java
@@ -23,22 +23,22 @@
 import rowanmoor.ControlApi.Withdraw;
 
 /** Feeds events to one instance and keeps what its orders amount to. */
-final class Stand {
+final class PolicyHarness {
 
     final Settings settings;
-    final RoutingPolicy logic;
+    final RoutingPolicy policy;
     long now = 1000 * TestSettings.SECOND;
-    final List<Action> all = new ArrayList<>();
+    final List<Action> allActions = new ArrayList<>();
     final Map<Integer, Map<Backend, Double>> tables = new HashMap<>();
-    final Map<Integer, Map<Integer, Integer>> bound = new HashMap<>();
-    final Map<Integer, Map<Integer, Admit>> levels = new HashMap<>();
+    final Map<Integer, Map<Integer, Integer>> boundTables = new HashMap<>();
+    final Map<Integer, Map<Integer, Admit>> sentLevels = new HashMap<>();
     final Map<Backend, Boolean> withdrawn = new HashMap<>();
-    List<Action> last = List.of();
-    private final Map<Integer, Double> lines = new HashMap<>();
+    List<Action> lastActions = List.of();
+    private final Map<Integer, Double> lastLinesByProxy = new HashMap<>();
 
-    Stand(Settings settings) {
+    PolicyHarness(Settings settings) {
         this.settings = settings;
-        this.logic = new RoutingPolicy(settings, 7);
+        this.policy = new RoutingPolicy(settings, 7);
     }
 
     static Backend backend(int i) {
@@ -50,53 +50,53 @@
     }
 
     /** Lists backends 0 to n-1, the even ones in zone 0, and lets proxies join, the even ones from zone 0. */
-    Stand start(int backendCount, int proxyCount) {
+    PolicyHarness start(int backendCount, int proxyCount) {
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < backendCount; i++) {
             members.add(member(i, i % 2, Listed.READY, 0));
         }
-        hear(new Members(ListKind.CACHED, 1, members));
+        handle(new Members(ListKind.CACHED, 1, members));
         for (int p = 0; p < proxyCount; p++) {
-            hear(new ProxyJoined(p, p % 2, 20, true));
+            handle(new ProxyJoined(p, p % 2, 20, true));
         }
         return this;
     }
 
     /** The same, but all proxies join in one batch. */
-    Stand startAtOnce(int backendCount, int proxyCount) {
+    PolicyHarness startInOneBatch(int backendCount, int proxyCount) {
         start(backendCount, 0);
         for (int p = 0; p < proxyCount; p++) {
-            logic.handle(now, new ProxyJoined(p, p % 2, 20, true));
+            policy.handle(now, new ProxyJoined(p, p % 2, 20, true));
         }
         decide();
         return this;
     }
 
-    List<Action> hear(Event... events) {
+    List<Action> handle(Event... events) {
         for (Event event : events) {
-            logic.handle(now, event);
+            policy.handle(now, event);
         }
         return decide();
     }
 
     List<Action> decide() {
-        last = logic.decide(now);
-        all.addAll(last);
-        lines.clear();
-        for (Action action : last) {
-            price(action);
-            take(action);
+        lastActions = policy.decide(now);
+        allActions.addAll(lastActions);
+        lastLinesByProxy.clear();
+        for (Action action : lastActions) {
+            countLines(action);
+            apply(action);
         }
-        return last;
+        return lastActions;
     }
 
-    private void take(Action action) {
+    private void apply(Action action) {
         if (action instanceof SetLine line) {
             tables.computeIfAbsent(line.table(), t -> new HashMap<>()).put(line.backend(), line.weight());
         } else if (action instanceof Bind bind) {
             for (int c = 0; c < settings.classes().size(); c++) {
                 if (bind.classes() == 0 || (bind.classes() >> c & 1) == 1) {
-                    bound.computeIfAbsent(bind.proxy(), p -> new HashMap<>()).put(c, bind.table());
+                    boundTables.computeIfAbsent(bind.proxy(), p -> new HashMap<>()).put(c, bind.table());
                 }
             }
         } else if (action instanceof Withdraw withdraw) {
@@ -104,7 +104,7 @@
         } else if (action instanceof Admit admit) {
             for (int c = 0; c < settings.classes().size(); c++) {
                 if ((admit.classes() >> c & 1) == 1) {
-                    levels.computeIfAbsent(c, k -> new HashMap<>()).put(admit.table(), admit);
+                    sentLevels.computeIfAbsent(c, k -> new HashMap<>()).put(admit.table(), admit);
                 }
             }
         }
@@ -112,7 +112,7 @@
 
     /** The part of a proxy's requests of a class that its table sends to a backend. */
     double share(int proxy, int cls, int i) {
-        Map<Backend, Double> lines = tables.get(bound.get(proxy).get(cls));
+        Map<Backend, Double> lines = tables.get(boundTables.get(proxy).get(cls));
         double sum = lines.entrySet().stream().filter(e -> !withdrawn.getOrDefault(e.getKey(), false))
                 .mapToDouble(Map.Entry::getValue).sum();
         return withdrawn.getOrDefault(backend(i), false) ? 0 : lines.getOrDefault(backend(i), 0.0) / sum;
@@ -120,77 +120,77 @@
 
     /** The lines that the last reply puts into the channel, by the wire's prices. */
     double lastLines() {
-        return lines.values().stream().mapToDouble(n -> n + settings.channel().head() + 1).sum();
+        return lastLinesByProxy.values().stream().mapToDouble(n -> n + settings.channel().head() + 1).sum();
     }
 
     /** The proxies that the last reply writes to. */
-    java.util.Set<Integer> lastTold() {
-        return lines.keySet();
+    java.util.Set<Integer> lastRecipients() {
+        return lastLinesByProxy.keySet();
     }
 
     /** Books an order at each proxy concerned, as the proxies are bound when it is given. */
-    private void price(Action action) {
+    private void countLines(Action action) {
         if (action instanceof Bind bind) {
             double classes = Integer.bitCount(bind.classes());
             Map<Backend, Double> table = tables.getOrDefault(bind.table(), Map.of());
             double shutOut = table.keySet().stream().filter(b -> withdrawn.getOrDefault(b, false)).count();
-            lines.merge(bind.proxy(), 1 + table.size() + shutOut + classes, Double::sum);
+            lastLinesByProxy.merge(bind.proxy(), 1 + table.size() + shutOut + classes, Double::sum);
             return;
         }
         int table = action instanceof SetLine line ? line.table()
                 : action instanceof Admit admit ? admit.table() : -1;
-        bound.forEach((proxy, tablesOf) -> {
+        boundTables.forEach((proxy, tablesOf) -> {
             if (tablesOf.containsValue(table) || action instanceof Withdraw) {
-                lines.merge(proxy, 1.0, Double::sum);
+                lastLinesByProxy.merge(proxy, 1.0, Double::sum);
             }
         });
     }
 
     /** The part of all proxies' requests of a class that goes to a backend, each proxy asking alike. */
-    double partOfAll(int cls, int i) {
-        return bound.keySet().stream().mapToDouble(p -> share(p, cls, i)).average().orElse(0);
+    double meanShare(int cls, int i) {
+        return boundTables.keySet().stream().mapToDouble(p -> share(p, cls, i)).average().orElse(0);
     }
 
     /** The tables that proxies use for a class, each with how many use it. */
     Map<Integer, Long> tablesInUse(int cls) {
-        return bound.values().stream().collect(java.util.stream.Collectors.groupingBy(b -> b.get(cls),
+        return boundTables.values().stream().collect(java.util.stream.Collectors.groupingBy(b -> b.get(cls),
                 java.util.stream.Collectors.counting()));
     }
 
     /** Seconds pass until every proxy is bound. */
-    Stand settle() {
+    PolicyHarness advanceUntilBound() {
         for (int i = 0; i < 20; i++) {
-            second();
+            advanceOneSecond();
         }
         return this;
     }
 
     double level(int proxy, int cls) {
-        return levels.get(cls).get(bound.get(proxy).get(cls)).level();
+        return sentLevels.get(cls).get(boundTables.get(proxy).get(cls)).level();
     }
 
     /** A second passes: marks are answered. */
-    void second() {
-        last.stream().filter(Mark.class::isInstance).map(Mark.class::cast)
-                .forEach(m -> logic.handle(now, new Applied(0, m.number(), TestSettings.SECOND / 5)));
+    void advanceOneSecond() {
+        lastActions.stream().filter(Mark.class::isInstance).map(Mark.class::cast)
+                .forEach(m -> policy.handle(now, new Applied(0, m.number(), TestSettings.SECOND / 5)));
         now += TestSettings.SECOND;
         decide();
     }
 
     /** A second's reports: what each backend's tries came to, then the round. */
-    void report(int backends, int zones, java.util.function.IntToLongFunction failedOf10,
+    void reportRound(int backends, int zones, java.util.function.IntToLongFunction failedOf10,
             java.util.function.IntToLongFunction latency) {
         for (int zone = 0; zone < zones; zone++) {
             for (int i = 0; i < backends; i++) {
-                logic.handle(now, new Tally(backend(i), zone, 10, failedOf10.applyAsLong(i),
+                policy.handle(now, new Tally(backend(i), zone, 10, failedOf10.applyAsLong(i),
                         latency.applyAsLong(i),
                         TestSettings.SECOND, List.of()));
             }
         }
-        second();
+        advanceOneSecond();
     }
 
-    void usage(int proxy, int cls, int requests) {
-        logic.handle(now, new Usage(proxy, cls, requests, 0, TestSettings.SECOND));
+    void reportUsage(int proxy, int cls, int requests) {
+        policy.handle(now, new Usage(proxy, cls, requests, 0, TestSettings.SECOND));
     }
 }
--- a/src/test/java/rowanmoor/LogicTest.java
+++ b/src/test/java/rowanmoor/RoutingPolicyTest.java
@@ -31,15 +31,15 @@
 import rowanmoor.ControlApi.Withdraw;
 
 /** Each test names the failure that it holds against. */
-class LogicTest {
+class RoutingPolicyTest {
 
-    private final Stand stand = new Stand(TestSettings.plain());
+    private final PolicyHarness stand = new PolicyHarness(TestSettings.plain());
 
     @Test
     void aJoiningProxyIsBoundForEveryClassInTheSameReply() {
         stand.start(4, 1);
-        assertTrue(stand.last.stream().anyMatch(Bind.class::isInstance));
-        assertEquals(2, stand.bound.get(0).size());
+        assertTrue(stand.lastActions.stream().anyMatch(Bind.class::isInstance));
+        assertEquals(2, stand.boundTables.get(0).size());
         assertTrue(stand.share(0, 0, 0) > 0);
     }
 
@@ -47,27 +47,27 @@
     void aDrainAlwaysWithdrawsAndAtOnce() {
         stand.start(2, 2);
         stand.now += 50 * MS;
-        stand.hear(new Members(ListKind.DELTA, 2, List.of(Stand.member(1, 1, Listed.DRAINING, 0))));
-        assertTrue(stand.withdrawn.get(Stand.backend(1)));
+        stand.handle(new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(1, 1, Listed.DRAINING, 0))));
+        assertTrue(stand.withdrawn.get(PolicyHarness.backend(1)));
         stand.now += 50 * MS;
-        stand.hear(new Members(ListKind.DELTA, 3, List.of(Stand.member(0, 0, Listed.DRAINING, 0))));
-        assertTrue(stand.withdrawn.get(Stand.backend(0)), "even the last one");
+        stand.handle(new Members(ListKind.DELTA, 3, List.of(PolicyHarness.member(0, 0, Listed.DRAINING, 0))));
+        assertTrue(stand.withdrawn.get(PolicyHarness.backend(0)), "even the last one");
     }
 
     @Test
     void aBackendMissingFromAFullListIsGone() {
         stand.start(3, 2);
-        stand.hear(new Members(ListKind.FULL, 2, List.of(Stand.member(0, 0, Listed.READY, 0),
-                Stand.member(1, 1, Listed.READY, 0))));
-        assertTrue(stand.withdrawn.get(Stand.backend(2)));
+        stand.handle(new Members(ListKind.FULL, 2, List.of(PolicyHarness.member(0, 0, Listed.READY, 0),
+                PolicyHarness.member(1, 1, Listed.READY, 0))));
+        assertTrue(stand.withdrawn.get(PolicyHarness.backend(2)));
     }
 
     @Test
     void aProxyThatJoinsLateMeetsNoWithdrawnBackend() {
         stand.start(4, 2);
-        stand.hear(new Members(ListKind.DELTA, 2, List.of(Stand.member(2, 0, Listed.DRAINING, 0))));
-        stand.second();
-        stand.hear(new ProxyJoined(2, 0, 20, true));
+        stand.handle(new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(2, 0, Listed.DRAINING, 0))));
+        stand.advanceOneSecond();
+        stand.handle(new ProxyJoined(2, 0, 20, true));
         assertEquals(0, stand.share(2, 0, 2));
     }
 
@@ -75,7 +75,7 @@
     void failingHealthNeverEmptiesATable() {
         stand.start(2, 2);
         for (int i = 0; i < 12; i++) {
-            stand.report(2, 2, b -> 10, b -> 0);
+            stand.reportRound(2, 2, b -> 10, b -> 0);
         }
         for (int proxy = 0; proxy < 2; proxy++) {
             assertTrue(stand.share(proxy, 0, 0) + stand.share(proxy, 0, 1) > 0.99);
@@ -87,12 +87,12 @@
     void aFastFailerIsRestedAndTriedAgainGently() {
         stand.start(8, 2);
         for (int i = 0; i < 3; i++) {
-            stand.report(8, 2, b -> b == 2 ? 8 : 0, b -> 100 * MS);
+            stand.reportRound(8, 2, b -> b == 2 ? 8 : 0, b -> 100 * MS);
         }
         assertEquals(0, stand.share(0, 0, 2));
         double onTrial = 0;
         for (int i = 0; i < 8 && onTrial == 0; i++) {
-            stand.report(8, 2, b -> 0, b -> 100 * MS);
+            stand.reportRound(8, 2, b -> 0, b -> 100 * MS);
             onTrial = stand.share(0, 0, 2);
         }
         assertTrue(onTrial > 0 && onTrial < stand.share(0, 0, 4) / 3, "trial share " + onTrial);
@@ -102,10 +102,10 @@
     void allSlowTogetherRestsNone() {
         stand.start(6, 2);
         for (int i = 0; i < 4; i++) {
-            stand.report(6, 2, b -> 0, b -> 100 * MS);
+            stand.reportRound(6, 2, b -> 0, b -> 100 * MS);
         }
         for (int i = 0; i < 8; i++) {
-            stand.report(6, 2, b -> 4, b -> 900 * MS);
+            stand.reportRound(6, 2, b -> 4, b -> 900 * MS);
         }
         for (int b = 0; b < 6; b += 2) {
             assertTrue(stand.share(0, 0, b) > 0.1);
@@ -116,7 +116,7 @@
     void aMuchSlowerBackendGivesUpMoreThanTheHandOversAllow() {
         stand.start(8, 2);
         for (int i = 0; i < 6; i++) {
-            stand.report(8, 2, b -> 0, b -> b == 2 ? 900 * MS : 100 * MS);
+            stand.reportRound(8, 2, b -> 0, b -> b == 2 ? 900 * MS : 100 * MS);
         }
         assertTrue(stand.share(0, 0, 2) < stand.share(0, 0, 4) / 4);
     }
@@ -125,7 +125,7 @@
     void aBackendWhoseTriesTimeOutDoesNotLookQuick() {
         stand.start(8, 2);
         for (int i = 0; i < 6; i++) {
-            stand.report(8, 2, b -> b == 2 ? 4 : 0, b -> 100 * MS);
+            stand.reportRound(8, 2, b -> b == 2 ? 4 : 0, b -> 100 * MS);
         }
         assertTrue(stand.share(0, 0, 2) < stand.share(0, 0, 4) / 3, "share " + stand.share(0, 0, 2));
     }
@@ -134,7 +134,7 @@
     void handOversStayWithinHalfAndTwiceListed() {
         stand.start(8, 2);
         for (int i = 0; i < 60; i++) {
-            stand.report(8, 2, b -> 0, b -> b == 2 ? 200 * MS : b == 4 ? 50 * MS : 100 * MS);
+            stand.reportRound(8, 2, b -> 0, b -> b == 2 ? 200 * MS : b == 4 ? 50 * MS : 100 * MS);
         }
         assertTrue(stand.share(0, 0, 2) < stand.share(0, 0, 6));
         assertTrue(stand.share(0, 0, 2) > 0.4 * stand.share(0, 0, 6));
@@ -144,21 +144,21 @@
     @Test
     void aRestartedBackendIsHeldWhileVeryColdAndThenGetsLittleFromAllProxiesTogether() {
         stand.start(4, 4);
-        stand.hear(new Members(ListKind.DELTA, 2, List.of(Stand.member(2, 0, Listed.GONE, 0))));
-        stand.second();
-        stand.hear(new Members(ListKind.DELTA, 3, List.of(Stand.member(2, 0, Listed.READY,
+        stand.handle(new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(2, 0, Listed.GONE, 0))));
+        stand.advanceOneSecond();
+        stand.handle(new Members(ListKind.DELTA, 3, List.of(PolicyHarness.member(2, 0, Listed.READY,
                 stand.now - SECOND))));
-        assertTrue(stand.withdrawn.get(Stand.backend(2)), "still too cold");
-        stand.second();
-        stand.second();
-        assertFalse(stand.withdrawn.get(Stand.backend(2)));
+        assertTrue(stand.withdrawn.get(PolicyHarness.backend(2)), "still too cold");
+        stand.advanceOneSecond();
+        stand.advanceOneSecond();
+        assertFalse(stand.withdrawn.get(PolicyHarness.backend(2)));
         double sum = 0;
         for (int proxy = 0; proxy < 4; proxy++) {
             sum += stand.share(proxy, 0, 2);
         }
         assertTrue(sum > 0 && sum / 4 < 0.25 * 0.44, "of a usual quarter: " + sum / 4);
         for (int i = 0; i < 12; i++) {
-            stand.second();
+            stand.advanceOneSecond();
         }
         assertTrue(stand.share(0, 0, 2) > 0.4, "warm again in its zone");
     }
@@ -166,12 +166,12 @@
     @Test
     void aColdBackendIsHeldLongerWhereProxiesShunThoseThatFail() {
         for (boolean shun : new boolean[] {false, true}) {
-            Stand held = new Stand(shun ? TestSettings.shunning() : TestSettings.plain()).start(4, 4);
-            held.hear(new Members(ListKind.DELTA, 2, List.of(Stand.member(2, 0, Listed.READY, held.now))));
+            PolicyHarness held = new PolicyHarness(shun ? TestSettings.withEjection() : TestSettings.plain()).start(4, 4);
+            held.handle(new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(2, 0, Listed.READY, held.now))));
             for (int i = 0; i < 4; i++) {
-                held.second();
+                held.advanceOneSecond();
             }
-            assertEquals(shun, held.withdrawn.get(Stand.backend(2)), "at half of its warmth");
+            assertEquals(shun, held.withdrawn.get(PolicyHarness.backend(2)), "at half of its warmth");
         }
     }
 
@@ -183,28 +183,28 @@
             ControlApi.ClassSpec home = s.classes().get(0);
             home = new ControlApi.ClassSpec(home.aim(), home.deadline(), 1, 0, Effect.SAFE, home.group(), home.window(),
                     false, true, Set.of(), Set.of());
-            Stand zones = new Stand(new Settings(1, 3, List.of(home, s.classes().get(1)), false, false, s.admission(), 0,
+            PolicyHarness zones = new PolicyHarness(new Settings(1, 3, List.of(home, s.classes().get(1)), false, false, s.admission(), 0,
                     8, 0, SECOND, 500, price, s.columns(), s.rules(), s.channel()));
             List<ControlApi.Member> members = new ArrayList<>();
             for (int i = 0; i < 9; i++) {
-                members.add(Stand.member(i, i % 3, Listed.READY, 0));
+                members.add(PolicyHarness.member(i, i % 3, Listed.READY, 0));
             }
-            zones.hear(new Members(ListKind.FULL, 1, members));
+            zones.handle(new Members(ListKind.FULL, 1, members));
             for (int p = 0; p < 6; p++) {
-                zones.hear(new ProxyJoined(p, p % 3, 20, true));
+                zones.handle(new ProxyJoined(p, p % 3, 20, true));
             }
             for (int i = 0; i < 20; i++) { // all of one zone fail, and one is drained
-                zones.report(9, 3, b -> b % 3 == 1 ? 10 : 0, b -> 100 * MS);
-                zones.hear(new Members(ListKind.DELTA, 2 + i, List.of(Stand.member(2, 2, i < 5 ? Listed.READY
+                zones.reportRound(9, 3, b -> b % 3 == 1 ? 10 : 0, b -> 100 * MS);
+                zones.handle(new Members(ListKind.DELTA, 2 + i, List.of(PolicyHarness.member(2, 2, i < 5 ? Listed.READY
                         : Listed.DRAINING, 0))));
             }
             for (int p = 0; p < 6; p++) {
                 int zone = p % 3;
-                Map<Backend, Double> lines = zones.tables.get(zones.bound.get(p).get(0));
-                assertTrue(List.of(Stand.backend(zone), Stand.backend(zone + 3), Stand.backend(zone + 6))
+                Map<Backend, Double> lines = zones.tables.get(zones.boundTables.get(p).get(0));
+                assertTrue(List.of(PolicyHarness.backend(zone), PolicyHarness.backend(zone + 3), PolicyHarness.backend(zone + 6))
                         .containsAll(lines.keySet()), "proxy of zone " + zone + ": " + lines);
                 assertFalse(lines.isEmpty());
-                assertTrue(zones.tables.get(zones.bound.get(p).get(1)).size() > 3, "the other class has a way out");
+                assertTrue(zones.tables.get(zones.boundTables.get(p).get(1)).size() > 3, "the other class has a way out");
             }
         }
     }
@@ -219,41 +219,41 @@
             Retry.ONCE_UNRUN};
         for (int step = 0; step < expected.length; step++) {
             for (int i = 0; i < 10; i++) { // one backend in ten brings all of it: no overload
-                stand.logic.handle(stand.now, new Tally(Stand.backend(i), 0, 100, i == 0 ? 10 * failedOf100[step] : 0,
+                stand.policy.handle(stand.now, new Tally(PolicyHarness.backend(i), 0, 100, i == 0 ? 10 * failedOf100[step] : 0,
                         latency[step] * MS, SECOND, List.of()));
             }
-            stand.second();
-            stand.second();
-            assertEquals(expected[step], stand.levels.get(0).get(stand.bound.get(0).get(0)).retry(), "step " + step);
-            assertEquals(expected[step], stand.levels.get(1).get(stand.bound.get(1).get(1)).retry(), "step " + step);
+            stand.advanceOneSecond();
+            stand.advanceOneSecond();
+            assertEquals(expected[step], stand.sentLevels.get(0).get(stand.boundTables.get(0).get(0)).retry(), "step " + step);
+            assertEquals(expected[step], stand.sentLevels.get(1).get(stand.boundTables.get(1).get(1)).retry(), "step " + step);
         }
     }
 
     @Test
     void aProxyThatComesIsToldToLetBackWhatWarmedUpWhileItWasAway() {
         stand.start(6, 4);
-        stand.hear(new Members(ListKind.DELTA, 2, List.of(Stand.member(2, 0, Listed.READY, stand.now))));
+        stand.handle(new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(2, 0, Listed.READY, stand.now))));
         for (int i = 0; i < 3; i++) {
-            stand.second();
+            stand.advanceOneSecond();
         }
-        assertFalse(stand.withdrawn.get(Stand.backend(2)), "let in by now");
-        stand.hear(new ProxyLeft(1), new ProxyJoined(1, 0, 20, false));
-        List<Backend> letBack = stand.last.stream().filter(Bind.class::isInstance).map(Bind.class::cast)
+        assertFalse(stand.withdrawn.get(PolicyHarness.backend(2)), "let in by now");
+        stand.handle(new ProxyLeft(1), new ProxyJoined(1, 0, 20, false));
+        List<Backend> letBack = stand.lastActions.stream().filter(Bind.class::isInstance).map(Bind.class::cast)
                 .filter(b -> b.proxy() == 1).flatMap(b -> b.letBack().stream()).distinct().toList();
-        assertEquals(List.of(Stand.backend(2)), letBack);
+        assertEquals(List.of(PolicyHarness.backend(2)), letBack);
         for (int i = 0; i < 10; i++) {
-            stand.second();
+            stand.advanceOneSecond();
         }
-        stand.hear(new ProxyLeft(1), new ProxyJoined(1, 0, 20, false));
-        assertTrue(stand.last.stream().filter(Bind.class::isInstance).map(Bind.class::cast)
+        stand.handle(new ProxyLeft(1), new ProxyJoined(1, 0, 20, false));
+        assertTrue(stand.lastActions.stream().filter(Bind.class::isInstance).map(Bind.class::cast)
                 .allMatch(b -> b.letBack().isEmpty()), "long warm");
     }
 
     @Test
     void aRestartHeardWithoutALossIsHeldToo() {
         stand.start(4, 4);
-        stand.hear(new Members(ListKind.DELTA, 2, List.of(Stand.member(2, 0, Listed.READY, stand.now))));
-        assertTrue(stand.withdrawn.get(Stand.backend(2)));
+        stand.handle(new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(2, 0, Listed.READY, stand.now))));
+        assertTrue(stand.withdrawn.get(PolicyHarness.backend(2)));
     }
 
     @Test
@@ -261,9 +261,9 @@
         stand.start(4, 4);
         List<ControlApi.Member> cold = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            cold.add(Stand.member(i, i % 2, Listed.READY, stand.now));
+            cold.add(PolicyHarness.member(i, i % 2, Listed.READY, stand.now));
         }
-        stand.hear(new Members(ListKind.DELTA, 2, cold));
+        stand.handle(new Members(ListKind.DELTA, 2, cold));
         assertFalse(stand.withdrawn.containsValue(true));
         assertTrue(stand.share(0, 0, 0) > 0.2);
     }
@@ -271,13 +271,13 @@
     @Test
     void proxiesBackFromALostZoneMeetNoTablesLaidForNobody() {
         stand.start(8, 0);
-        stand.hear(new ProxyJoined(1, 1, 40, true));
+        stand.handle(new ProxyJoined(1, 1, 40, true));
         List<ControlApi.Member> cold = new ArrayList<>();
         for (int i = 0; i < 8; i += 2) {
-            cold.add(Stand.member(i, 0, Listed.READY, stand.now - 4 * SECOND));
+            cold.add(PolicyHarness.member(i, 0, Listed.READY, stand.now - 4 * SECOND));
         }
-        stand.second();
-        stand.hear(new Members(ListKind.DELTA, 2, cold));
+        stand.advanceOneSecond();
+        stand.handle(new Members(ListKind.DELTA, 2, cold));
         Map<ControlApi.Backend, Double> lines = stand.tables.get(0);
         double sum = lines.values().stream().mapToDouble(w -> w).sum();
         double coldShare = cold.stream().mapToDouble(m -> lines.get(m.backend())).sum() / sum;
@@ -289,16 +289,16 @@
         stand.start(8, 4);
         List<ControlApi.Member> lost = new ArrayList<>();
         for (int i = 0; i < 8; i += 2) {
-            lost.add(Stand.member(i, 0, Listed.GONE, 0));
+            lost.add(PolicyHarness.member(i, 0, Listed.GONE, 0));
         }
-        stand.hear(new Members(ListKind.DELTA, 2, lost));
+        stand.handle(new Members(ListKind.DELTA, 2, lost));
         for (int i = 0; i < 5; i++) {
-            stand.usage(1, 0, 90);
-            stand.second();
+            stand.reportUsage(1, 0, 90);
+            stand.advanceOneSecond();
         }
-        stand.hear(new Members(ListKind.DELTA, 3, List.of(Stand.member(0, 0, Listed.READY, stand.now))));
-        stand.second();
-        stand.second();
+        stand.handle(new Members(ListKind.DELTA, 3, List.of(PolicyHarness.member(0, 0, Listed.READY, stand.now))));
+        stand.advanceOneSecond();
+        stand.advanceOneSecond();
         assertTrue(stand.share(0, 0, 0) > 0 && stand.share(0, 0, 0) < 0.1, "share " + stand.share(0, 0, 0));
     }
 
@@ -306,10 +306,10 @@
     void aProxyNotYetHeardCountsWithTheRateItJoinedWith() {
         stand.start(8, 1);
         stand.now += 300 * MS;
-        stand.hear(new ProxyJoined(1, 1, 200, true));
+        stand.handle(new ProxyJoined(1, 1, 200, true));
         for (int i = 0; i < 12; i++) {
-            stand.usage(0, 0, 20);
-            stand.second();
+            stand.reportUsage(0, 0, 20);
+            stand.advanceOneSecond();
         }
         assertTrue(stand.share(1, 0, 0) > 0.05, "a heavy zone spills over before it is heard: "
                 + stand.share(1, 0, 0));
@@ -324,7 +324,7 @@
 
     @Test
     void aConfinedClassStaysInItsZones() {
-        Stand confined = new Stand(TestSettings.with(List.of(TestSettings.spec(Effect.SAFE, 1, Set.of()),
+        PolicyHarness confined = new PolicyHarness(TestSettings.with(List.of(TestSettings.spec(Effect.SAFE, 1, Set.of()),
                 TestSettings.spec(Effect.KEYED, 2, Set.of(1))), false, 0, 0)).start(8, 2);
         assertEquals(0, confined.share(0, 1, 0));
         assertTrue(confined.share(0, 1, 1) > 0.2);
@@ -343,7 +343,7 @@
         double cheap = stand.level(0, 0);
         assertTrue(cheap < 15, "level of the cheap class " + cheap);
         assertTrue(stand.level(0, 1) > 1000, "the worthy class is open");
-        assertEquals(Retry.ONCE_UNRUN, stand.levels.get(0).get(stand.bound.get(0).get(0)).retry());
+        assertEquals(Retry.ONCE_UNRUN, stand.sentLevels.get(0).get(stand.boundTables.get(0).get(0)).retry());
         calm(30);
         assertTrue(stand.level(0, 0) > 1000);
     }
@@ -352,7 +352,7 @@
     void aLevelCountsDepartedProxiesUntilTheLeaseEnds() {
         calmThenOverload(3);
         double before = stand.level(1, 0);
-        stand.hear(new ProxyLeft(3));
+        stand.handle(new ProxyLeft(3));
         overload(1);
         assertTrue(stand.level(1, 0) < 1.2 * before, "the departed one's part is not handed out at once");
     }
@@ -360,18 +360,18 @@
     @Test
     void aSlowWayToIdleBackendsIsNoOverload() {
         for (double busy : new double[] {0.3, 0.95}) {
-            Stand used = new Stand(TestSettings.reportingUse()).start(4, 4);
+            PolicyHarness used = new PolicyHarness(TestSettings.reportingUtilization()).start(4, 4);
             for (int i = 0; i < 12; i++) {
                 for (int proxy = 0; proxy < 4; proxy++) {
-                    used.usage(proxy, 0, 15);
-                    used.usage(proxy, 1, 5);
+                    used.reportUsage(proxy, 0, 15);
+                    used.reportUsage(proxy, 1, 5);
                 }
                 long latency = i < 5 ? 100 * MS : 700 * MS;
                 for (int b = 0; b < 4; b++) {
-                    used.logic.handle(used.now, new ControlApi.Tally(Stand.backend(b), b % 2, 10, i < 5 ? 0 : 1,
+                    used.policy.handle(used.now, new ControlApi.Tally(PolicyHarness.backend(b), b % 2, 10, i < 5 ? 0 : 1,
                             latency, SECOND, List.of(busy)));
                 }
-                used.second();
+                used.advanceOneSecond();
             }
             assertEquals(busy < 0.5, used.level(0, 0) > 1000, "level at use " + busy);
         }
@@ -379,18 +379,18 @@
 
     @Test
     void fullCoresAreOverloadBeforeAnswersAreSlow() {
-        Stand used = new Stand(TestSettings.reportingUse()).start(4, 4);
+        PolicyHarness used = new PolicyHarness(TestSettings.reportingUtilization()).start(4, 4);
         for (int i = 0; i < 10; i++) {
             for (int proxy = 0; proxy < 4; proxy++) {
-                used.usage(proxy, 0, 15);
-                used.usage(proxy, 1, 5);
+                used.reportUsage(proxy, 0, 15);
+                used.reportUsage(proxy, 1, 5);
             }
             double busy = i < 5 ? 0.6 : 1;
             for (int b = 0; b < 4; b++) {
-                used.logic.handle(used.now, new ControlApi.Tally(Stand.backend(b), b % 2, 10, 0, 100 * MS, SECOND,
+                used.policy.handle(used.now, new ControlApi.Tally(PolicyHarness.backend(b), b % 2, 10, 0, 100 * MS, SECOND,
                         List.of(busy)));
             }
-            used.second();
+            used.advanceOneSecond();
         }
         assertTrue(used.level(0, 0) < 1000, "level " + used.level(0, 0));
     }
@@ -408,12 +408,12 @@
         for (int i = 0; i < 12; i++) {
             for (int b = 0; b < 4; b++) {
                 for (int proxy = 0; proxy < 4; proxy++) {
-                    stand.usage(proxy, b % 2, 2);
+                    stand.reportUsage(proxy, b % 2, 2);
                 }
-                stand.logic.handle(stand.now, new ControlApi.Tally(Stand.backend(b), 0, 4, i < 5 ? 0 : 1,
+                stand.policy.handle(stand.now, new ControlApi.Tally(PolicyHarness.backend(b), 0, 4, i < 5 ? 0 : 1,
                         100 * MS, SECOND, List.of()));
             }
-            stand.second();
+            stand.advanceOneSecond();
         }
         assertTrue(stand.level(0, 0) > 1000, "failed connects alone are no overload");
     }
@@ -448,22 +448,22 @@
     private void round(int rounds, int failed, long latency) {
         for (int i = 0; i < rounds; i++) {
             for (int proxy = 0; proxy < 4; proxy++) {
-                stand.usage(proxy, 0, 15);
-                stand.usage(proxy, 1, 5);
+                stand.reportUsage(proxy, 0, 15);
+                stand.reportUsage(proxy, 1, 5);
             }
-            stand.report(4, 2, b -> failed, b -> latency);
+            stand.reportRound(4, 2, b -> failed, b -> latency);
         }
     }
 
     @Test
     void anUnsafeOrKeyedClassIsNeverTriedAgainAfterATryThatMayHaveRun() {
-        Stand kinds = new Stand(TestSettings.with(List.of(TestSettings.spec(Effect.SAFE, 1, Set.of()),
+        PolicyHarness kinds = new PolicyHarness(TestSettings.with(List.of(TestSettings.spec(Effect.SAFE, 1, Set.of()),
                 TestSettings.spec(Effect.KEYED, 2, Set.of()), TestSettings.spec(Effect.UNSAFE, 5, Set.of())),
                 false, 0, 0)).start(4, 2);
         for (int i = 0; i < 6; i++) {
-            kinds.report(4, 2, b -> b == 2 ? 9 : 0, b -> 100 * MS);
+            kinds.reportRound(4, 2, b -> b == 2 ? 9 : 0, b -> 100 * MS);
         }
-        for (Action action : kinds.all) {
+        for (Action action : kinds.allActions) {
             if (action instanceof Admit admit && (admit.classes() & 6) != 0) {
                 assertEquals(Retry.ONCE_UNRUN, admit.retry());
             }
@@ -477,7 +477,7 @@
         for (int i = 0; i < 100; i++) {
             stand.now += 10 * MS;
             waiting = Math.max(0, waiting - 20);
-            stand.hear(new Members(ListKind.DELTA, i + 2, List.of(Stand.member(i % 40, i % 2, Listed.READY,
+            stand.handle(new Members(ListKind.DELTA, i + 2, List.of(PolicyHarness.member(i % 40, i % 2, Listed.READY,
                     stand.now))));
             waiting += stand.lastLines();
             assertTrue(waiting < stand.settings.channel().backlog(), "waiting " + waiting);
@@ -486,15 +486,15 @@
 
     @Test
     void aFloodOfChangesStaysInsideTheMessageBudget() {
-        Stand limited = new Stand(TestSettings.with(TestSettings.plain().classes(), false, 20, 0)).start(8,
+        PolicyHarness limited = new PolicyHarness(TestSettings.with(TestSettings.plain().classes(), false, 20, 0)).start(8,
                 4);
         List<Long> written = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
             limited.now += 50 * MS;
             Listed listed = i / 8 % 2 == 0 ? Listed.GONE : Listed.READY;
-            limited.hear(new Members(ListKind.DELTA, i + 2, List.of(Stand.member(i % 8, i % 2, listed,
+            limited.handle(new Members(ListKind.DELTA, i + 2, List.of(PolicyHarness.member(i % 8, i % 2, listed,
                     limited.now))));
-            if (limited.last.stream().anyMatch(a -> a instanceof SetLine || a instanceof Withdraw)) {
+            if (limited.lastActions.stream().anyMatch(a -> a instanceof SetLine || a instanceof Withdraw)) {
                 written.add(limited.now);
             }
             long start = limited.now - 10 * SECOND;
@@ -504,28 +504,28 @@
 
     @Test
     void withdrawalsWaitingForTheMessageBudgetAreSentSoonAfter() {
-        Stand limited = new Stand(TestSettings.with(TestSettings.plain().classes(), false, 20, 0)).start(8,
+        PolicyHarness limited = new PolicyHarness(TestSettings.with(TestSettings.plain().classes(), false, 20, 0)).start(8,
                 4);
         limited.now += 600 * MS;
-        limited.hear(new Members(ListKind.DELTA, 2, List.of(Stand.member(0, 0, Listed.GONE, 0))));
+        limited.handle(new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(0, 0, Listed.GONE, 0))));
         limited.now += 50 * MS;
-        limited.hear(new Members(ListKind.DELTA, 3, List.of(Stand.member(1, 1, Listed.GONE, 0))));
-        long due = limited.last.stream().filter(TimerAt.class::isInstance).mapToLong(a ->
+        limited.handle(new Members(ListKind.DELTA, 3, List.of(PolicyHarness.member(1, 1, Listed.GONE, 0))));
+        long due = limited.lastActions.stream().filter(TimerAt.class::isInstance).mapToLong(a ->
                 ((TimerAt) a).time())
                 .min().orElseThrow();
         assertTrue(due - limited.now < SECOND);
         limited.now = due;
         limited.decide();
-        assertTrue(limited.withdrawn.get(Stand.backend(1)));
+        assertTrue(limited.withdrawn.get(PolicyHarness.backend(1)));
     }
 
     @Test
     void aFailedAskIsRepeatedWellInsideTheLimit() {
-        Stand asking = new Stand(TestSettings.with(TestSettings.plain().classes(), true, 0, 0)).start(4, 1);
-        assertTrue(asking.all.contains(new Watch(true)));
+        PolicyHarness asking = new PolicyHarness(TestSettings.with(TestSettings.plain().classes(), true, 0, 0)).start(4, 1);
+        assertTrue(asking.allActions.contains(new Watch(true)));
         for (int i = 0; i < 10; i++) {
-            asking.hear(new Members(ListKind.FAILED, 2, List.of()));
-            long due = asking.last.stream().filter(TimerAt.class::isInstance).mapToLong(a ->
+            asking.handle(new Members(ListKind.FAILED, 2, List.of()));
+            long due = asking.lastActions.stream().filter(TimerAt.class::isInstance).mapToLong(a ->
                     ((TimerAt) a).time())
                     .min().orElseThrow();
             assertTrue(due - asking.now <= 2500 * MS);
@@ -537,19 +537,19 @@
     @Test
     void aControllerThatRestartsAmongProxiesWithOldTablesBindsThemAnew() {
         stand.start(4, 0);
-        stand.hear(new ProxyJoined(5, 1, 20, false));
-        assertEquals(2, stand.bound.get(5).size());
+        stand.handle(new ProxyJoined(5, 1, 20, false));
+        assertEquals(2, stand.boundTables.get(5).size());
     }
 
     @Test
     void theSameEventsGiveTheSameActions() {
         List<List<Action>> runs = new ArrayList<>();
         for (int run = 0; run < 2; run++) {
-            Stand again = new Stand(TestSettings.plain()).start(8, 4);
+            PolicyHarness again = new PolicyHarness(TestSettings.plain()).start(8, 4);
             for (int i = 0; i < 10; i++) {
-                again.report(8, 2, b -> b == 3 ? 7 : 0, b -> 100 * MS + b * MS);
+                again.reportRound(8, 2, b -> b == 3 ? 7 : 0, b -> 100 * MS + b * MS);
             }
-            runs.add(again.all);
+            runs.add(again.allActions);
         }
         assertEquals(runs.get(0), runs.get(1));
         assertNotEquals(0, runs.get(0).size());
@@ -557,11 +557,11 @@
 
     @Test
     void aSiteWithSlicesGetsWithdrawalsAndNobodyIsBound() {
-        Stand sliced = new Stand(TestSettings.with(TestSettings.plain().classes(), false, 0, 4)).start(4, 2);
-        sliced.hear(new Members(ListKind.DELTA, 2, List.of(Stand.member(1, 1, Listed.DRAINING, 0))));
-        assertTrue(sliced.withdrawn.get(Stand.backend(1)));
-        assertTrue(sliced.bound.isEmpty());
-        assertTrue(sliced.all.stream().noneMatch(a -> a instanceof SetLine || a instanceof Bind));
+        PolicyHarness sliced = new PolicyHarness(TestSettings.with(TestSettings.plain().classes(), false, 0, 4)).start(4, 2);
+        sliced.handle(new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(1, 1, Listed.DRAINING, 0))));
+        assertTrue(sliced.withdrawn.get(PolicyHarness.backend(1)));
+        assertTrue(sliced.boundTables.isEmpty());
+        assertTrue(sliced.allActions.stream().noneMatch(a -> a instanceof SetLine || a instanceof Bind));
     }
 
     @Test
@@ -569,8 +569,8 @@
         stand.start(4, 4);
         calm(8);
         for (int i = 0; i < 10; i++) { // then hardly anybody asks
-            stand.logic.handle(stand.now, new ControlApi.Tally(Stand.backend(0), 0, 1, 0, 100 * MS, SECOND, List.of()));
-            stand.second();
+            stand.policy.handle(stand.now, new ControlApi.Tally(PolicyHarness.backend(0), 0, 1, 0, 100 * MS, SECOND, List.of()));
+            stand.advanceOneSecond();
         }
         round(2, 8, 700 * MS);
         assertTrue(stand.level(0, 0) > 5, "of 80 a second served in calm three quarters are let in: "
@@ -581,7 +581,7 @@
     void aDeadBackendGetsNothingWhereAnswersAreSlowThemselves() {
         stand.start(8, 2);
         for (int i = 0; i < 4; i++) {
-            stand.report(8, 2, b -> b == 2 ? 10 : 0, b -> 500 * MS);
+            stand.reportRound(8, 2, b -> b == 2 ? 10 : 0, b -> 500 * MS);
         }
         assertEquals(0, stand.share(0, 0, 2), "lightened by its slow second alone it would keep half");
     }
@@ -589,16 +589,16 @@
     /** Two tries a round from each region: too few of a path's own, as on the bench's sockets. */
     private static double leastShare(java.util.function.IntBinaryOperator failedOfTwo, int proxy) {
         double least = 1;
-        Stand thin = new Stand(TestSettings.plain()).start(8, 8);
+        PolicyHarness thin = new PolicyHarness(TestSettings.plain()).start(8, 8);
         for (int round = 0; round < 8; round++) {
             for (int zone = 0; zone < 2; zone++) {
                 for (int b = 0; b < 8; b++) {
                     int failed = failedOfTwo.applyAsInt(b, zone);
-                    thin.logic.handle(thin.now, new Tally(Stand.backend(b), zone, 2, failed,
+                    thin.policy.handle(thin.now, new Tally(PolicyHarness.backend(b), zone, 2, failed,
                             failed == 2 ? 0 : 100 * MS, SECOND, List.of()));
                 }
             }
-            thin.second();
+            thin.advanceOneSecond();
             least = Math.min(least, thin.share(proxy, 0, 3));
         }
         return least;
@@ -619,19 +619,19 @@
     /** After a restart on the bench's sockets: a calm quarter was refused, since half had gone back. */
     @Test
     void inCalmNobodyIsHeldBackForProxiesThatWentElsewhere() {
-        Stand stand = new Stand(TestSettings.plain()).start(8, 8);
+        PolicyHarness stand = new PolicyHarness(TestSettings.plain()).start(8, 8);
         long[] per = {10, 0}; // tries a round and path, and how many fail
         java.util.function.IntConsumer round = joined -> {
             for (int p = 0; p < joined; p++) {
-                stand.usage(p, 0, 20);
+                stand.reportUsage(p, 0, 20);
             }
             for (int zone = 0; zone < 2; zone++) {
                 for (int b = 0; b < 8; b++) {
-                    stand.logic.handle(stand.now, new Tally(Stand.backend(b), zone, per[0], per[1],
+                    stand.policy.handle(stand.now, new Tally(PolicyHarness.backend(b), zone, per[0], per[1],
                             100 * MS, SECOND, List.of()));
                 }
             }
-            stand.second();
+            stand.advanceOneSecond();
         };
         for (int i = 0; i < 10; i++) {
             round.accept(8);
@@ -643,7 +643,7 @@
         per[1] = 0;
         round.accept(8);
         for (int p = 0; p < 6; p++) {
-            stand.hear(new ProxyLeft(7 - p));
+            stand.handle(new ProxyLeft(7 - p));
         }
         per[0] = 3;
         StringBuilder levels = new StringBuilder();
--- a/src/test/java/rowanmoor/TestSettings.java
+++ b/src/test/java/rowanmoor/TestSettings.java
@@ -38,12 +38,12 @@
     }
 
     /** Like {@link #plain}, but backends report how busy their cores are. */
-    static Settings reportingUse() {
+    static Settings reportingUtilization() {
         return of(plain().classes(), false, 0, 8, 500, 0, 0, plain().channel());
     }
 
     /** Like {@link #plain}, but proxies shun a backend that failed five of their tries in a row. */
-    static Settings shunning() {
+    static Settings withEjection() {
         return of(plain().classes(), false, 0, 8, 500, -1, 5, plain().channel());
     }
 
