--- a/src/main/java/rowanmoor/FleetState.java
+++ b/src/main/java/rowanmoor/FleetState.java
@@ -13,12 +13,19 @@
 import rowanmoor.ControlApi.TimerAt;
 import rowanmoor.ControlApi.Usage;
 
-/** What one instance keeps of its proxies, pools and channel: plain state and sums, no decision. */
+/**
+ * The state that {@link RoutingPolicy} keeps of paths, proxies, pools and the channel: plain data and sums,
+ * no decisions. Times are nanoseconds of the instance's clock unless a name says otherwise.
+ */
 final class FleetState {
 
     private FleetState() { }
 
-    /** How the joined proxies of one region fare at one backend. */
+    /**
+     * Results of the tries that the joined proxies of one region made at one backend. {@code tries}, {@code
+     * failed} and {@code latencySum} (ns) are smoothed over rounds; the {@code new} fields hold what was
+     * reported since the last round.
+     */
     static final class PathStats {
         double tries;
         double failed;
@@ -26,17 +33,20 @@
         double newTries;
         double newFailed;
         double newLatencySum;
-        double newSpanSeconds; // seconds
+        double newSpanSeconds;
         double lastFailureFraction;
         double lastLatencyNs;
+        /** When the current suspension ends; 0 if the path is not suspended. */
         long suspendedUntil;
+        /** From when on results since the last suspension are evaluated. */
         long trialEvaluationAt;
+        /** Factor on the backend's weight in this region: 0 suspended, 1 healthy. */
         double health = 1;
 
         static PathStats[] newArray(int regions) {
-            PathStats[] fresh = new PathStats[regions];
-            Arrays.setAll(fresh, r -> new PathStats());
-            return fresh;
+            PathStats[] paths = new PathStats[regions];
+            Arrays.setAll(paths, region -> new PathStats());
+            return paths;
         }
 
         void add(Tally tally) {
@@ -46,16 +56,23 @@
             newLatencySum += (double) tally.latency() * (tally.tries() - tally.failed());
         }
 
-        /** Takes what came since the last round into the smoothed sums; too few tries tell nothing alone. */
-        void endRound(double smooth, double enough) {
-            double usual = tries < enough ? 0 : failed / tries;
-            lastFailureFraction = newTries < enough / 2 ? usual : newFailed / newTries;
-            boolean few = newTries - newFailed < enough / 2;
-            double lately = few ? 0 : newLatencySum / (newTries - newFailed);
-            tries += newTries - smooth * tries;
-            failed += newFailed - smooth * failed;
-            latencySum += newLatencySum - smooth * latencySum;
-            lastLatencyNs = few && tries - failed >= enough / 2 ? latencySum / (tries - failed) : lately;
+        /**
+         * Adds what was reported since the last round to the smoothed sums. Where the new tries are too few
+         * to tell anything alone, the last values come from the sums.
+         *
+         * @param smoothing weight of the new round
+         * @param minTries tries below which the sums tell nothing; half of it for a single round
+         */
+        void endRound(double smoothing, double minTries) {
+            double usualFailureFraction = tries < minTries ? 0 : failed / tries;
+            lastFailureFraction = newTries < minTries / 2 ? usualFailureFraction : newFailed / newTries;
+            boolean few = newTries - newFailed < minTries / 2;
+            double newLatency = few ? 0 : newLatencySum / (newTries - newFailed);
+            tries += newTries - smoothing * tries;
+            failed += newFailed - smoothing * failed;
+            latencySum += newLatencySum - smoothing * latencySum;
+            lastLatencyNs = few && tries - failed >= minTries / 2
+                    ? latencySum / (tries - failed) : newLatency;
             newTries = 0;
             newFailed = 0;
             newLatencySum = 0;
@@ -63,20 +80,26 @@
         }
     }
 
-    /** One proxy. Usage and what is new of it go by class; spans and silences are seconds. */
+    /** The state of one proxy. Arrays of usage and of new reports are indexed by class. */
     static final class ProxyState {
         int zone;
         boolean joined;
         boolean hasReported;
+        /** Whether it uses tables of this instance. */
         boolean bound;
-        double presence; // its part in the smoothed sums of reports: 0 before its first round, towards 1
+        /** Its part in the smoothed sums of reports: 0 before its first round, then towards 1. */
+        double presence;
         long leftAt;
         long joinedAt;
+        /** Smoothed usage, requests a second. */
         final double[] usage;
         final double[] newRequests;
         final double[] newSpanSeconds;
+        /** How long the proxy has reported no request of the class. */
         final double[] silentSeconds;
+        /** The pool that it uses for each group of classes. */
         final Pool[] pools;
+        /** The reply that last opened a message to it. */
         int lastMessageReply;
 
         ProxyState(int classes, int groups) {
@@ -87,19 +110,24 @@
             pools = new Pool[groups];
         }
 
-        void join(int itsZone, long now) {
-            zone = itsZone;
+        void join(int newZone, long now) {
+            zone = newZone;
             joinedAt = now;
             joined = true;
-            Arrays.fill(newRequests, 0); // what was told late of its time before
+            // Late reports of the time before are dropped.
+            Arrays.fill(newRequests, 0);
             Arrays.fill(newSpanSeconds, 0);
             hasReported = false;
             bound = false;
         }
 
-        /** Whether it may hold a line of a backend; of one not bound yet nothing is known. */
+        /**
+         * Whether the proxy may hold a line of a backend. The tables of a proxy that is not bound yet are not
+         * known: it may hold any backend, unless only bound proxies count.
+         */
         boolean mayHold(Backend backend, boolean boundOnly) {
-            return joined && (bound ? Arrays.stream(pools).anyMatch(p -> p.sentWeights.containsKey(backend))
+            return joined && (bound
+                    ? Arrays.stream(pools).anyMatch(pool -> pool.sentWeights.containsKey(backend))
                     : !boundOnly);
         }
 
@@ -117,20 +145,25 @@
         }
 
         /**
-         * A round's usage, smoothed: rates by the span that a report states. Where a cycle of all reports
-         * takes more than a round, a proxy without a line is unknown, not idle. Times in seconds.
+         * Adds a round's reports to the smoothed usage, as rates over the span that a report states. Where a
+         * cycle of all reports takes longer than a round, the usage of a proxy without a report is unknown,
+         * not zero, until it has been silent for two cycles.
+         *
+         * @param seconds length of the round
+         * @param cycleSeconds time in which every proxy and backend reports once
+         * @param smoothing weight of a round
          */
-        void endRound(double seconds, double cycle, double smooth) {
-            for (int c = 0; c < usage.length; c++) {
-                silentSeconds[c] = newRequests[c] > 0 ? 0 : silentSeconds[c] + seconds;
-                boolean unknown = cycle > seconds && silentSeconds[c] < 2 * cycle;
-                if (newRequests[c] > 0 || !unknown) {
-                    double span = cycle > seconds ? Math.max(seconds, newSpanSeconds[c]) : seconds;
-                    double fresh = 1 - Math.pow(1 - smooth, span / seconds);
-                    usage[c] += fresh * (newRequests[c] / span - usage[c]);
+        void endRound(double seconds, double cycleSeconds, double smoothing) {
+            for (int cls = 0; cls < usage.length; cls++) {
+                silentSeconds[cls] = newRequests[cls] > 0 ? 0 : silentSeconds[cls] + seconds;
+                boolean unknown = cycleSeconds > seconds && silentSeconds[cls] < 2 * cycleSeconds;
+                if (newRequests[cls] > 0 || !unknown) {
+                    double span = cycleSeconds > seconds ? Math.max(seconds, newSpanSeconds[cls]) : seconds;
+                    double weight = 1 - Math.pow(1 - smoothing, span / seconds);
+                    usage[cls] += weight * (newRequests[cls] / span - usage[cls]);
                 }
-                newRequests[c] = 0;
-                newSpanSeconds[c] = 0;
+                newRequests[cls] = 0;
+                newSpanSeconds[cls] = 0;
             }
         }
 
@@ -143,33 +176,38 @@
         }
     }
 
-    /** A shared table of a group of classes: its backends, the lines and levels sent, the proxies on it. */
+    /** A table shared by several proxies for one group of classes. */
     static final class Pool {
         final int table;
         final int group;
         final TreeSet<Backend> members = new TreeSet<>();
+        /** The table's lines as they were sent. */
         final TreeMap<Backend, Double> sentWeights = new TreeMap<>();
         final TreeMap<Integer, ProxyState> proxies = new TreeMap<>();
+        /** The levels as they were sent, by class. */
         final Map<Integer, Double> sentLevels = new TreeMap<>();
-        ControlApi.Retry sentRetry; // as sent with them
+        /** The retry rule as it was sent with the levels. */
+        ControlApi.Retry sentRetry;
 
-        final Map<Backend, Integer> poolCounts; // of its set: how many pools hold each backend
+        /** How many pools of this set hold each backend; one map for the whole set. */
+        final Map<Backend, Integer> poolCounts;
 
-        double demand = 1; // as of the last laying of tables
+        /** Work rate of its proxies when tables were last computed. */
+        double demand = 1;
 
         Pool(int table, int group) {
             this(table, group, new TreeMap<>());
         }
 
-        private Pool(int table, int group, Map<Backend, Integer> holders) {
+        private Pool(int table, int group, Map<Backend, Integer> poolCounts) {
             this.table = table;
             this.group = group;
-            this.poolCounts = holders;
+            this.poolCounts = poolCounts;
         }
 
-        /** One more pool of the same set. */
-        Pool sibling(int itsTable) {
-            return new Pool(itsTable, group, poolCounts);
+        /** Returns a further pool of the same set. */
+        Pool sibling(int siblingTable) {
+            return new Pool(siblingTable, group, poolCounts);
         }
 
         void add(Backend backend) {
@@ -180,7 +218,7 @@
 
         void remove(Backend backend) {
             if (members.remove(backend)) {
-                poolCounts.computeIfPresent(backend, (b, n) -> n == 1 ? null : n - 1);
+                poolCounts.computeIfPresent(backend, (key, count) -> count == 1 ? null : count - 1);
             }
         }
 
@@ -189,26 +227,32 @@
             return poolCounts.getOrDefault(backend, 0);
         }
 
-        /** Its members' part of the flows, shared with the pools that hold them too, over its demand. */
+        /**
+         * Its members' part of the flows, each divided among the pools that hold the member, over its demand.
+         */
         double supplyRatio(Map<Backend, Double> flows) {
-            return members.stream().mapToDouble(b -> flows.getOrDefault(b, 0.0) / poolCount(b)).sum() / demand;
+            return members.stream()
+                    .mapToDouble(backend -> flows.getOrDefault(backend, 0.0) / poolCount(backend))
+                    .sum() / demand;
         }
 
         List<ProxyState> boundProxies() {
-            return proxies.values().stream().filter(p -> p.bound).toList();
+            return proxies.values().stream().filter(proxy -> proxy.bound).toList();
         }
     }
 
-    /** A line as it should be and as it was sent. */
+    /** A line's weight as it should be and as it was sent. */
     record WeightChange(Pool pool, Backend backend, double weight, double sentWeight) {
 
-        /** How far it is off, relative to the larger of the two. */
+        /** The size of the change, relative to the larger of the two weights. */
         double relativeSize() {
             return Math.abs(weight - sentWeight) / Math.max(1e-9, Math.max(sentWeight, weight));
         }
     }
 
-    /** When each kind of timer is due, so that one wait has one timer however often its module decides. */
+    /**
+     * The due times of all kinds of timers, so that one wait has one timer however many decisions it spans.
+     */
     static final class Timers {
         static final int ROUND = 0;
         static final int ASK = 1;
@@ -217,7 +261,7 @@
 
         private final long[] dueAt = new long[BIND + 1];
 
-        /** Orders a timer of a kind, unless one that is still to come is due as early. */
+        /** Orders a timer of a kind, unless a pending one is due as early. */
         void set(long now, long time, int kind, List<Action> orders) {
             if (dueAt[kind] <= now || time < dueAt[kind]) {
                 dueAt[kind] = time;
@@ -234,28 +278,37 @@
         final int messages;
         int answers;
 
-        SentMark(int number, double linesBefore, double linesEach, int messages) {
+        SentMark(int number, double linesBefore, double linesPerMessage, int messages) {
             this.messages = messages;
             this.number = number;
             this.linesBefore = linesBefore;
-            this.linesPerMessage = linesEach;
+            this.linesPerMessage = linesPerMessage;
         }
     }
 
-    /** Books what the channel was given and, by the marks answered, what has surely left it. */
+    /** Estimates how many lines wait in the channel, from what was ordered and which marks were answered. */
     static final class ChannelBacklog {
+        /** Mark numbers wrap around here. */
         private static final int MARK_NUMBERS = 65536;
         private static final int MAX_PENDING_MARKS = 4096;
 
         private final ArrayDeque<SentMark> pendingMarks = new ArrayDeque<>();
+        /** Lines of all closed replies. */
         private double sentLines;
-        private double confirmedLines; // of that, what marks have told to have left
-        private double assumedLines; // and what is taken to have left since the last that told more
+        /** Of those, the lines that answered marks show to have left the channel. */
+        private double confirmedLines;
+        /** Lines assumed to have left since the last mark that confirmed more. */
+        private double assumedLines;
         private double replyLines;
         int replyCount = 1;
         private int replyMessages;
 
-        /** One more order of this reply, with lines of its own; the first for a proxy opens its message. */
+        /**
+         * Adds an order of this reply to one proxy.
+         *
+         * @param lines the order's own lines
+         * @param head the lines that a message takes in itself; counted with the proxy's first order
+         */
         void add(ProxyState proxy, double lines, double head) {
             boolean first = proxy.lastMessageReply != replyCount;
             proxy.lastMessageReply = replyCount;
@@ -263,15 +316,16 @@
             replyLines += lines + (first ? head : 0);
         }
 
-        /** The number to mark this reply with, or -1 if it sends nothing. */
+        /** Ends the reply; returns the number to mark it with, or -1 if it sends nothing. */
         int closeReply() {
             if (replyLines == 0) {
                 return -1;
             }
             int number = Math.floorMod(replyCount++, MARK_NUMBERS);
-            pendingMarks.add(new SentMark(number, sentLines, replyMessages == 0 ? 0 : replyLines / replyMessages, replyMessages));
+            pendingMarks.add(new SentMark(number, sentLines,
+                    replyMessages == 0 ? 0 : replyLines / replyMessages, replyMessages));
             if (pendingMarks.size() > MAX_PENDING_MARKS) {
-                pendingMarks.poll(); // nobody answers; an answer to a later one counts for it
+                pendingMarks.poll(); // unanswered for long; an answer to a later mark covers it
             }
             sentLines += replyLines;
             replyLines = 0;
@@ -283,41 +337,45 @@
             return pendingMarks.size();
         }
 
-        /** Assumed to have left, until a mark tells: a channel may run slower still than is assumed. */
+        /**
+         * Assumes that lines have left, until a mark confirms more: the channel may be slower than assumed.
+         */
         void assumeSent(double lines) {
             assumedLines = Math.min(sentLines - confirmedLines, assumedLines + lines);
         }
 
         /**
-         * A mark answered: all before it has left, and so has its part of the reply. Which messages of the
-         * reply these were is not known, so that one is held back until the last has answered.
+         * Takes in the answer of one proxy to a mark: all replies before it have left the channel, and so has
+         * one message of its own reply for each answer. Which messages these were is not known, so one is not
+         * counted until the last has been answered.
          */
         void markApplied(int mark) {
-            if (pendingMarks.stream().anyMatch(m -> m.number == mark)) {
+            if (pendingMarks.stream().anyMatch(pending -> pending.number == mark)) {
                 while (pendingMarks.peek().number != mark) {
                     pendingMarks.poll();
                 }
                 SentMark first = pendingMarks.peek();
                 first.answers++;
-                int left = first.answers >= first.messages ? first.messages : first.answers - 1;
-                double by = first.linesBefore + first.linesPerMessage * left;
-                if (by > confirmedLines) {
-                    confirmedLines = by;
+                int messagesSent = first.answers >= first.messages ? first.messages : first.answers - 1;
+                double confirmed = first.linesBefore + first.linesPerMessage * messagesSent;
+                if (confirmed > confirmedLines) {
+                    confirmedLines = confirmed;
                     assumedLines = 0;
                 }
             }
         }
 
-        /** The most lines that may still be in the channel, this reply's among them. */
+        /** The most lines that may still wait in the channel, those of this reply included. */
         double waitingLines() {
             return sentLines - confirmedLines - assumedLines + replyLines;
         }
     }
 
     static double sum(Collection<Double> values) {
-        return values.stream().mapToDouble(v -> v).sum();
+        return values.stream().mapToDouble(value -> value).sum();
     }
 
+    /** Returns the upper median, or 0 if there are no values. */
     static double median(Collection<Double> values) {
         return values.isEmpty() ? 0 : values.stream().sorted().skip(values.size() / 2).findFirst().orElse(0d);
     }
--- a/src/main/java/rowanmoor/RoutingPolicy.java
+++ b/src/main/java/rowanmoor/RoutingPolicy.java
@@ -1,133 +1,324 @@
 package rowanmoor;
 
-import java.util.*;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Collection;
+import java.util.Collections;
+import java.util.Comparator;
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.TreeMap;
 import java.util.function.Predicate;
 import java.util.stream.IntStream;
-import rowanmoor.ControlApi.*;
-import rowanmoor.FleetState.*;
-
-/** One controller's decisions; events, actions and settings: {@link ControlApi}; reasons: docs/design.md. */
+import rowanmoor.ControlApi.Action;
+import rowanmoor.ControlApi.Admission;
+import rowanmoor.ControlApi.Admit;
+import rowanmoor.ControlApi.Applied;
+import rowanmoor.ControlApi.Backend;
+import rowanmoor.ControlApi.Belief;
+import rowanmoor.ControlApi.Bind;
+import rowanmoor.ControlApi.Channel;
+import rowanmoor.ControlApi.ClassSpec;
+import rowanmoor.ControlApi.Event;
+import rowanmoor.ControlApi.ListKind;
+import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.Log;
+import rowanmoor.ControlApi.Mark;
+import rowanmoor.ControlApi.Member;
+import rowanmoor.ControlApi.Members;
+import rowanmoor.ControlApi.Probe;
+import rowanmoor.ControlApi.Probed;
+import rowanmoor.ControlApi.ProxyJoined;
+import rowanmoor.ControlApi.ProxyLeft;
+import rowanmoor.ControlApi.Retry;
+import rowanmoor.ControlApi.SetLine;
+import rowanmoor.ControlApi.Settings;
+import rowanmoor.ControlApi.Tally;
+import rowanmoor.ControlApi.Usage;
+import rowanmoor.ControlApi.Watch;
+import rowanmoor.ControlApi.Withdraw;
+import rowanmoor.FleetState.ChannelBacklog;
+import rowanmoor.FleetState.PathStats;
+import rowanmoor.FleetState.Pool;
+import rowanmoor.FleetState.ProxyState;
+import rowanmoor.FleetState.Timers;
+import rowanmoor.FleetState.WeightChange;
+
+/**
+ * All decisions of one controller instance: the routing tables, the withdrawals and the admission levels that
+ * it sends to its proxies. The caller passes events to {@link #handle} and carries out the actions that
+ * {@link #decide} returns; both are declared in {@link ControlApi}. The class does no I/O and reads no clock:
+ * the same settings, seed, events and times give the same actions. Times are nanoseconds.
+ *
+ * <p>The sections of this file, in the order in which a round passes through them:
+ * <ol>
+ * <li>Members: keeps the list of backends up to date.
+ * <li>Health and speed: judges each backend from the proxies' tallies and from load reports.
+ * <li>Tables: derives the weights of all routing tables from capacity, health and demand.
+ * <li>Levels: detects overload and derives the admission level of each class.
+ * <li>Sender: orders what has changed, within the limits of the channel to the proxies.
+ * </ol>
+ * docs/design.md gives the reasons for the method and for the values of the constants.
+ */
 public final class RoutingPolicy {
 
     private static final double NS_PER_SECOND = 1e9;
-    private static final long MIN_ROUND_NS = 1_000_000_000L; // shortest round (the design's pace), ns
-    // Health and speed.
-    private static final double SMOOTHING_FACTOR = 0.35; // weight of a new round: about three count
-    private static final double MIN_TRIES = 8; // tries over the smoothed span below which nothing is judged
-    private static final double SUSPEND_FAILURE_FRACTION = 0.6; // share failed, and 3 x its peers', that rests a path
-    private static final double DEAD_FAILURE_FRACTION = 0.85; // a path failing this share serves nobody: it may always rest
-    private static final double MAX_SUSPENDED_WEIGHT_FRACTION = 0.25; // panic floor: weight resting for partial failures
-    private static final double FAILED_TRY_LATENCY_NS = 1e9; // latency, ns, that a failed try counts as
-    private static final double SLOW_OUTLIER_RATIO = 1.9; // times slower than the median: lighter than hand-overs allow
-    private static final long SUSPENSION_NS = 4_000_000_000L; // how long a path rests, ns
-    private static final long GONE_RETENTION_NS = 120_000_000_000L; // how long what is gone keeps its lines, ns
-    private static final double TRIAL_WEIGHT_FRACTION = 0.1, TRIAL_GROWTH_PER_ROUND = 2; // part of its weight on trial; growth a round
-    // Hand-overs: the part of a load gap closed in a round, the gap taken for noise, the design's bounds.
-    private static final double CORRECTION_GAIN = 0.1, LOAD_NOISE_FRACTION = 0.1;
-    private static final double MIN_CORRECTION = 0.5, MAX_CORRECTION = 2;
-    private static final double ZONE_TABLES_MIN_PRICE = 0.02; // crossing price from which zones have own tables
-    private static final int MAX_POOL_BACKENDS = 25, MIN_BACKENDS_PER_POOL = 6; // backends in a pool (design); to open one more
-    private static final int MIN_PROXIES_PER_TABLE = 5; // at the least (the design's)
-    private static final double MIN_POOLED_FLOW_PERCENT = 25; // percent of the mean flow, from which a backend has a pool
-    private static final double REFILL_SUPPLY_FRACTION = 0.8, REBALANCE_GAP_FRACTION = 0.33; // part of demand for a refill; gap for a move
-    private static final int MIN_REMOTE_BACKENDS = 2; // backends of other zones in every pool
-    private static final double CROSS_ZONE_TRICKLE_FRACTION = 0.03; // part of a table spread over all zones: a way out
-    // Warmth below which a backend stays out, if enough are warm; and in overload or where proxies shun.
-    private static final double MIN_WARMTH = 0.35, MIN_WARMTH_IN_OVERLOAD = 0.6;
-    private static final long MAX_RECONNECT_NS = 5_000_000_000L; // how long a proxy may be between two streams, ns
-    private static final double MIN_WEIGHT = 1e-9; // for those of no weight, where there are no others
-    private static final double MAX_COLD_DEMAND_RATIO = 3; // times its part of demand, that a cold backend has in a table
-    private static final double MIN_WEIGHT_CHANGE_FRACTION = 0.1, MIN_LEVEL_CHANGE_FRACTION = 0.03; // relative changes sent
-    // Levels: the design's figures, but for the proven rate's.
-    private static final double OVERLOAD_FAILURE_FRACTION = 0.05; // overload: share of tries that fail
-    private static final double OVERLOAD_LATENCY_RATIO = 2; // or: times slower than when quiet
-    private static final int BACKENDS_PER_QUEUE_PROBE = 8; // one in so many is probed where probes tell of queues only
-    // Failures may be overload with a mean queue above this; where none is told, with answers so much slower.
-    private static final double QUEUEING_MEAN_LENGTH = 0.5, QUEUEING_LATENCY_RATIO = 1.4;
-    // Reported use below which a backend is not overloaded, and above which it is: it tells sooner than sums.
-    private static final double IDLE_UTILIZATION = 0.6, SATURATED_UTILIZATION = 0.97;
-    private static final double HEADROOM_FRACTION = 0.9; // the total starts at this part of the served rate
-    private static final double PROVEN_RATE_FRACTION = 0.75; // part of the best rate served calmly so far: safe
-    private static final double RAISE_PER_SECOND = 1.1, FAST_RAISE_PER_SECOND = 1.6; // growth of the total in a calm second
-    private static final double TARGET_UTILIZATION = 0.85, MIN_RAISE_PER_SECOND = 1.02; // use up to which it grows fast; and past it
-    private static final double MAX_TOTAL_TO_SERVED_RATIO = 1.5; // bound of the total over what is served
-    private static final double CONGESTION_FAILURE_FRACTION = 0.3; // jammed: share that fail, or answers beyond an aim
-    private static final int ROUNDS_BETWEEN_REDUCTIONS = 3, LEARNING_ROUNDS = 2; // rounds until lowered again; heard till levels
-    private static final long PROXY_LEASE_NS = 10_000_000_000L; // how long departed proxies count, ns
-    // No level below this part of mean usage: none out of reach starves. Lifted at so many times the demand.
-    private static final double MIN_LEVEL_FRACTION = 0.1, LIFT_DEMAND_RATIO = 1.3;
-    private static final int MAX_LOGGED_BACKENDS = 8; // backends named in one line of the log
-    private static final double OPEN_RATE_PER_SECOND = 1_000_000; // the rate that lets everything in
-    // Safe for every class. A try again after any failure cuts the first short: that waste alone feeds jams.
+    /** The shortest round (the design's pace). */
+    private static final long MIN_ROUND_NS = 1_000_000_000L;
+
+    // ---- Constants of health and speed ----
+
+    /** Weight of a new round in smoothed sums: about three rounds count. */
+    private static final double SMOOTHING_FACTOR = 0.35;
+    /** With fewer tries over the smoothed span nothing is judged. */
+    private static final double MIN_TRIES = 8;
+    /** A path is suspended if this fraction of its tries fails, and 3 times the fraction of its peers. */
+    private static final double SUSPEND_FAILURE_FRACTION = 0.6;
+    /** A path that fails this fraction serves nobody and may always be suspended. */
+    private static final double DEAD_FAILURE_FRACTION = 0.85;
+    /** Panic threshold: the fraction of all weight that may be suspended for partial failures. */
+    private static final double MAX_SUSPENDED_WEIGHT_FRACTION = 0.25;
+    /** The latency that a failed try counts as. */
+    private static final double FAILED_TRY_LATENCY_NS = 1e9;
+    /** A path this many times slower than the median loses more weight than corrections may take. */
+    private static final double SLOW_OUTLIER_RATIO = 1.9;
+    private static final long SUSPENSION_NS = 4_000_000_000L;
+    /** How long a backend that is gone keeps its table lines. */
+    private static final long GONE_RETENTION_NS = 120_000_000_000L;
+    /** Fraction of its weight that a path has when it is tried again after a suspension. */
+    private static final double TRIAL_WEIGHT_FRACTION = 0.1;
+    private static final double TRIAL_GROWTH_PER_ROUND = 2;
+    /** Weight correction: the part of a load gap that is closed in one round. */
+    private static final double CORRECTION_GAIN = 0.1;
+    /** A load gap up to this fraction is taken for noise. */
+    private static final double LOAD_NOISE_FRACTION = 0.1;
+    /** Bounds of a weight correction, as in the design. */
+    private static final double MIN_CORRECTION = 0.5;
+    private static final double MAX_CORRECTION = 2;
+
+    // ---- Constants of tables ----
+
+    /** Cross-zone price from which each zone has tables of its own. */
+    private static final double ZONE_TABLES_MIN_PRICE = 0.02;
+    /** Most backends in a pool, as in the design. */
+    private static final int MAX_POOL_BACKENDS = 25;
+    /** A further pool is opened only if there are this many backends for each. */
+    private static final int MIN_BACKENDS_PER_POOL = 6;
+    /** The design's minimum of proxies that share a table. */
+    private static final int MIN_PROXIES_PER_TABLE = 5;
+    /** A backend whose flow is at least this percentage of the mean flow is put into a pool. */
+    private static final double MIN_POOLED_FLOW_PERCENT = 25;
+    /** A pool whose supply is below this fraction of its demand is refilled. */
+    private static final double REFILL_SUPPLY_FRACTION = 0.8;
+    /** A proxy moves to another pool if the demand gap exceeds this fraction of the larger demand. */
+    private static final double REBALANCE_GAP_FRACTION = 0.33;
+    /** Backends of other zones in every pool, for the case that its own zone fails. */
+    private static final int MIN_REMOTE_BACKENDS = 2;
+    /** Fraction of a table that is spread over all zones, so that each table leads to other zones. */
+    private static final double CROSS_ZONE_TRICKLE_FRACTION = 0.03;
+    /** A colder backend is held back while enough others are warm. */
+    private static final double MIN_WARMTH = 0.35;
+    /** The same under overload, or where proxies eject failing backends. */
+    private static final double MIN_WARMTH_IN_OVERLOAD = 0.6;
+    /** The longest time that a proxy may spend between two streams. */
+    private static final long MAX_RECONNECT_NS = 5_000_000_000L;
+    /** Stands for a weight of zero, so that such backends are used where there are no others. */
+    private static final double MIN_WEIGHT = 1e-9;
+    /** A cold backend's line may be this many times its part of the demand. */
+    private static final double MAX_COLD_DEMAND_RATIO = 3;
+    /** Smaller relative changes of a weight or a level are not sent. */
+    private static final double MIN_WEIGHT_CHANGE_FRACTION = 0.1;
+    private static final double MIN_LEVEL_CHANGE_FRACTION = 0.03;
+
+    // ---- Constants of levels: the design's figures, except for the proven rate's ----
+
+    /** A backend is overloaded if this fraction of its tries fails. */
+    private static final double OVERLOAD_FAILURE_FRACTION = 0.05;
+    /** A backend is overloaded if it answers this many times slower than when quiet. */
+    private static final double OVERLOAD_LATENCY_RATIO = 2;
+    /** Where load reports tell only of queues, one backend in this many is probed in a round. */
+    private static final int BACKENDS_PER_QUEUE_PROBE = 8;
+    /** Failures may mean overload only if the mean queue is longer than this. */
+    private static final double QUEUEING_MEAN_LENGTH = 0.5;
+    /** Where no queue is reported: only if answers are this many times slower than when quiet. */
+    private static final double QUEUEING_LATENCY_RATIO = 1.4;
+    /**
+     * A backend with a lower reported utilization is not overloaded; reports are faster than sums of tries.
+     */
+    private static final double IDLE_UTILIZATION = 0.6;
+    /** A backend with a higher reported utilization is overloaded. */
+    private static final double SATURATED_UTILIZATION = 0.97;
+    /**
+     * Fraction of the served rate at which the total starts under congestion, and factor of each reduction.
+     */
+    private static final double HEADROOM_FRACTION = 0.9;
+    /** Fraction of the best rate served so far without overload that is considered safe. */
+    private static final double PROVEN_RATE_FRACTION = 0.75;
+    /** Growth factors of the total in a second without overload. */
+    private static final double RAISE_PER_SECOND = 1.1;
+    private static final double FAST_RAISE_PER_SECOND = 1.6;
+    /** The total grows fast up to this utilization. */
+    private static final double TARGET_UTILIZATION = 0.85;
+    /** Growth factor of the total past the target utilization. */
+    private static final double MIN_RAISE_PER_SECOND = 1.02;
+    /** Bound of the total, as a multiple of the served rate. */
+    private static final double MAX_TOTAL_TO_SERVED_RATIO = 1.5;
+    /** A backend is congested if this fraction of its tries fails, or if answers take longer than an aim. */
+    private static final double CONGESTION_FAILURE_FRACTION = 0.3;
+    private static final int ROUNDS_BETWEEN_REDUCTIONS = 3;
+    /** No level is set until reports of this many rounds have come. */
+    private static final int LEARNING_ROUNDS = 2;
+    /** How long a departed proxy still counts in the sharing of levels. */
+    private static final long PROXY_LEASE_NS = 10_000_000_000L;
+    /** No level is below this fraction of the mean usage, so that a proxy out of reach does not starve. */
+    private static final double MIN_LEVEL_FRACTION = 0.1;
+    /** Levels are lifted when the total is this many times the demand. */
+    private static final double LIFT_DEMAND_RATIO = 1.3;
+    private static final int MAX_LOGGED_BACKENDS = 8;
+    /** The rate that admits everything. */
+    private static final double OPEN_RATE_PER_SECOND = 1_000_000;
+    /**
+     * Safe for every class. A retry after any failure would abort the first try, and that waste alone keeps
+     * congestion going.
+     */
     private static final Retry NORMAL_RETRY = Retry.ONCE_UNRUN;
-    // What can be put off leaves within so many seconds, however deep the channel may be: a drain, which
-    // cannot, does not wait behind it then. The marks' way there and back takes about one.
+
+    // ---- Constants of the sender ----
+
+    /**
+     * Orders that can be deferred leave the channel within this time, however deep its backlog may be, so
+     * that a drain, which cannot be deferred, does not wait behind them. The round trip of a mark takes about
+     * 1 s.
+     */
     private static final double BULK_BACKLOG_SECONDS = 2;
-    private static final double ORDINARY_BACKLOG_FRACTION = 0.4, URGENT_BACKLOG_FRACTION = 0.7, BIND_BACKLOG_FRACTION = 0.85;
-    // Parts: of the lines that leave within a drain's grace, that may wait; of the pace, for ordinary lines.
-    private static final double GRACE_BACKLOG_FRACTION = 0.6, ORDINARY_PACE_FRACTION = 0.15;
-    private static final long MIN_SEND_WAIT_NS = 50_000_000L; // least wait, ns, for room in the channel
-    private static final double UNCONFIRMED_PACE_FRACTION = 0.2; // of its pace, at which it drains while no mark tells
-    private static final double MESSAGE_GAP_FACTOR = 1.1; // on the gap between messages where they are limited
-
-    /** What is known of one backend; {@code all} sums its paths, one for each region. */
+    private static final double ORDINARY_BACKLOG_FRACTION = 0.4;
+    private static final double URGENT_BACKLOG_FRACTION = 0.7;
+    private static final double BIND_BACKLOG_FRACTION = 0.85;
+    /** Of the lines that the channel sends within a drain's grace, the fraction that may wait in it. */
+    private static final double GRACE_BACKLOG_FRACTION = 0.6;
+    /** Fraction of the channel's pace that ordinary lines may use. */
+    private static final double ORDINARY_PACE_FRACTION = 0.15;
+    /** Least wait for room in the channel. */
+    private static final long MIN_SEND_WAIT_NS = 50_000_000L;
+    /** Fraction of its pace at which the channel is assumed to send while no mark is answered. */
+    private static final double UNCONFIRMED_PACE_FRACTION = 0.2;
+    /** Safety factor on the gap between messages where their number is limited. */
+    private static final double MESSAGE_GAP_FACTOR = 1.1;
+
+    /** What is known of one backend. */
     private final class BackendState {
         Member member;
+        /** One for each region. */
         PathStats[] paths = PathStats.newArray(regions);
+        /** The sums over all paths. */
         PathStats allRegions = new PathStats();
-        double correction = 1, utilization, lastUtilization, quietLatency;
-        boolean withdrawn, heldCold;
-        long listChangedAt; // when the list last changed it
-
-        boolean isReady() { return member.listed() == Listed.READY; }
+        /** Factor on the listed weight. */
+        double correction = 1;
+        /** Reported utilization, smoothed; 0 if unknown. */
+        double utilization;
+        double lastUtilization;
+        /** The lowest smoothed latency seen, ns; 0 if unknown. */
+        double quietLatency;
+        boolean withdrawn;
+        boolean heldCold;
+        /** When the list last changed this backend. */
+        long listChangedAt;
+
+        boolean isReady() {
+            return member.listed() == Listed.READY;
+        }
 
-        boolean isOpen() { return isReady() && !heldCold; }
+        boolean isOpen() {
+            return isReady() && !heldCold;
+        }
 
-        /** A process that restarted is a new one: what its predecessor met says nothing of it. */
+        /**
+         * Called when the backend has restarted: statistics of the old process do not apply to the new one.
+         */
         void resetStats() {
             paths = PathStats.newArray(regions);
             allRegions = new PathStats();
             utilization = 0;
         }
 
-        /** The least part of its capacity that it has by now, going by the stated ramp. */
-        double warmth(long now) { return settings.rules().warmth(member.startedAt(), now); }
+        /** The least fraction of its capacity that it has by now, according to the configured ramp. */
+        double warmth(long now) {
+            return settings.rules().warmth(member.startedAt(), now);
+        }
 
-        /** What it can do. A cold one is slow with each request and short of room: hence the square. */
+        /**
+         * The relative capacity, 0 if the backend is not open. Warmth counts squared: a cold backend is
+         * slower with each request and also has fewer free slots.
+         */
         double capacity(long now) {
             double weight = Math.max(MIN_WEIGHT, member.weight());
             return isOpen() ? weight * correction * warmth(now) * warmth(now) : 0;
         }
 
-        /** How loaded it is, on whatever scale the site reports; 0 if unknown. */
-        double load() { return settings.columns().busy() >= 0 ? utilization : latency(allRegions); }
+        /** The load on the scale that the site reports, else latency in ns; 0 if unknown. */
+        double load() {
+            return settings.columns().busy() >= 0 ? utilization : latency(allRegions);
+        }
     }
 
     private final Settings settings;
     private final Random random;
+    /** Number of regions: the zones if they have own tables, else 1. */
     private final int regions;
     private final long roundLengthNs;
     private final double tightestAimNs;
-    private final List<Integer> classesByWorth; // classes, the worthiest first
-    private final List<Integer> classesByAim; // classes, those of the lightest requests first, as far as aims tell
+    /** Class numbers, highest worth first. */
+    private final List<Integer> classesByWorth;
+    /** Class numbers, lightest requests first; the aim stands for a request's work. */
+    private final List<Integer> classesByAim;
+    /** Groups of classes that share tables. */
     private final List<List<Integer>> groups = new ArrayList<>();
     private final TreeMap<Backend, BackendState> backends = new TreeMap<>();
     private final TreeMap<Integer, ProxyState> proxies = new TreeMap<>();
-    private final TreeMap<Integer, List<Pool>> poolSets = new TreeMap<>(); // by group and region
+    /** Pools by group and region. */
+    private final TreeMap<Integer, List<Pool>> poolSets = new TreeMap<>();
     private final List<Action> actions = new ArrayList<>();
-    private final LinkedHashSet<Integer> bindQueue = new LinkedHashSet<>(); // to be bound, in order
+    /** Proxies that wait to be bound, in order. */
+    private final LinkedHashSet<Integer> bindQueue = new LinkedHashSet<>();
+    /** The admission level of each class. */
     private final double[] levels;
-    private final boolean[] atFloor; // classes whose level is the least
+    /** Whether a class's level is the lowest permitted. */
+    private final boolean[] atFloor;
     private final LevelLog levelLog;
     private LevelLog.Reason levelReason = LevelLog.Reason.DEMAND;
-    private boolean reportsReceived, listChangePending, joinPending, watching;
-    private Retry currentRetry = NORMAL_RETRY; // as tries fail now
-    private long nextRoundAt, lastEvaluationAt, nextListRequestAt, nextMessageAt, lastDrainAt;
-    private int evaluatedRounds, listRequestFailures, overloadedRounds;
-    private double totalRate = Double.POSITIVE_INFINITY, provenRatePerCapacity, usualCapacity, meanQueueLength = 1, ordinaryLineAllowance = 1e9;
-    private final ChannelBacklog channelBacklog = new ChannelBacklog(); // what the channel was given, and what has left it
+    private boolean reportsReceived;
+    private boolean listChangePending;
+    private boolean joinPending;
+    private boolean watching;
+    private Retry currentRetry = NORMAL_RETRY;
+    private long nextRoundAt;
+    private long lastEvaluationAt;
+    private long nextListRequestAt;
+    private long nextMessageAt;
+    private long lastDrainAt;
+    private int evaluatedRounds;
+    private int listRequestFailures;
+    private int overloadedRounds;
+    /** The rate, in requests a second, that the levels of all proxies admit together. */
+    private double totalRate = Double.POSITIVE_INFINITY;
+    /** The best rate served without overload for each unit of capacity. */
+    private double provenRatePerCapacity;
+    private double usualCapacity;
+    private double meanQueueLength = 1;
+    /** Lines that ordinary changes may still use. */
+    private double ordinaryLineAllowance = 1e9;
+    private final ChannelBacklog channelBacklog = new ChannelBacklog();
     private final Timers timers = new Timers();
 
+    /**
+     * Creates the policy of one controller instance.
+     *
+     * @param seed of the jitter between requests for the list
+     */
     public RoutingPolicy(Settings settings, long seed) {
         this.settings = settings;
         this.random = new Random(seed);
@@ -136,9 +327,9 @@
         this.roundLengthNs = Math.max(MIN_ROUND_NS, settings.period());
         this.tightestAimNs = settings.classes().stream().mapToLong(ClassSpec::aim).min().orElse(0);
         this.classesByWorth = IntStream.range(0, settings.classes().size()).boxed()
-                .sorted(Comparator.comparing(c -> -settings.classes().get(c).worth())).toList();
-        this.classesByAim = classesByWorth.stream().sorted(Comparator.comparing(c ->
-                settings.classes().get(c).aim())).toList();
+                .sorted(Comparator.comparing(cls -> -settings.classes().get(cls).worth())).toList();
+        this.classesByAim = classesByWorth.stream()
+                .sorted(Comparator.comparing(cls -> settings.classes().get(cls).aim())).toList();
         this.levels = new double[settings.classes().size()];
         Arrays.fill(levels, openLevel());
         this.atFloor = new boolean[levels.length];
@@ -146,6 +337,7 @@
         groupClasses();
     }
 
+    /** Takes in one event. Orders that follow from it are returned by the next {@link #decide}. */
     public void handle(long now, Event event) {
         if (event instanceof Members members) {
             handleMembers(now, members);
@@ -166,7 +358,7 @@
         }
     }
 
-    /** The orders that follow from all that was heard up to now. */
+    /** Returns the orders that follow from all events up to now; a round is evaluated if one is due. */
     public List<Action> decide(long now) {
         requestList(now);
         boolean round = now >= nextRoundAt;
@@ -182,35 +374,42 @@
         return orders;
     }
 
-    /** What is held of each backend now. */
+    /** Returns the current state of each backend, for logs and metrics. */
     public List<Belief> beliefs(long now) {
-        return backends.values().stream().map(s -> new Belief(s.member.backend(), s.member.listed(), s.load(),
-                Arrays.stream(s.paths).map(p -> p.health).toList(), s.correction, s.warmth(now),
-                s.allRegions.tries, s.withdrawn)).toList();
+        return backends.values().stream()
+                .map(state -> new Belief(state.member.backend(), state.member.listed(), state.load(),
+                        Arrays.stream(state.paths).map(path -> path.health).toList(), state.correction,
+                        state.warmth(now), state.allRegions.tries, state.withdrawn))
+                .toList();
     }
 
     // ---- 1. Members -------------------------------------------------------------------------------------
+    // Applies list events to the known backends and requests the list where the site requires that.
 
     private void handleMembers(long now, Members list) {
         if (list.kind() == ListKind.FAILED) {
             watching = false;
-            long base = Math.min(MIN_ROUND_NS << Math.min(listRequestFailures++, 2), settings.rules().askWithin() / 4);
+            long base = Math.min(MIN_ROUND_NS << Math.min(listRequestFailures++, 2),
+                    settings.rules().askWithin() / 4);
             nextListRequestAt = now + (long) (base * (0.5 + random.nextDouble() / 2));
             return;
         }
         listRequestFailures = list.kind() == ListKind.CACHED ? listRequestFailures : 0;
-        TreeMap<Backend, BackendState> unmentioned = new TreeMap<>(backends);
+        TreeMap<Backend, BackendState> missing = new TreeMap<>(backends);
         for (Member member : list.entries()) {
-            unmentioned.remove(member.backend());
-            BackendState state = backends.computeIfAbsent(member.backend(), b -> new BackendState());
+            missing.remove(member.backend());
+            BackendState state = backends.computeIfAbsent(member.backend(), backend -> new BackendState());
             updateMember(now, state, member);
         }
-        if (list.kind() != ListKind.DELTA) { unmentioned.values().forEach(s ->
-                updateMember(now, s, s.member.gone())); }
+        if (list.kind() != ListKind.DELTA) {
+            missing.values().forEach(state -> updateMember(now, state, state.member.gone()));
+        }
     }
 
     private void updateMember(long now, BackendState state, Member member) {
-        if (state.member != null && member.startedAt() > state.member.startedAt()) { state.resetStats(); }
+        if (state.member != null && member.startedAt() > state.member.startedAt()) {
+            state.resetStats();
+        }
         boolean changed = state.member == null || !state.member.equals(member);
         state.listChangedAt = changed ? now : state.listChangedAt;
         listChangePending |= changed;
@@ -220,20 +419,33 @@
     private void requestList(long now) {
         if (settings.mustAsk() && !watching) {
             watching = now >= nextListRequestAt;
-            if (watching) { actions.add(new Watch(true)); }
-            if (!watching) { timers.set(now, nextListRequestAt, Timers.ASK, actions); }
+            if (watching) {
+                actions.add(new Watch(true));
+            }
+            if (!watching) {
+                timers.set(now, nextListRequestAt, Timers.ASK, actions);
+            }
         }
     }
 
     // ---- 2. Health and speed ----------------------------------------------------------------------------
+    // Evaluates a round of reports: suspends failing paths, reduces the weight of slow ones, corrects the
+    // weights of unevenly loaded backends and decides whether proxies retry.
 
-    private double failureFraction(PathStats path) { return path.tries < MIN_TRIES ? 0 : path.failed / path.tries; }
+    /** The fraction of failed tries; 0 with too few tries to judge. */
+    private double failureFraction(PathStats path) {
+        return path.tries < MIN_TRIES ? 0 : path.failed / path.tries;
+    }
 
+    /** Mean latency in ns, failed tries included; 0 with too few tries to judge. */
     private double latency(PathStats path) {
-        return path.tries < MIN_TRIES ? 0 : (path.latencySum + path.failed * FAILED_TRY_LATENCY_NS) / path.tries;
+        return path.tries < MIN_TRIES ? 0
+                : (path.latencySum + path.failed * FAILED_TRY_LATENCY_NS) / path.tries;
     }
 
-    private int region(int zone) { return regions == 1 ? 0 : zone; }
+    private int region(int zone) {
+        return regions == 1 ? 0 : zone;
+    }
 
     private void handleTally(BackendState state, Tally tally) {
         reportsReceived = true;
@@ -243,88 +455,122 @@
     }
 
     private void handleLoad(BackendState state, List<Double> load) {
-        int queue = settings.columns().queue();
-        if (queue >= 0 && queue < load.size()) { meanQueueLength += (load.get(queue) - meanQueueLength) / BACKENDS_PER_QUEUE_PROBE; }
-        int column = settings.columns().busy();
-        if (column >= 0 && column < load.size()) {
-            state.lastUtilization = load.get(column);
-            state.utilization = state.utilization == 0 ? load.get(column) : smooth(state.utilization, load.get(column));
+        int queueColumn = settings.columns().queue();
+        if (queueColumn >= 0 && queueColumn < load.size()) {
+            meanQueueLength += (load.get(queueColumn) - meanQueueLength) / BACKENDS_PER_QUEUE_PROBE;
+        }
+        int busyColumn = settings.columns().busy();
+        if (busyColumn >= 0 && busyColumn < load.size()) {
+            state.lastUtilization = load.get(busyColumn);
+            state.utilization = state.utilization == 0 ? load.get(busyColumn)
+                    : smooth(state.utilization, load.get(busyColumn));
         }
     }
 
-    private static double smooth(double old, double fresh) { return old + SMOOTHING_FACTOR * (fresh - old); }
+    private static double smooth(double previous, double latest) {
+        return previous + SMOOTHING_FACTOR * (latest - previous);
+    }
 
-    /** All are probed where that tells of use; where only of queues, a few tell whether the fleet waits. */
+    /**
+     * Probes all backends where probes report utilization. Where they report only queues, a sample of
+     * backends is enough to tell whether requests queue in the fleet.
+     */
     private void sendProbes() {
-        int every = settings.columns().busy() >= 0 ? 1 : settings.columns().queue() >= 0 ? BACKENDS_PER_QUEUE_PROBE : 0;
-        int place = evaluatedRounds;
+        int interval = settings.columns().busy() >= 0 ? 1
+                : settings.columns().queue() >= 0 ? BACKENDS_PER_QUEUE_PROBE : 0;
+        int position = evaluatedRounds;
         for (BackendState state : backends.values()) {
-            boolean due = settings.mayProbe() && every > 0 && place++ % every == 0;
-            if (due && state.isReady()) { actions.add(new Probe(state.member.backend())); }
+            boolean due = settings.mayProbe() && interval > 0 && position++ % interval == 0;
+            if (due && state.isReady()) {
+                actions.add(new Probe(state.member.backend()));
+            }
         }
     }
 
-    /** A round's lessons: paths, loads, usage, total. */
+    /** Evaluates what was reported since the last round: paths, loads, usage, total and levels. */
     private void evaluateRound(long now) {
-        if (!reportsReceived) { return; }
+        if (!reportsReceived) {
+            return;
+        }
         reportsReceived = false;
         evaluatedRounds++;
-        // After a silence, reports cover their own span, not the silence.
-        double told = backends.values().stream().flatMap(s -> Arrays.stream(s.paths))
-                .mapToDouble(p -> p.newSpanSeconds).max().orElse(0);
-        double gap = (lastEvaluationAt == 0 ? roundLengthNs : now - lastEvaluationAt) / NS_PER_SECOND;
-        double seconds = Math.min(gap, Math.max(roundLengthNs / NS_PER_SECOND, told));
+        // Reports that come after a silence cover their own span, not the silence.
+        double reportedSeconds = backends.values().stream().flatMap(state -> Arrays.stream(state.paths))
+                .mapToDouble(path -> path.newSpanSeconds).max().orElse(0);
+        double gapSeconds = (lastEvaluationAt == 0 ? roundLengthNs : now - lastEvaluationAt) / NS_PER_SECOND;
+        double seconds = Math.min(gapSeconds, Math.max(roundLengthNs / NS_PER_SECOND, reportedSeconds));
         lastEvaluationAt = now;
-        double tries = backends.values().stream().mapToDouble(s -> s.allRegions.newTries).sum();
-        double failed = backends.values().stream().mapToDouble(s -> s.allRegions.newFailed).sum();
+        double tries = backends.values().stream().mapToDouble(state -> state.allRegions.newTries).sum();
+        double failed = backends.values().stream().mapToDouble(state -> state.allRegions.newFailed).sum();
         for (BackendState state : backends.values()) {
             state.allRegions.endRound(SMOOTHING_FACTOR, MIN_TRIES);
-            Arrays.stream(state.paths).forEach(p -> p.endRound(SMOOTHING_FACTOR, MIN_TRIES));
+            Arrays.stream(state.paths).forEach(path -> path.endRound(SMOOTHING_FACTOR, MIN_TRIES));
         }
         updateRetry(tries, failed);
-        for (int region = 0; region < regions; region++) { evaluatePaths(now, region); }
+        for (int region = 0; region < regions; region++) {
+            evaluatePaths(now, region);
+        }
         correctWeights(now);
         updateUsage(now, seconds);
         updateTotal(now, seconds);
         computeLevels();
     }
 
-    // Second tries of what full backends turn away are half of a jam's load. They stop before the jam counts
-    // as overload, which takes most backends: one that comes in cold then draws them all. Not where backends
-    // are dead and the others have room: there second tries are what saves requests.
+    /**
+     * Stops retries while full backends turn tries away: such retries are half of the load under congestion.
+     * They stop before the congestion counts as overload, which takes most of the backends: a cold backend
+     * that comes in during that time would attract all the retries. They go on where backends are dead and
+     * the others have room, since retries save requests there.
+     */
     private void updateRetry(double tries, double failed) {
-        List<BackendState> known = backends.values().stream().filter(s -> s.quietLatency > 0
-                && s.allRegions.lastLatencyNs > 0).toList();
-        long slower = known.stream().filter(s -> s.allRegions.lastLatencyNs > QUEUEING_LATENCY_RATIO * s.quietLatency).count();
-        boolean waits = settings.columns().queue() >= 0 ? meanQueueLength > QUEUEING_MEAN_LENGTH : slower * 2 > known.size();
+        List<BackendState> known = backends.values().stream()
+                .filter(state -> state.quietLatency > 0 && state.allRegions.lastLatencyNs > 0).toList();
+        long slower = known.stream()
+                .filter(state -> state.allRegions.lastLatencyNs > QUEUEING_LATENCY_RATIO * state.quietLatency)
+                .count();
+        boolean queueing = settings.columns().queue() >= 0 ? meanQueueLength > QUEUEING_MEAN_LENGTH
+                : slower * 2 > known.size();
         boolean failing = failed > (currentRetry == NORMAL_RETRY ? 2 : 1) * OVERLOAD_FAILURE_FRACTION * tries;
-        if (tries >= MIN_TRIES && (!failing || waits)) { currentRetry = failing ? Retry.NEVER : NORMAL_RETRY; }
+        if (tries >= MIN_TRIES && (!failing || queueing)) {
+            currentRetry = failing ? Retry.NEVER : NORMAL_RETRY;
+        }
     }
 
-    // Rests a path that fails far more than its peers (fast failers, dead and cut-off backends) and lightens
-    // one that is far slower. Full backends fail too: partial failures rest few, and none under overload.
+    /**
+     * Suspends paths that fail far more often than their peers (backends that fail fast, are dead or are cut
+     * off) and reduces the weight of paths that are far slower. Full backends fail too, so only few paths are
+     * suspended for partial failures, and none under overload. The log calls a suspended path "rested".
+     */
     private void evaluatePaths(long now, int region) {
         List<BackendState> ready = backends.values().stream().filter(BackendState::isReady).toList();
-        List<PathStats> judged = ready.stream().map(s -> s.paths[region]).filter(p -> p.tries >= MIN_TRIES).toList();
-        double usualFailing = FleetState.median(judged.stream().map(this::failureFraction).toList());
-        double usualLatency = FleetState.median(judged.stream().map(this::latency).filter(l -> l > 0).toList());
-        double usualOfAll = FleetState.median(ready.stream().filter(s -> s.allRegions.tries >= MIN_TRIES)
-                .map(s -> failureFraction(s.allRegions)).toList());
-        double mayRest = 0;
-        List<String> rested = new ArrayList<>();
+        List<PathStats> judged = ready.stream().map(state -> state.paths[region])
+                .filter(path -> path.tries >= MIN_TRIES).toList();
+        double medianFailureFraction =
+                FleetState.median(judged.stream().map(this::failureFraction).toList());
+        double medianLatency =
+                FleetState.median(judged.stream().map(this::latency).filter(latency -> latency > 0).toList());
+        double medianOfAllRegions = FleetState.median(ready.stream()
+                .filter(state -> state.allRegions.tries >= MIN_TRIES)
+                .map(state -> failureFraction(state.allRegions)).toList());
+        double suspendableWeight = 0;
+        List<String> suspended = new ArrayList<>();
         for (BackendState state : backends.values()) {
-            double part = !state.isReady() ? 0 : state.paths[region].suspendedUntil > 0 ? -1 : MAX_SUSPENDED_WEIGHT_FRACTION;
-            mayRest += part * state.member.weight();
+            double fraction = !state.isReady() ? 0
+                    : state.paths[region].suspendedUntil > 0 ? -1 : MAX_SUSPENDED_WEIGHT_FRACTION;
+            suspendableWeight += fraction * state.member.weight();
         }
-        for (BackendState state : backends.values().stream().sorted(Comparator.comparing(s ->
-                -failureFraction(decisiveStats(s, region)))).toList()) {
+        for (BackendState state : backends.values().stream().sorted(Comparator.comparing(candidate ->
+                -failureFraction(decisiveStats(candidate, region)))).toList()) {
             PathStats path = state.paths[region];
-            PathStats told = decisiveStats(state, region);
-            double usual = told == path ? usualFailing : usualOfAll;
-            boolean failing = failureFraction(told) > Math.max(SUSPEND_FAILURE_FRACTION, 3 * usual);
-            boolean room = told == path && failureFraction(path) > DEAD_FAILURE_FRACTION
-                    || overloadedRounds == 0 && mayRest >= state.member.weight();
-            if (path.suspendedUntil > now || now < path.trialEvaluationAt) { continue; }
+            PathStats decisive = decisiveStats(state, region);
+            double usualFailureFraction = decisive == path ? medianFailureFraction : medianOfAllRegions;
+            boolean failing =
+                    failureFraction(decisive) > Math.max(SUSPEND_FAILURE_FRACTION, 3 * usualFailureFraction);
+            boolean maySuspend = decisive == path && failureFraction(path) > DEAD_FAILURE_FRACTION
+                    || overloadedRounds == 0 && suspendableWeight >= state.member.weight();
+            if (path.suspendedUntil > now || now < path.trialEvaluationAt) {
+                continue;
+            }
             if (path.suspendedUntil > 0) {
                 path.suspendedUntil = 0;
                 path.health = TRIAL_WEIGHT_FRACTION;
@@ -332,38 +578,51 @@
                 path.tries = 0;
                 path.failed = 0;
                 path.latencySum = 0;
-            } else if (failing && room) {
+            } else if (failing && maySuspend) {
                 path.suspendedUntil = now + SUSPENSION_NS;
                 path.health = 0;
-                mayRest -= state.member.weight();
-                rested.add(state.member.backend() + " failed " + Math.round(100 * failureFraction(told)) + "%");
+                suspendableWeight -= state.member.weight();
+                suspended.add(state.member.backend() + " failed "
+                        + Math.round(100 * failureFraction(decisive)) + "%");
             } else {
-                double slower = usualLatency > 0 ? latency(path) / usualLatency : 1;
-                path.health = Math.min(slower > SLOW_OUTLIER_RATIO ? 1 / slower : 1, path.health * TRIAL_GROWTH_PER_ROUND);
+                double slowness = medianLatency > 0 ? latency(path) / medianLatency : 1;
+                path.health = Math.min(slowness > SLOW_OUTLIER_RATIO ? 1 / slowness : 1,
+                        path.health * TRIAL_GROWTH_PER_ROUND);
             }
         }
-        logBackends("path rested from region " + region, rested);
+        logBackends("path rested from region " + region, suspended);
     }
 
-    /** What tells of a path's failures: its own tries; where they are few and fail, those of all regions. */
+    /**
+     * The statistics that decide on a path's failures: its own, or those of all regions where its own tries
+     * are few and fail.
+     */
     private PathStats decisiveStats(BackendState state, int region) {
         PathStats path = state.paths[region];
-        return path.tries >= MIN_TRIES || path.failed <= SUSPEND_FAILURE_FRACTION * path.tries ? path : state.allRegions;
+        return path.tries >= MIN_TRIES || path.failed <= SUSPEND_FAILURE_FRACTION * path.tries
+                ? path : state.allRegions;
     }
 
-    /** One line of the log, however many it is about. */
+    /** Logs one line about a list of backends, however long the list is; nothing if it is empty. */
     private void logBackends(String what, List<String> which) {
-        String more = which.size() > MAX_LOGGED_BACKENDS ? " and " + (which.size() - MAX_LOGGED_BACKENDS) + " more" : "";
+        String more = which.size() > MAX_LOGGED_BACKENDS
+                ? " and " + (which.size() - MAX_LOGGED_BACKENDS) + " more" : "";
         List<String> named = which.subList(0, Math.min(MAX_LOGGED_BACKENDS, which.size()));
-        if (!which.isEmpty()) { actions.add(new Log(what + ": " + String.join(", ", named) + more)); }
+        if (!which.isEmpty()) {
+            actions.add(new Log(what + ": " + String.join(", ", named) + more));
+        }
     }
 
-    /** The companion: backends loaded above the mean hand weight to those below, within its bounds. */
+    /**
+     * Shifts weight from backends loaded above the mean to those below it, within the correction's bounds.
+     */
     private void correctWeights(long now) {
-        List<BackendState> settled = backends.values().stream().filter(s -> s.isReady() && s.load() > 0
-                && s.warmth(now) == 1 && Arrays.stream(s.paths).allMatch(p -> p.health == 1)).toList();
-        double sum = settled.stream().mapToDouble(s -> s.load() * s.member.weight()).sum();
-        double mean = sum / settled.stream().mapToDouble(s -> s.member.weight()).sum();
+        List<BackendState> settled = backends.values().stream()
+                .filter(state -> state.isReady() && state.load() > 0 && state.warmth(now) == 1
+                        && Arrays.stream(state.paths).allMatch(path -> path.health == 1))
+                .toList();
+        double sum = settled.stream().mapToDouble(state -> state.load() * state.member.weight()).sum();
+        double mean = sum / settled.stream().mapToDouble(state -> state.member.weight()).sum();
         for (BackendState state : settled) {
             if (Math.abs(state.load() / mean - 1) > LOAD_NOISE_FRACTION) {
                 double correction = state.correction * Math.pow(state.load() / mean, -CORRECTION_GAIN);
@@ -373,356 +632,468 @@
     }
 
     // ---- 3. Tables --------------------------------------------------------------------------------------
+    // Each group of classes with the same permitted backends has a set of pools in each region. A pool is one
+    // table, shared by the proxies that are assigned to it.
 
-    /** Classes open to the same backends share tables; the confined ones come first. */
+    /** Puts classes that may use the same backends into one group; the confined groups come first. */
     private void groupClasses() {
         TreeMap<String, List<Integer>> byOpenness = new TreeMap<>();
-        for (int c = 0; c < levels.length; c++) {
-            byOpenness.computeIfAbsent(settings.classes().get(c).openness(), k -> new ArrayList<>()).add(c);
+        for (int cls = 0; cls < levels.length; cls++) {
+            byOpenness.computeIfAbsent(settings.classes().get(cls).openness(), key -> new ArrayList<>())
+                    .add(cls);
         }
         groups.addAll(byOpenness.values());
     }
 
-    private ClassSpec classSpec(int group) { return settings.classes().get(groups.get(group).get(0)); }
+    private ClassSpec classSpec(int group) {
+        return settings.classes().get(groups.get(group).get(0));
+    }
 
-    /** What a proxy asks of a group, in work as far as aims tell of it. */
+    /** The work that a proxy's requests of a group take; the aim stands for the work of one request. */
     private double workRate(ProxyState proxy, int group) {
-        return groups.get(group).stream().mapToDouble(c ->
-                proxy.usage[c] * settings.classes().get(c).aim()).sum();
+        return groups.get(group).stream()
+                .mapToDouble(cls -> proxy.usage[cls] * settings.classes().get(cls).aim()).sum();
     }
 
-    private double demand(Pool pool) {
-        return 1 + pool.proxies.values().stream().mapToDouble(p -> workRate(p, pool.group)).sum();
+    private double poolDemand(Pool pool) {
+        return 1 + pool.proxies.values().stream().mapToDouble(proxy -> workRate(proxy, pool.group)).sum();
     }
 
     /** How many table numbers a set of pools has: they are 16 bits for all regions and groups together. */
-    private int tablesPerPoolSet() { return ControlApi.ALL_TABLES / (groups.size() * regions); }
+    private int tablesPerPoolSet() {
+        return ControlApi.ALL_TABLES / (groups.size() * regions);
+    }
 
     private List<Pool> poolSet(int group, int region) {
-        return poolSets.computeIfAbsent(group * regions + region, k -> new ArrayList<>(List.of(
-                new Pool(k * tablesPerPoolSet(), group))));
+        return poolSets.computeIfAbsent(group * regions + region, key -> new ArrayList<>(List.of(
+                new Pool(key * tablesPerPoolSet(), group))));
     }
 
-    // What joined proxies ask of a group, by region, in work as far as aims tell of it. A region with none is
-    // taken for a usual one: its proxies may return, and must not meet tables laid for nobody.
-    private double[] demand(int group) {
-        double[] demand = new double[regions];
-        proxies.values().stream().filter(p -> p.joined)
-                .forEach(p -> demand[region(p.zone)] += workRate(p, group));
-        double usual = Math.max(1, Arrays.stream(demand).sum() / regions);
-        Arrays.setAll(demand, r -> demand[r] > 0 ? demand[r] : usual);
-        return demand;
+    /**
+     * The work rate of the joined proxies for a group, by region. A region without proxies counts as an
+     * average one: its proxies may come back, and the tables that they get must not be computed for no
+     * demand.
+     */
+    private double[] regionDemands(int group) {
+        double[] demands = new double[regions];
+        proxies.values().stream().filter(proxy -> proxy.joined)
+                .forEach(proxy -> demands[region(proxy.zone)] += workRate(proxy, group));
+        double average = Math.max(1, Arrays.stream(demands).sum() / regions);
+        Arrays.setAll(demands, region -> demands[region] > 0 ? demands[region] : average);
+        return demands;
     }
 
-    /** All tables: each backend is used in proportion to its capacity, confined classes placed first. */
+    /**
+     * Computes all tables. Each backend is used in proportion to its capacity; groups confined to some of the
+     * backends are placed first, and the others get the capacity that is left.
+     */
     private Map<Pool, TreeMap<Backend, Double>> computeTables(long now) {
-        TreeMap<Backend, Double> room = new TreeMap<>();
-        backends.forEach((backend, state) -> room.put(backend, state.capacity(now)));
-        double capacity = FleetState.sum(room.values());
-        List<double[]> demands = IntStream.range(0, groups.size()).mapToObj(this::demand).toList();
-        double asked = demands.stream().mapToDouble(d -> Arrays.stream(d).sum()).sum();
-        TreeMap<Backend, Double> left = new TreeMap<>(room);
-        left.replaceAll((backend, can) -> can * asked / Math.max(1e-9, capacity));
-        Map<Pool, TreeMap<Backend, Double>> laid = new LinkedHashMap<>();
+        TreeMap<Backend, Double> capacities = new TreeMap<>();
+        backends.forEach((backend, state) -> capacities.put(backend, state.capacity(now)));
+        double totalCapacity = FleetState.sum(capacities.values());
+        List<double[]> demands = IntStream.range(0, groups.size()).mapToObj(this::regionDemands).toList();
+        double totalDemand = demands.stream().mapToDouble(demand -> Arrays.stream(demand).sum()).sum();
+        TreeMap<Backend, Double> remaining = new TreeMap<>(capacities);
+        remaining.replaceAll((backend, capacity) -> capacity * totalDemand / Math.max(1e-9, totalCapacity));
+        Map<Pool, TreeMap<Backend, Double>> tables = new LinkedHashMap<>();
         for (int g = 0; g < groups.size(); g++) {
             int group = g;
-            TreeMap<Backend, Double> part = new TreeMap<>();
+            TreeMap<Backend, Double> shares = new TreeMap<>();
             for (BackendState state : backends.values()) {
                 Backend backend = state.member.backend();
-                if (room.get(backend) > 0 && classSpec(g).openTo(state.member)) {
-                    double rest = classSpec(g).confined() ? room.get(backend) : left.get(backend);
-                    part.put(backend, Math.max(1e-9, rest));
+                if (capacities.get(backend) > 0 && classSpec(g).openTo(state.member)) {
+                    double available =
+                            classSpec(g).confined() ? capacities.get(backend) : remaining.get(backend);
+                    shares.put(backend, Math.max(1e-9, available));
                 }
             }
-            double scale = Arrays.stream(demands.get(g)).sum() / FleetState.sum(part.values());
-            part.replaceAll((backend, share) -> share * scale);
-            part.forEach((backend, share) -> left.merge(backend, -share, Double::sum));
+            double scale = Arrays.stream(demands.get(g)).sum() / FleetState.sum(shares.values());
+            shares.replaceAll((backend, share) -> share * scale);
+            shares.forEach((backend, share) -> remaining.merge(backend, -share, Double::sum));
             for (int r = 0; r < regions; r++) {
-                TreeMap<Backend, Double> open = new TreeMap<>(part);
-                int own = r;
-                open.keySet().removeIf(b -> classSpec(group).ownZone()
-                        && region(backends.get(b).member.zone()) != own);
-                TreeMap<Backend, Double> flows = regionFlows(now, r, open, demands.get(g));
-                List<Pool> set = poolSet(g, r);
-                set.forEach(p -> p.demand = demand(p));
-                assignBackends(r, flows, set);
-                set.forEach(p -> laid.put(p, poolLines(now, p, flows, set)));
+                TreeMap<Backend, Double> permitted = new TreeMap<>(shares);
+                int region = r;
+                permitted.keySet().removeIf(backend -> classSpec(group).ownZone()
+                        && region(backends.get(backend).member.zone()) != region);
+                TreeMap<Backend, Double> flows = regionFlows(now, r, permitted, demands.get(g));
+                List<Pool> pools = poolSet(g, r);
+                pools.forEach(pool -> pool.demand = poolDemand(pool));
+                assignBackends(r, flows, pools);
+                pools.forEach(pool -> tables.put(pool, poolLines(now, pool, flows, pools)));
             }
         }
-        return laid;
+        return tables;
     }
 
-    // One table: its region's own backends as far as they have room, the rest where others leave some. What
-    // the region's proxies cannot reach has no room for them: their share moves on, if need be far.
-    private TreeMap<Backend, Double> regionFlows(long now, int region, TreeMap<Backend, Double> part,
-            double[] demand) {
-        TreeMap<Backend, Double> lines = new TreeMap<>();
-        part.forEach((backend, share) ->
-                lines.put(backend, share * backends.get(backend).paths[region].health));
-        if (FleetState.sum(lines.values()) <= 0) { lines.putAll(part); }
-        double all = Arrays.stream(demand).sum();
-        double scale = all / FleetState.sum(lines.values());
+    /**
+     * How one region's requests of a group are spread over the backends, in percent: to the region's own
+     * backends as far as they have room, the rest to other regions that have some to spare. A backend that
+     * the region's proxies cannot reach has no room for them; its share moves to others, even to distant
+     * ones.
+     */
+    private TreeMap<Backend, Double> regionFlows(long now, int region, TreeMap<Backend, Double> shares,
+            double[] demands) {
+        TreeMap<Backend, Double> flows = new TreeMap<>();
+        shares.forEach((backend, share) ->
+                flows.put(backend, share * backends.get(backend).paths[region].health));
+        if (FleetState.sum(flows.values()) <= 0) {
+            flows.putAll(shares);
+        }
+        double totalDemand = Arrays.stream(demands).sum();
+        double scale = totalDemand / FleetState.sum(flows.values());
         double[] room = new double[regions];
-        lines.forEach((backend, share) -> room[region(backends.get(backend).member.zone())] += share * scale);
-        double own = Math.min(demand[region], room[region]);
-        double spare = 1e-9 + IntStream.range(0, regions).filter(r -> r != region)
-                .mapToDouble(r -> Math.max(0, room[r] - demand[r])).sum();
-        double[] flow = new double[regions];
+        flows.forEach((backend, share) ->
+                room[region(backends.get(backend).member.zone())] += share * scale);
+        double servedLocally = Math.min(demands[region], room[region]);
+        double spareElsewhere = 1e-9 + IntStream.range(0, regions).filter(other -> other != region)
+                .mapToDouble(other -> Math.max(0, room[other] - demands[other])).sum();
+        double[] flowPerShare = new double[regions];
         for (int r = 0; r < regions; r++) {
-            flow[r] = r == region ? own : (demand[region] - own) * Math.max(0, room[r] - demand[r]) / spare;
-            flow[r] = room[r] <= 0 ? 0 : flow[r] / room[r] / demand[region] + CROSS_ZONE_TRICKLE_FRACTION / all;
+            flowPerShare[r] = r == region ? servedLocally
+                    : (demands[region] - servedLocally) * Math.max(0, room[r] - demands[r]) / spareElsewhere;
+            flowPerShare[r] = room[r] <= 0 ? 0
+                    : flowPerShare[r] / room[r] / demands[region] + CROSS_ZONE_TRICKLE_FRACTION / totalDemand;
         }
-        lines.replaceAll((backend, share) -> {
+        flows.replaceAll((backend, share) -> {
             BackendState state = backends.get(backend);
-            double weight = share * flow[region(state.member.zone())];
-            return state.warmth(now) < 1 ? Math.min(weight, MAX_COLD_DEMAND_RATIO * share / all) : weight;
+            double weight = share * flowPerShare[region(state.member.zone())];
+            return state.warmth(now) < 1
+                    ? Math.min(weight, MAX_COLD_DEMAND_RATIO * share / totalDemand) : weight;
         });
-        double sum = FleetState.sum(lines.values());
-        lines.replaceAll((backend, weight) -> 100 * weight / sum);
-        return lines;
+        double sum = FleetState.sum(flows.values());
+        flows.replaceAll((backend, weight) -> 100 * weight / sum);
+        return flows;
     }
 
-    // Who is in which pool. A fleet that fits into one pool is one pool. Otherwise each backend that the
-    // region uses is in one, a pool too short of what is used is refilled at once, and each has a way out of
-    // its zone. Members stay as long as they can: moving a line closes connections.
-    private void assignBackends(int region, Map<Backend, Double> flows, List<Pool> set) {
-        int most = Math.min(tablesPerPoolSet(), settings.proxies() / Math.max(1, settings.instances())
+    /**
+     * Assigns backends to pools. A fleet that fits into one pool has one pool. Otherwise each backend that
+     * the region uses is in some pool, a pool with too little supply is refilled at once, and each pool holds
+     * backends of other zones. Members stay as long as possible: moving a line closes connections.
+     */
+    private void assignBackends(int region, Map<Backend, Double> flows, List<Pool> pools) {
+        int maxPools = Math.min(tablesPerPoolSet(), settings.proxies() / Math.max(1, settings.instances())
                 / (MIN_PROXIES_PER_TABLE * regions * groups.size()));
-        Predicate<Backend> away = b -> region(backends.get(b).member.zone()) != region;
-        long own = flows.keySet().stream().filter(away.negate()).count();
-        while (flows.size() > MAX_POOL_BACKENDS && set.size() < Math.min(most, own / MIN_BACKENDS_PER_POOL)) {
-            set.add(set.get(0).sibling(set.get(0).table + set.size()));
+        Predicate<Backend> remote = backend -> region(backends.get(backend).member.zone()) != region;
+        long localBackends = flows.keySet().stream().filter(remote.negate()).count();
+        while (flows.size() > MAX_POOL_BACKENDS
+                && pools.size() < Math.min(maxPools, localBackends / MIN_BACKENDS_PER_POOL)) {
+            pools.add(pools.get(0).sibling(pools.get(0).table + pools.size()));
         }
-        if (set.size() == 1) {
-            flows.keySet().forEach(set.get(0)::add);
+        if (pools.size() == 1) {
+            flows.keySet().forEach(pools.get(0)::add);
             return;
         }
-        flows.keySet().stream().filter(b -> flows.get(b) * flows.size() >= MIN_POOLED_FLOW_PERCENT
-                && set.get(0).poolCount(b) == 0).forEach(b -> addToPool(Collections.min(set,
-                        Comparator.comparing(p -> p.supplyRatio(flows))), b, flows));
-        boolean settled = !joinPending && evaluatedRounds > LEARNING_ROUNDS; // while proxies join, demand tells nothing
-        double fair = REFILL_SUPPLY_FRACTION * 100 / set.stream().mapToDouble(p -> p.demand).sum();
-        for (Pool pool : set) {
-            for (int i = 0; settled && i < MAX_POOL_BACKENDS && pool.supplyRatio(flows) < fair; i++) {
-                refillPool(pool, b -> true, flows, set);
+        flows.keySet().stream()
+                .filter(backend -> flows.get(backend) * flows.size() >= MIN_POOLED_FLOW_PERCENT
+                        && pools.get(0).poolCount(backend) == 0)
+                .forEach(backend -> addToPool(Collections.min(pools,
+                        Comparator.comparing(pool -> pool.supplyRatio(flows))), backend, flows));
+        // While proxies join, the demand of a pool is not known.
+        boolean demandKnown = !joinPending && evaluatedRounds > LEARNING_ROUNDS;
+        double minSupply =
+                REFILL_SUPPLY_FRACTION * 100 / pools.stream().mapToDouble(pool -> pool.demand).sum();
+        for (Pool pool : pools) {
+            for (int i = 0; demandKnown && i < MAX_POOL_BACKENDS && pool.supplyRatio(flows) < minSupply;
+                    i++) {
+                refillPool(pool, backend -> true, flows, pools);
             }
-            for (long i = pool.members.stream().filter(away).count(); regions > 1 && i < MIN_REMOTE_BACKENDS; i++) {
-                refillPool(pool, away, flows, set);
+            for (long i = pool.members.stream().filter(remote).count();
+                    regions > 1 && i < MIN_REMOTE_BACKENDS; i++) {
+                refillPool(pool, remote, flows, pools);
             }
         }
     }
 
-    private void refillPool(Pool pool, Predicate<Backend> fit, Map<Backend, Double> flows, List<Pool> set) {
-        flows.keySet().stream().filter(b -> !pool.members.contains(b) && fit.test(b))
-                .max(Comparator.comparing(b -> flows.get(b) / (1 + pool.poolCount(b))))
-                .ifPresent(b -> addToPool(pool, b, flows));
+    private void refillPool(Pool pool, Predicate<Backend> eligible, Map<Backend, Double> flows,
+            List<Pool> pools) {
+        flows.keySet().stream().filter(backend -> !pool.members.contains(backend) && eligible.test(backend))
+                .max(Comparator.comparing(backend -> flows.get(backend) / (1 + pool.poolCount(backend))))
+                .ifPresent(backend -> addToPool(pool, backend, flows));
     }
 
+    /** Adds a backend to a pool; a full pool loses the member with the smallest flow. */
     private static void addToPool(Pool pool, Backend backend, Map<Backend, Double> flows) {
         if (pool.members.size() >= MAX_POOL_BACKENDS) {
             pool.remove(Collections.min(pool.members,
-                    Comparator.comparing(b -> flows.getOrDefault(b, 0.0))));
+                    Comparator.comparing(member -> flows.getOrDefault(member, 0.0))));
         }
         pool.add(backend);
     }
 
-    /** A pool's lines: its members' flows, parted among the pools that hold them; little of any cold one. */
+    /**
+     * The lines of a pool's table: the flow of each member, divided among the pools that hold it. Lines of
+     * cold backends are bounded.
+     */
     private TreeMap<Backend, Double> poolLines(long now, Pool pool, Map<Backend, Double> flows,
-            List<Pool> set) {
+            List<Pool> pools) {
         TreeMap<Backend, Double> lines = new TreeMap<>(flows);
         lines.keySet().retainAll(pool.members);
         lines.replaceAll((backend, flow) -> flow / pool.poolCount(backend));
-        double part = 100 / Math.max(1e-9, FleetState.sum(lines.values()));
-        double all = set.stream().mapToDouble(p -> p.demand).sum();
+        double scale = 100 / Math.max(1e-9, FleetState.sum(lines.values()));
+        double totalDemand = pools.stream().mapToDouble(other -> other.demand).sum();
         lines.replaceAll((backend, flow) -> {
-            double reach = set.stream().filter(p -> p.members.contains(backend))
-                    .mapToDouble(p -> p.demand).sum();
+            double demandOfHolders = pools.stream().filter(other -> other.members.contains(backend))
+                    .mapToDouble(other -> other.demand).sum();
             boolean cold = backends.get(backend).warmth(now) < 1;
-            return Math.min(cold ? MAX_COLD_DEMAND_RATIO * flows.get(backend) * all / reach : 100, flow * part);
+            return Math.min(cold
+                    ? MAX_COLD_DEMAND_RATIO * flows.get(backend) * totalDemand / demandOfHolders : 100,
+                    flow * scale);
         });
         return lines;
     }
 
-    /** Evens pools out by what their proxies ask: the busiest hands a fitting proxy to the idlest. */
-    private void rebalanceProxies(List<Pool> set) {
-        Pool most = Collections.max(set, Comparator.comparing(this::demand));
-        Pool least = Collections.min(set, Comparator.comparing(this::demand));
-        double gap = demand(most) - demand(least);
-        most.proxies.entrySet().stream()
-                .filter(e -> gap > REBALANCE_GAP_FRACTION * demand(most) && workRate(e.getValue(), most.group) < gap)
-                .min(Comparator.comparing(e -> Math.abs(workRate(e.getValue(), most.group) - gap / 2)))
-                .ifPresent(e -> {
-                    e.getValue().moveTo(e.getKey(), least);
-                    bindQueue.add(e.getKey());
+    /** Moves one proxy of suitable demand from the pool with the most demand to the one with the least. */
+    private void rebalanceProxies(List<Pool> pools) {
+        Pool busiest = Collections.max(pools, Comparator.comparing(this::poolDemand));
+        Pool idlest = Collections.min(pools, Comparator.comparing(this::poolDemand));
+        double gap = poolDemand(busiest) - poolDemand(idlest);
+        busiest.proxies.entrySet().stream()
+                .filter(entry -> gap > REBALANCE_GAP_FRACTION * poolDemand(busiest)
+                        && workRate(entry.getValue(), busiest.group) < gap)
+                .min(Comparator.comparing(entry ->
+                        Math.abs(workRate(entry.getValue(), busiest.group) - gap / 2)))
+                .ifPresent(entry -> {
+                    entry.getValue().moveTo(entry.getKey(), idlest);
+                    bindQueue.add(entry.getKey());
                 });
     }
 
     // ---- 4. Levels --------------------------------------------------------------------------------------
+    // Detects overload, keeps the total rate that all proxies together may admit, and divides it among
+    // classes and proxies.
 
-    private double openLevel() { return settings.admission() == Admission.SHARE ? 1 : OPEN_RATE_PER_SECOND; }
+    private double openLevel() {
+        return settings.admission() == Admission.SHARE ? 1 : OPEN_RATE_PER_SECOND;
+    }
 
     private void updateUsage(long now, double seconds) {
-        proxies.values().removeIf(p -> !p.joined && now - p.leftAt > PROXY_LEASE_NS);
+        proxies.values().removeIf(proxy -> !proxy.joined && now - proxy.leftAt > PROXY_LEASE_NS);
         double reports = backends.size() * settings.zones() + proxies.size() * levels.length;
-        double cycle = reports / settings.hearsPerSecond();
+        double cycleSeconds = reports / settings.hearsPerSecond();
         for (ProxyState proxy : proxies.values()) {
             proxy.hasReported |= Arrays.stream(proxy.newRequests).sum() > 0;
             proxy.presence = smooth(proxy.presence, proxy.joined && proxy.hasReported ? 1 : 0);
-            if (proxy.joined && proxy.hasReported) { proxy.endRound(seconds, cycle, SMOOTHING_FACTOR); }
+            if (proxy.joined && proxy.hasReported) {
+                proxy.endRound(seconds, cycleSeconds, SMOOTHING_FACTOR);
+            }
         }
     }
 
-    /** The design's total: set once at overload to the served rate, lowered with patience, raised in calm. */
+    /**
+     * Updates the total rate by the design's rules: set once to the served rate when overload begins, lowered
+     * step by step while it lasts, raised without overload.
+     */
     private void updateTotal(long now, double seconds) {
-        List<BackendState> judged = backends.values().stream().filter(s -> s.isReady()
-                && s.allRegions.tries >= MIN_TRIES).toList();
-        double good = backends.values().stream().mapToDouble(s -> s.allRegions.tries - s.allRegions.failed).sum();
-        double served = good * SMOOTHING_FACTOR / seconds;
-        double capacity = backends.values().stream().mapToDouble(s -> s.capacity(now)).sum();
+        List<BackendState> judged = backends.values().stream()
+                .filter(state -> state.isReady() && state.allRegions.tries >= MIN_TRIES).toList();
+        double succeeded = backends.values().stream()
+                .mapToDouble(state -> state.allRegions.tries - state.allRegions.failed).sum();
+        double servedRate = succeeded * SMOOTHING_FACTOR / seconds;
+        double capacity = backends.values().stream().mapToDouble(state -> state.capacity(now)).sum();
         usualCapacity = Math.max(capacity, smooth(usualCapacity, capacity));
-        double known = provenRatePerCapacity * capacity;
-        judged.stream().filter(s -> s.quietLatency == 0 || latency(s.allRegions) > 0 && latency(s.allRegions) < s.quietLatency)
-                .forEach(s -> s.quietLatency = latency(s.allRegions));
-        long over = judged.stream().filter(this::isOverloaded).count();
-        boolean jammed = judged.stream().filter(this::isCongested).count() * 2 > judged.size();
-        boolean was = overloadedRounds > 0;
-        levelReason = LevelLog.Reason.DEMAND; // unless the total changes, only usage can move levels
-        double tries = backends.values().stream().mapToDouble(s -> s.allRegions.tries).sum();
-        boolean blind = judged.isEmpty() && tries - good > CONGESTION_FAILURE_FRACTION * tries; // too few tries, and they fail
-        if (!blind && over * 2 <= judged.size()) {
-            provenRatePerCapacity = Math.max(provenRatePerCapacity, served / Math.max(1e-9, usualCapacity));
+        double provenRate = provenRatePerCapacity * capacity;
+        judged.stream().filter(state -> state.quietLatency == 0
+                        || latency(state.allRegions) > 0 && latency(state.allRegions) < state.quietLatency)
+                .forEach(state -> state.quietLatency = latency(state.allRegions));
+        long overloadedBackends = judged.stream().filter(this::isOverloaded).count();
+        boolean congested = judged.stream().filter(this::isCongested).count() * 2 > judged.size();
+        boolean wasOverloaded = overloadedRounds > 0;
+        // Unless the total changes below, only usage can change levels.
+        levelReason = LevelLog.Reason.DEMAND;
+        double tries = backends.values().stream().mapToDouble(state -> state.allRegions.tries).sum();
+        // Too few tries to judge any backend, and they fail: neither overload nor its end can be seen.
+        boolean blind = judged.isEmpty() && tries - succeeded > CONGESTION_FAILURE_FRACTION * tries;
+        if (!blind && overloadedBackends * 2 <= judged.size()) {
+            provenRatePerCapacity =
+                    Math.max(provenRatePerCapacity, servedRate / Math.max(1e-9, usualCapacity));
             overloadedRounds = 0;
             levelReason = LevelLog.Reason.RAISED;
-            double busy = judged.stream().mapToDouble(s -> s.lastUtilization).average().orElse(0);
-            double raise = busy > 0 ? Math.max(MIN_RAISE_PER_SECOND, Math.min(FAST_RAISE_PER_SECOND, TARGET_UTILIZATION / busy)) : RAISE_PER_SECOND;
-            double calm = Math.min(seconds, ROUNDS_BETWEEN_REDUCTIONS * roundLengthNs / NS_PER_SECOND); // a silence is no long calm
-            totalRate *= Math.pow(totalRate < known ? FAST_RAISE_PER_SECOND : raise, calm);
-            totalRate = Math.max(totalRate, HEADROOM_FRACTION * served); // else a total of zero would stay
-            double ahead = busy > 0 ? Math.max(MAX_TOTAL_TO_SERVED_RATIO, TARGET_UTILIZATION / busy) : MAX_TOTAL_TO_SERVED_RATIO;
-            double bound = Math.max(ahead * served * countedToPresentRatio(), known);
+            double utilization = judged.stream()
+                    .mapToDouble(state -> state.lastUtilization).average().orElse(0);
+            double raise = utilization > 0
+                    ? Math.max(MIN_RAISE_PER_SECOND,
+                            Math.min(FAST_RAISE_PER_SECOND, TARGET_UTILIZATION / utilization))
+                    : RAISE_PER_SECOND;
+            // A silence does not count as a long time without overload.
+            double calmSeconds = Math.min(seconds, ROUNDS_BETWEEN_REDUCTIONS * roundLengthNs / NS_PER_SECOND);
+            totalRate *= Math.pow(totalRate < provenRate ? FAST_RAISE_PER_SECOND : raise, calmSeconds);
+            // Otherwise a total of zero would stay zero.
+            totalRate = Math.max(totalRate, HEADROOM_FRACTION * servedRate);
+            double maxRatio = utilization > 0
+                    ? Math.max(MAX_TOTAL_TO_SERVED_RATIO, TARGET_UTILIZATION / utilization)
+                    : MAX_TOTAL_TO_SERVED_RATIO;
+            double bound = Math.max(maxRatio * servedRate * countedToPresentRatio(), provenRate);
             totalRate = Double.isInfinite(totalRate) ? totalRate : Math.min(totalRate, bound);
         } else if (!blind && evaluatedRounds > LEARNING_ROUNDS) {
             overloadedRounds++;
-            if (!was) {
+            if (!wasOverloaded) {
                 levelReason = LevelLog.Reason.SET;
-                totalRate = Math.min(totalRate, Math.max(served * (jammed ? HEADROOM_FRACTION : 1), PROVEN_RATE_FRACTION * known));
+                totalRate = Math.min(totalRate, Math.max(servedRate * (congested ? HEADROOM_FRACTION : 1),
+                        PROVEN_RATE_FRACTION * provenRate));
             } else if (overloadedRounds > ROUNDS_BETWEEN_REDUCTIONS) {
                 levelReason = LevelLog.Reason.LOWERED;
                 totalRate *= HEADROOM_FRACTION;
                 overloadedRounds = 1;
             }
         }
-        if (was != overloadedRounds > 0) {
-            actions.add(new Log(was ? "overload ends" : "overload begins: " + over + " of " + judged.size()
-                    + " backends, " + Math.round(served) + "/s served, total " + Math.round(totalRate) + "/s"));
+        if (wasOverloaded != overloadedRounds > 0) {
+            actions.add(new Log(wasOverloaded ? "overload ends"
+                    : "overload begins: " + overloadedBackends + " of " + judged.size() + " backends, "
+                            + Math.round(servedRate) + "/s served, total " + Math.round(totalRate) + "/s"));
         }
     }
 
-    // Levels are shared by all that are counted; what is served is told of those here, smoothed. Who came of
-    // late is not in those sums yet, who left no longer: else a total bounded by them holds back, in calm,
-    // those who stay while the departed are counted.
+    /**
+     * The demand of all counted proxies over that of the proxies in the served rate. Levels are shared by all
+     * counted proxies, departed ones included, while the served rate is a smoothed sum over the proxies that
+     * report here: late joiners are not in it yet, departed ones no longer. Without this ratio a total
+     * bounded by the served rate would, without any overload, restrict the proxies that stay while the
+     * departed ones are counted.
+     */
     private double countedToPresentRatio() {
         double present = proxies.values().stream()
-                .mapToDouble(p -> p.presence * Arrays.stream(p.usage).sum()).sum();
-        return present <= 0 ? 1 : Math.min(1 / SMOOTHING_FACTOR, demand() / present);
+                .mapToDouble(proxy -> proxy.presence * Arrays.stream(proxy.usage).sum()).sum();
+        return present <= 0 ? 1 : Math.min(1 / SMOOTHING_FACTOR, totalUsage() / present);
     }
 
-    private double demand() {
-        return proxies.values().stream().mapToDouble(p -> Arrays.stream(p.usage).sum()).sum();
+    private double totalUsage() {
+        return proxies.values().stream().mapToDouble(proxy -> Arrays.stream(proxy.usage).sum()).sum();
     }
 
-    // Overload shows in a jam (all that a controller restarted in one can know), in failures, or in answers
-    // twice as slow as in quiet and slow enough to matter; not while its cores idle: then the way is slow.
+    /**
+     * Whether a backend is overloaded. Signs are congestion (the only sign that a controller restarted during
+     * congestion has), failures, full cores, or answers that are twice as slow as when quiet and slow enough
+     * to matter. A backend whose cores are idle is not overloaded: then the network path is slow.
+     */
     private boolean isOverloaded(BackendState state) {
-        if (state.utilization > 0 && state.lastUtilization < IDLE_UTILIZATION) { return false; }
-        boolean slower = state.allRegions.lastLatencyNs == 0 || state.allRegions.lastLatencyNs > QUEUEING_LATENCY_RATIO * state.quietLatency;
-        boolean waits = settings.columns().queue() >= 0 ? meanQueueLength > QUEUEING_MEAN_LENGTH : slower;
-        boolean failing = state.allRegions.lastFailureFraction > OVERLOAD_FAILURE_FRACTION && waits;
+        if (state.utilization > 0 && state.lastUtilization < IDLE_UTILIZATION) {
+            return false;
+        }
+        boolean slower = state.allRegions.lastLatencyNs == 0
+                || state.allRegions.lastLatencyNs > QUEUEING_LATENCY_RATIO * state.quietLatency;
+        boolean queueing =
+                settings.columns().queue() >= 0 ? meanQueueLength > QUEUEING_MEAN_LENGTH : slower;
+        boolean failing = state.allRegions.lastFailureFraction > OVERLOAD_FAILURE_FRACTION && queueing;
         return isCongested(state) || state.lastUtilization > SATURATED_UTILIZATION || failing
-                || state.allRegions.lastLatencyNs > Math.max(OVERLOAD_LATENCY_RATIO * state.quietLatency, tightestAimNs / 2);
+                || state.allRegions.lastLatencyNs
+                        > Math.max(OVERLOAD_LATENCY_RATIO * state.quietLatency, tightestAimNs / 2);
     }
 
-    /** A jam: answers come too late to be of use, and what is let in only waits. Queues must drain first. */
+    /**
+     * Whether answers come too late to be of use, so that admitted requests only queue. The queues must drain
+     * before the backend can serve again.
+     */
     private boolean isCongested(BackendState state) {
-        return state.allRegions.lastFailureFraction > CONGESTION_FAILURE_FRACTION || state.allRegions.lastLatencyNs > tightestAimNs;
+        return state.allRegions.lastFailureFraction > CONGESTION_FAILURE_FRACTION
+                || state.allRegions.lastLatencyNs > tightestAimNs;
     }
 
-    /** Shares the part out, worthiest class first; a class's rest becomes one even level for all. */
+    /**
+     * Divides the total rate among the classes, highest worth first. The class that it does not suffice for
+     * gets the rest, as one level that is the same for all proxies.
+     */
     private void computeLevels() {
-        double demand = demand();
-        if (totalRate >= LIFT_DEMAND_RATIO * demand) { totalRate = Double.POSITIVE_INFINITY; }
-        double part = totalRate;
-        double[] leastParts = minLevelFractions();
+        double demand = totalUsage();
+        if (totalRate >= LIFT_DEMAND_RATIO * demand) {
+            totalRate = Double.POSITIVE_INFINITY;
+        }
+        double remaining = totalRate;
+        double[] minFractions = minLevelFractions();
         for (int cls : classesByWorth) {
-            double[] usage = proxies.values().stream().mapToDouble(p -> p.usage[cls]).sorted().toArray();
-            double asked = Arrays.stream(usage).sum();
+            double[] usage = proxies.values().stream()
+                    .mapToDouble(proxy -> proxy.usage[cls]).sorted().toArray();
+            double classDemand = Arrays.stream(usage).sum();
             boolean share = settings.admission() == Admission.SHARE;
-            double least = leastParts[cls] == 1 ? openLevel() : share ? leastParts[cls]
-                    : leastParts[cls] * asked / Math.max(1, usage.length);
-            levels[cls] = part >= asked ? openLevel()
-                    : Math.max(least, share ? part / asked : evenLevel(usage, part));
-            atFloor[cls] = levels[cls] == least;
-            part = Math.max(0, part - asked);
+            double minLevel = minFractions[cls] == 1 ? openLevel() : share ? minFractions[cls]
+                    : minFractions[cls] * classDemand / Math.max(1, usage.length);
+            levels[cls] = remaining >= classDemand ? openLevel()
+                    : Math.max(minLevel, share ? remaining / classDemand : evenLevel(usage, remaining));
+            atFloor[cls] = levels[cls] == minLevel;
+            remaining = Math.max(0, remaining - classDemand);
         }
     }
 
-    // Levels count requests, and what they free is work. A tenth of it is kept for the lightest requests,
-    // whatever they are worth: turning them away frees next to nothing, and the overload stays.
+    /**
+     * The lowest level of each class, as a fraction of its usage. Levels count requests, while what they free
+     * is work. A tenth of the work is reserved for the classes with the lightest requests, whatever their
+     * worth: rejecting those frees next to nothing, and the overload stays.
+     */
     private double[] minLevelFractions() {
-        double[] work = IntStream.range(0, levels.length).mapToDouble(c -> settings.classes().get(c).aim()
-                * proxies.values().stream().mapToDouble(p -> p.usage[c]).sum()).toArray();
-        double kept = MIN_LEVEL_FRACTION * Arrays.stream(work).sum();
-        double[] parts = new double[levels.length];
+        double[] work = IntStream.range(0, levels.length)
+                .mapToDouble(cls -> settings.classes().get(cls).aim()
+                        * proxies.values().stream().mapToDouble(proxy -> proxy.usage[cls]).sum())
+                .toArray();
+        double reserved = MIN_LEVEL_FRACTION * Arrays.stream(work).sum();
+        double[] fractions = new double[levels.length];
         for (int cls : classesByAim) {
-            parts[cls] = Math.max(MIN_LEVEL_FRACTION, Math.min(1, kept / Math.max(1e-9, work[cls])));
-            kept = Math.max(0, kept - work[cls]);
+            fractions[cls] = Math.max(MIN_LEVEL_FRACTION, Math.min(1, reserved / Math.max(1e-9, work[cls])));
+            reserved = Math.max(0, reserved - work[cls]);
         }
-        return parts;
+        return fractions;
     }
 
-    /** The one level at which what all proxies can use adds up to the part; usage comes sorted. */
-    static double evenLevel(double[] usage, double part) {
-        double left = part;
+    /**
+     * The one level for all proxies at which the rates that they can use add up to {@code rate}.
+     *
+     * @param usage the usage of each proxy, sorted in ascending order
+     */
+    static double evenLevel(double[] usage, double rate) {
+        double remaining = rate;
         for (int i = 0; i < usage.length; i++) {
-            double even = left / (usage.length - i);
-            if (usage[i] >= even) { return even; }
-            left -= usage[i];
+            double even = remaining / (usage.length - i);
+            if (usage[i] >= even) {
+                return even;
+            }
+            remaining -= usage[i];
         }
         return OPEN_RATE_PER_SECOND;
     }
 
     // ---- 5. Sender --------------------------------------------------------------------------------------
+    // Orders what differs from what the proxies were sent. Order of precedence: withdrawals, binds of waiting
+    // proxies, then lines and levels; each kind may fill only a part of the channel's backlog.
 
     private void handleJoin(long now, ProxyJoined joined) {
         ProxyState proxy = proxies.computeIfAbsent(joined.proxy(),
-                p -> new ProxyState(levels.length, groups.size()));
-        boolean stays = proxy.pools[0] != null && region(proxy.zone) == region(joined.zone());
+                number -> new ProxyState(levels.length, groups.size()));
+        boolean keepsPools = proxy.pools[0] != null && region(proxy.zone) == region(joined.zone());
         proxy.join(joined.zone(), now);
-        if (proxy.pools[0] == null) { Arrays.fill(proxy.usage, joined.rate() / levels.length); }
-        for (int g = 0; g < groups.size(); g++) {
-            proxy.moveTo(joined.proxy(), stays ? proxy.pools[g] : Collections.min(
-                    poolSet(g, region(joined.zone())), Comparator.comparing(this::demand)));
+        if (proxy.pools[0] == null) {
+            Arrays.fill(proxy.usage, joined.rate() / levels.length);
+        }
+        for (int group = 0; group < groups.size(); group++) {
+            proxy.moveTo(joined.proxy(), keepsPools ? proxy.pools[group] : Collections.min(
+                    poolSet(group, region(joined.zone())), Comparator.comparing(this::poolDemand)));
         }
         bindQueue.add(joined.proxy());
         this.joinPending = true;
     }
 
-    /** Joining proxies are bound as the channel has room; other orders wait for it and the message budget. */
+    /**
+     * Orders what has to be sent now. Joining proxies are bound as the channel has room; other orders wait
+     * for room and for the message budget.
+     */
     private void sendOrders(long now, boolean round) {
-        double paced = lastDrainAt == 0 ? 0 : (now - lastDrainAt) / NS_PER_SECOND * settings.channel().linesPerSecond();
-        channelBacklog.assumeSent(paced * UNCONFIRMED_PACE_FRACTION);
-        ordinaryLineAllowance = Math.min(maxBulkLines(ORDINARY_BACKLOG_FRACTION), ordinaryLineAllowance + paced * ORDINARY_PACE_FRACTION);
+        double pacedLines = lastDrainAt == 0 ? 0
+                : (now - lastDrainAt) / NS_PER_SECOND * settings.channel().linesPerSecond();
+        channelBacklog.assumeSent(pacedLines * UNCONFIRMED_PACE_FRACTION);
+        ordinaryLineAllowance = Math.min(maxBulkLines(ORDINARY_BACKLOG_FRACTION),
+                ordinaryLineAllowance + pacedLines * ORDINARY_PACE_FRACTION);
         lastDrainAt = now;
         holdColdBackends(now);
         if (settings.slices() > 0) {
-            sendWithdrawals(true); // sites with slices get legal orders only
+            sendWithdrawals(true); // on sites with slices only these orders are legal
             return;
         }
-        // Who waits to be bound comes before lines: old tables may name the gone.
-        if (!joinPending && !withdrawalPending()) { bindProxies(now); }
+        // Waiting proxies are bound before lines are sent: their old tables may hold backends that are gone.
+        if (!joinPending && !withdrawalPending()) {
+            bindProxies(now);
+        }
         boolean due = (round || listChangePending || joinPending) && now >= nextMessageAt;
         boolean room = channelBacklog.waitingLines() <= maxBulkLines(URGENT_BACKLOG_FRACTION);
-        if (due && channelBacklog.waitingLines() <= maxWaitingLines(URGENT_BACKLOG_FRACTION)) { sendWithdrawals(room); }
+        if (due && channelBacklog.waitingLines() <= maxWaitingLines(URGENT_BACKLOG_FRACTION)) {
+            sendWithdrawals(room);
+        }
         if (due && room) {
             sendLines(computeTables(now), round);
             sendLevels();
@@ -736,163 +1107,205 @@
             poolSets.values().forEach(this::rebalanceProxies);
             removeGoneBackends(now);
         }
-        if (!withdrawalPending()) { bindProxies(now); }
+        if (!withdrawalPending()) {
+            bindProxies(now);
+        }
         int mark = channelBacklog.closeReply();
         if (mark >= 0) {
-            actions.add(new Mark(mark)); // the answers tell what has left the channel
+            actions.add(new Mark(mark)); // its answers tell what has left the channel
             nextMessageAt = now + (long) (MESSAGE_GAP_FACTOR * settings.channel().messageGap());
         }
     }
 
-    /** Whether a withdrawal waits: binds that fill the channel again and again would hold it back. */
+    /**
+     * Whether a withdrawal waits to be sent. Binds stop then: they would fill the channel again and again.
+     */
     private boolean withdrawalPending() {
-        return backends.values().stream().anyMatch(s -> !s.withdrawn && !s.isOpen());
+        return backends.values().stream().anyMatch(state -> !state.withdrawn && !state.isOpen());
     }
 
-    /** Lines that may wait, so that a withdrawal behind them still arrives within the grace. */
-    private double maxWaitingLines(double part) {
+    /** The lines that may wait in the channel so that a withdrawal behind them arrives within the grace. */
+    private double maxWaitingLines(double fraction) {
         Channel channel = settings.channel();
-        double grace = Math.max(0.5, (settings.rules().drainGrace() - channel.latest()) / NS_PER_SECOND);
-        return Math.min(part * channel.backlog(), GRACE_BACKLOG_FRACTION * grace * channel.linesPerSecond());
+        double graceSeconds =
+                Math.max(0.5, (settings.rules().drainGrace() - channel.latest()) / NS_PER_SECOND);
+        return Math.min(fraction * channel.backlog(),
+                GRACE_BACKLOG_FRACTION * graceSeconds * channel.linesPerSecond());
     }
 
-    /** The same for what can be put off. */
-    private double maxBulkLines(double part) {
-        return Math.min(maxWaitingLines(part), part * BULK_BACKLOG_SECONDS * settings.channel().linesPerSecond());
+    /** The same limit for orders that can be deferred. */
+    private double maxBulkLines(double fraction) {
+        return Math.min(maxWaitingLines(fraction),
+                fraction * BULK_BACKLOG_SECONDS * settings.channel().linesPerSecond());
     }
 
+    /** Binds waiting proxies in order, as far as the channel has room; sets a timer for the others. */
     private void bindProxies(long now) {
         Channel channel = settings.channel();
-        double most = BIND_BACKLOG_FRACTION * Math.min(channel.backlog(), BULK_BACKLOG_SECONDS * channel.linesPerSecond());
-        for (Iterator<Integer> first = bindQueue.iterator(); first.hasNext();) {
-            int number = first.next();
+        double maxLines = BIND_BACKLOG_FRACTION
+                * Math.min(channel.backlog(), BULK_BACKLOG_SECONDS * channel.linesPerSecond());
+        for (Iterator<Integer> queue = bindQueue.iterator(); queue.hasNext();) {
+            int number = queue.next();
             ProxyState proxy = proxies.get(number);
             double lines = 0;
             for (Pool pool : proxy.pools) {
                 lines += 1 + pool.sentWeights.size() + groups.get(pool.group).size();
-                lines += pool.sentWeights.keySet().stream().filter(b -> backends.get(b).withdrawn).count();
+                lines += pool.sentWeights.keySet().stream()
+                        .filter(backend -> backends.get(backend).withdrawn).count();
                 lines += backendsToReadmit(now, proxy, pool).size();
             }
-            double over = channelBacklog.waitingLines() + lines + settings.channel().head() + 1 - most;
-            if (channelBacklog.waitingLines() > 0 && over > 0) {
-                double wait = NS_PER_SECOND * over / settings.channel().linesPerSecond();
-                timers.set(now, now + Math.max(MIN_SEND_WAIT_NS, (long) wait), Timers.BIND, actions);
+            double excess = channelBacklog.waitingLines() + lines + settings.channel().head() + 1 - maxLines;
+            if (channelBacklog.waitingLines() > 0 && excess > 0) {
+                double waitNs = NS_PER_SECOND * excess / settings.channel().linesPerSecond();
+                timers.set(now, now + Math.max(MIN_SEND_WAIT_NS, (long) waitNs), Timers.BIND, actions);
                 return;
             }
             for (Pool pool : proxy.pools) {
-                int classes = groups.get(pool.group).stream().mapToInt(c -> 1 << c).sum();
+                int classes = groups.get(pool.group).stream().mapToInt(cls -> 1 << cls).sum();
                 actions.add(new Bind(number, pool.table, classes, backendsToReadmit(now, proxy, pool)));
             }
             channelBacklog.add(proxy, lines, settings.channel().head() + 1);
             proxy.bound = true;
-            first.remove();
+            queue.remove();
         }
     }
 
-    // A proxy shuts out on another instance's order what that one had no time to let back: backends that were
-    // too cold at the latest when it was away.
+    /**
+     * The backends of a pool that a newly joined proxy may still exclude on the order of another instance,
+     * which had no time to readmit them: those that were too cold at the latest time at which the proxy was
+     * away.
+     */
     private List<Backend> backendsToReadmit(long now, ProxyState proxy, Pool pool) {
-        return proxy.bound ? List.of() : pool.sentWeights.keySet().stream().filter(b -> {
-            BackendState state = backends.get(b);
-            return !state.withdrawn && state.warmth(proxy.joinedAt - MAX_RECONNECT_NS) < MIN_WARMTH_IN_OVERLOAD;
+        return proxy.bound ? List.of() : pool.sentWeights.keySet().stream().filter(backend -> {
+            BackendState state = backends.get(backend);
+            return !state.withdrawn
+                    && state.warmth(proxy.joinedAt - MAX_RECONNECT_NS) < MIN_WARMTH_IN_OVERLOAD;
         }).toList();
     }
 
-    private void emit(Action action, Collection<ProxyState> users) {
+    /** Adds an order and counts its line for each recipient. */
+    private void emit(Action action, Collection<ProxyState> recipients) {
         actions.add(action);
-        users.forEach(proxy -> channelBacklog.add(proxy, 1, settings.channel().head() + 1));
+        recipients.forEach(proxy -> channelBacklog.add(proxy, 1, settings.channel().head() + 1));
     }
 
-    // A very cold backend stays out while enough warm ones are there: in a jam proxies shun those that fail,
-    // and all that is left to draw may be the cold one, whatever its weight.
+    /**
+     * Holds very cold backends back while at least a third of the ready ones are warm. Under congestion
+     * proxies eject backends that fail, and a cold one may be all that is left to choose, whatever its
+     * weight.
+     */
     private void holdColdBackends(long now) {
-        double least = overloadedRounds > 0 || settings.ejects() > 0 ? MIN_WARMTH_IN_OVERLOAD : MIN_WARMTH;
+        double minWarmth = overloadedRounds > 0 || settings.ejects() > 0
+                ? MIN_WARMTH_IN_OVERLOAD : MIN_WARMTH;
         List<BackendState> ready = backends.values().stream().filter(BackendState::isReady).toList();
-        long warm = ready.stream().filter(s -> s.warmth(now) >= least).count();
-        ready.forEach(s -> s.heldCold = s.warmth(now) < least && warm * 3 >= ready.size());
-    }
-
-    // Drained, gone and held backends are shut out; others are let in only as their lines are set anew. Those
-    // who wait to be bound may hold any of them: where that is more than may wait, a new table tells them.
-    private void sendWithdrawals(boolean letIn) {
-        List<String> out = new ArrayList<>();
-        List<String> in = new ArrayList<>();
-        List<BackendState> turned = backends.values().stream().filter(s -> s.withdrawn == s.isOpen()
-                && (letIn || !s.withdrawn)).toList();
-        long unbound = proxies.values().stream().filter(p -> p.joined && !p.bound).count();
-        double lines = unbound * (settings.channel().head() + 1 + turned.size());
+        long warm = ready.stream().filter(state -> state.warmth(now) >= minWarmth).count();
+        ready.forEach(state -> state.heldCold = state.warmth(now) < minWarmth && warm * 3 >= ready.size());
+    }
+
+    /**
+     * Withdraws backends that are drained, gone or held back. Others are readmitted only when their lines are
+     * set again. Proxies that wait to be bound may hold any backend; if telling them takes more lines than
+     * may wait, they learn it from the table that they are bound to.
+     *
+     * @param readmit whether backends are readmitted too
+     */
+    private void sendWithdrawals(boolean readmit) {
+        List<String> withdrawn = new ArrayList<>();
+        List<String> readmitted = new ArrayList<>();
+        List<BackendState> changed = backends.values().stream()
+                .filter(state -> state.withdrawn == state.isOpen() && (readmit || !state.withdrawn)).toList();
+        long unbound = proxies.values().stream().filter(proxy -> proxy.joined && !proxy.bound).count();
+        double lines = unbound * (settings.channel().head() + 1 + changed.size());
         boolean boundOnly = channelBacklog.waitingLines() + lines > maxBulkLines(URGENT_BACKLOG_FRACTION);
-        for (BackendState state : turned) {
+        for (BackendState state : changed) {
             Backend backend = state.member.backend();
             state.withdrawn = !state.withdrawn;
             String listed = state.withdrawn ? " listed " + state.member.listed() : "";
-            (state.withdrawn ? out : in).add(backend + listed);
+            (state.withdrawn ? withdrawn : readmitted).add(backend + listed);
             emit(new Withdraw(backend, state.withdrawn, boundOnly), proxies.values().stream()
-                    .filter(p -> p.mayHold(backend, boundOnly)).toList());
+                    .filter(proxy -> proxy.mayHold(backend, boundOnly)).toList());
         }
-        logBackends("withdrawn", out);
-        logBackends("let in again", in);
+        logBackends("withdrawn", withdrawn);
+        logBackends("let in again", readmitted);
     }
 
-    // Machines are replaced for years: one long gone loses its lines first, then it is let go. Not while a
-    // proxy waits to be bound, whose old tables may name it.
+    /**
+     * Removes backends that are long gone, since machines are replaced for years: first their lines, then
+     * their state. Nothing is removed while a proxy waits to be bound: its old tables may hold such a
+     * backend.
+     */
     private void removeGoneBackends(long now) {
         for (BackendState state : List.copyOf(backends.values())) {
             Backend backend = state.member.backend();
-            boolean old = state.member.listed() == Listed.GONE && now - state.listChangedAt > GONE_RETENTION_NS;
-            if (old && bindQueue.isEmpty()) {
-                List<Pool> all = poolSets.values().stream().flatMap(List::stream).toList();
-                all.forEach(p -> p.remove(backend));
-                if (all.stream().noneMatch(p -> p.sentWeights.containsKey(backend))) {
+            boolean expired =
+                    state.member.listed() == Listed.GONE && now - state.listChangedAt > GONE_RETENTION_NS;
+            if (expired && bindQueue.isEmpty()) {
+                List<Pool> pools = poolSets.values().stream().flatMap(List::stream).toList();
+                pools.forEach(pool -> pool.remove(backend));
+                if (pools.stream().noneMatch(pool -> pool.sentWeights.containsKey(backend))) {
                     backends.remove(backend);
-                    actions.add(new Withdraw(backend, false)); // for whoever keeps books: no table has it
+                    // For those that keep a list of withdrawals: no table holds the backend any more.
+                    actions.add(new Withdraw(backend, false));
                 }
             }
         }
     }
 
-    // Pools whose lines are furthest off come first; ordinary changes keep to their allowance of the channel.
-    private void sendLines(Map<Pool, TreeMap<Backend, Double>> laid, boolean round) {
-        double most = maxBulkLines(round || !joinPending && !bindQueue.isEmpty() ? ORDINARY_BACKLOG_FRACTION : URGENT_BACKLOG_FRACTION);
+    /**
+     * Sends the changed lines of tables. Pools whose lines are furthest off come first; ordinary changes keep
+     * to their allowance of the channel.
+     */
+    private void sendLines(Map<Pool, TreeMap<Backend, Double>> tables, boolean round) {
+        double maxWaiting = maxBulkLines(round || !joinPending && !bindQueue.isEmpty()
+                ? ORDINARY_BACKLOG_FRACTION : URGENT_BACKLOG_FRACTION);
         TreeMap<Double, List<WeightChange>> furthestFirst = new TreeMap<>(Comparator.reverseOrder());
-        laid.forEach((pool, lines) -> {
+        tables.forEach((pool, lines) -> {
             TreeMap<Backend, Double> wanted = new TreeMap<>(lines);
-            pool.sentWeights.values().removeIf(w -> w == 0);
-            pool.sentWeights.forEach((b, w) -> wanted.putIfAbsent(b, pool.members.contains(b) ? w : 0));
+            pool.sentWeights.values().removeIf(weight -> weight == 0);
+            pool.sentWeights.forEach((backend, weight) ->
+                    wanted.putIfAbsent(backend, pool.members.contains(backend) ? weight : 0));
             List<WeightChange> changes = new ArrayList<>();
-            wanted.forEach((b, w) -> changes.add(new WeightChange(pool, b, w, pool.sentWeights.getOrDefault(b, 0.0))));
-            double off = changes.stream().mapToDouble(c -> Math.abs(c.weight() - c.sentWeight())).sum();
-            furthestFirst.computeIfAbsent(off * pool.demand, k -> new ArrayList<>()).addAll(changes);
+            wanted.forEach((backend, weight) -> changes.add(
+                    new WeightChange(pool, backend, weight, pool.sentWeights.getOrDefault(backend, 0.0))));
+            double difference = changes.stream()
+                    .mapToDouble(change -> Math.abs(change.weight() - change.sentWeight())).sum();
+            furthestFirst.computeIfAbsent(difference * pool.demand, key -> new ArrayList<>()).addAll(changes);
         });
-        double before = channelBacklog.waitingLines();
+        double waitingBefore = channelBacklog.waitingLines();
         for (List<WeightChange> changes : furthestFirst.values()) {
-            boolean spent = !listChangePending && channelBacklog.waitingLines() - before >= ordinaryLineAllowance;
+            boolean spent = !listChangePending
+                    && channelBacklog.waitingLines() - waitingBefore >= ordinaryLineAllowance;
             for (WeightChange change : changes) {
-                boolean free = change.pool().proxies.isEmpty() || !spent && channelBacklog.waitingLines() < most;
-                if (change.relativeSize() > MIN_WEIGHT_CHANGE_FRACTION && free) {
+                boolean room = change.pool().proxies.isEmpty()
+                        || !spent && channelBacklog.waitingLines() < maxWaiting;
+                if (change.relativeSize() > MIN_WEIGHT_CHANGE_FRACTION && room) {
                     emit(new SetLine(change.pool().table, change.backend(), change.weight()),
                             change.pool().boundProxies());
                     change.pool().sentWeights.put(change.backend(), change.weight());
                 }
             }
         }
-        ordinaryLineAllowance -= listChangePending ? 0 : channelBacklog.waitingLines() - before;
-        listChangePending &= channelBacklog.waitingLines() >= most; // the rest of what a list change brought is sent with the next room
+        ordinaryLineAllowance -= listChangePending ? 0 : channelBacklog.waitingLines() - waitingBefore;
+        // What a list change requires and did not fit is sent as soon as there is room.
+        listChangePending &= channelBacklog.waitingLines() >= maxWaiting;
     }
 
     private void logLevels(long now) {
-        long departed = proxies.values().stream().filter(p -> !p.joined).count();
+        long departed = proxies.values().stream().filter(proxy -> !proxy.joined).count();
         String line = levelLog.update(now, levels, atFloor,
                 new LevelLog.Inputs(levelReason, totalRate, totalRate, proxies.size(), departed));
-        if (line != null) { actions.add(new Log(line)); }
+        if (line != null) {
+            actions.add(new Log(line));
+        }
     }
 
     private void sendLevels() {
         for (Pool pool : poolSets.values().stream().flatMap(List::stream).toList()) {
             for (int cls : groups.get(pool.group)) {
                 Double sent = pool.sentLevels.get(cls);
-                boolean other = sent == null || Math.abs(levels[cls] / sent - 1) > MIN_LEVEL_CHANGE_FRACTION;
-                if (other || pool.sentRetry != currentRetry) {
+                boolean changed =
+                        sent == null || Math.abs(levels[cls] / sent - 1) > MIN_LEVEL_CHANGE_FRACTION;
+                if (changed || pool.sentRetry != currentRetry) {
                     pool.sentLevels.put(cls, levels[cls]);
                     emit(new Admit(pool.table, 1 << cls, levels[cls], currentRetry), pool.boundProxies());
                 }
