--- a/src/test/java/rowanmoor/ArchitectureTest.java
+++ b/src/test/java/rowanmoor/ArchitectureTest.java
@@ -60,8 +60,8 @@
                         "discovery")
                 .whereLayer("standin").mayOnlyAccessLayers("core", "config", "net", "http", "discovery",
                         "proxy")
-                .whereLayer("emulator").mayOnlyAccessLayers("core", "config", "channel", "controller", "discovery",
-                        "proxy")
+                .whereLayer("emulator").mayOnlyAccessLayers("core", "config", "channel", "controller",
+                        "discovery", "proxy")
                 .whereLayer("plan").mayOnlyAccessLayers("core", "config", "capture", "emulator")
                 .whereLayer("lab").mayNotBeAccessedByAnyLayer()
                 .whereLayer("cli").mayNotBeAccessedByAnyLayer()
@@ -74,11 +74,14 @@
     @Test
     void decisionModulesDoNoIo() {
         noClasses().that().resideInAPackage("rowanmoor").or().haveSimpleName("Driver").or()
-                .haveSimpleName("Intake").or().haveSimpleName("Outbox").or().resideInAPackage("rowanmoor.host").or()
+                .haveSimpleName("Intake").or().haveSimpleName("Outbox").or()
+                .resideInAPackage("rowanmoor.host").or()
                 .resideInAPackage("rowanmoor.settings").or().resideInAPackage("rowanmoor.resp").or()
                 .haveSimpleName("Messages").or().haveSimpleName("Translator").or()
-                .haveSimpleName("RosterView").or().haveSimpleName("Router").or().haveSimpleName("Tallies").or()
-                .haveSimpleName("Redial").or().haveSimpleName("BackendModel").or().haveSimpleName("Judge").or()
+                .haveSimpleName("RosterView").or().haveSimpleName("Router").or().haveSimpleName("Tallies")
+                .or()
+                .haveSimpleName("Redial").or().haveSimpleName("BackendModel").or().haveSimpleName("Judge")
+                .or()
                 .haveSimpleName("Mirror").or().resideInAPackage("rowanmoor.emulator").or()
                 .resideInAPackage("rowanmoor.plan")
                 .should().dependOnClassesThat().resideInAnyPackage("java.io..", "java.nio.channels..",
--- a/src/test/java/rowanmoor/BoundedGrowthTest.java
+++ b/src/test/java/rowanmoor/BoundedGrowthTest.java
@@ -31,11 +31,13 @@
         PolicyHarness harness = new PolicyHarness(TestSettings.plain()).start(4, 2);
         for (int i = 4; i < 604; i++) {
             harness.now += 4 * SECOND;
-            harness.handle(new Members(ListKind.DELTA, i, List.of(PolicyHarness.member(i - 4, i % 2, Listed.GONE, 0),
+            harness.handle(new Members(ListKind.DELTA, i,
+                    List.of(PolicyHarness.member(i - 4, i % 2, Listed.GONE, 0),
                     PolicyHarness.member(i, i % 2, Listed.READY, 0))));
             harness.advanceOneSecond();
         }
-        long lines = harness.tables.get(harness.boundTables.get(0).get(0)).values().stream().filter(w -> w > 0).count();
+        long lines = harness.tables.get(harness.boundTables.get(0).get(0)).values().stream()
+                .filter(w -> w > 0).count();
         assertTrue(lines >= 4 && lines < 150, lines + " lines after 600 machines, four at a time");
         assertTrue(harness.share(0, 0, 602) > 0.1, "the newest machines are used");
     }
@@ -120,14 +122,18 @@
 
     @Test
     void oneTimerIsSetWhileOrdersWaitForTheMessageBudget() {
-        PolicyHarness limited = new PolicyHarness(TestSettings.with(TestSettings.plain().classes(), false, 20, 0)).start(8, 4);
+        PolicyHarness limited =
+                new PolicyHarness(TestSettings.with(TestSettings.plain().classes(), false, 20, 0))
+                        .start(8, 4);
         limited.now += 600 * MS;
         limited.handle(new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(0, 0, Listed.GONE, 0))));
         int timers = 0;
         for (int i = 0; i < 80; i++) {
             limited.now += 5 * MS;
-            limited.handle(new Members(ListKind.DELTA, 3 + i, List.of(PolicyHarness.member(1, 1, Listed.GONE, i))));
-            timers += limited.lastActions.stream().filter(a -> a instanceof TimerAt t && t.token() == 2).count();
+            limited.handle(new Members(ListKind.DELTA, 3 + i,
+                    List.of(PolicyHarness.member(1, 1, Listed.GONE, i))));
+            timers += limited.lastActions.stream().filter(a -> a instanceof TimerAt t && t.token() == 2)
+                    .count();
         }
         assertTrue(timers >= 1 && timers <= 2, timers + " timers for one wait");
     }
@@ -140,8 +146,9 @@
             classes.add(TestSettings.spec(Effect.SAFE, 1, c == 0 ? Set.of() : Set.of(c, c + 16)));
         }
         Settings settings = TestSettings.plain();
-        PolicyHarness harness = new PolicyHarness(new Settings(1, zones, classes, false, false, settings.admission(), 0, 100, 0, SECOND, 500,
-                0.05, settings.columns(), settings.rules(), new ControlApi.Channel(1e6, 5, 1e6, 0, SECOND, 0, 0)));
+        PolicyHarness harness = new PolicyHarness(new Settings(1, zones, classes, false, false,
+                settings.admission(), 0, 100, 0, SECOND, 500, 0.05, settings.columns(), settings.rules(),
+                new ControlApi.Channel(1e6, 5, 1e6, 0, SECOND, 0, 0)));
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < 2 * zones; i++) {
             members.add(new Member(PolicyHarness.backend(i), i % zones, 0, 0, Listed.READY, 1, 0));
@@ -155,7 +162,8 @@
             if (action instanceof Bind bind) {
                 assertTrue(bind.table() >= 0 && bind.table() < ControlApi.ALL_TABLES, action.toString());
                 String owner = bind.proxy() + "/" + bind.classes();
-                assertEquals(owner, owners.computeIfAbsent(bind.table(), t -> owner), "table " + bind.table());
+                assertEquals(owner, owners.computeIfAbsent(bind.table(), t -> owner),
+                        "table " + bind.table());
             } else if (action instanceof SetLine line) {
                 assertTrue(line.table() >= 0 && line.table() < ControlApi.ALL_TABLES, action.toString());
             }
--- a/src/test/java/rowanmoor/DecisionBenchmark.java
+++ b/src/test/java/rowanmoor/DecisionBenchmark.java
@@ -24,7 +24,8 @@
     }
 
     private static void measureOverload(int rounds) {
-        PolicyHarness harness = new PolicyHarness(TestSettings.large(364)).startInOneBatch(120, 364).advanceUntilBound();
+        PolicyHarness harness = new PolicyHarness(TestSettings.large(364)).startInOneBatch(120, 364)
+                .advanceUntilBound();
         double[] micros = new double[rounds];
         long lines = 0;
         long characters = 0;
@@ -34,7 +35,8 @@
                 harness.reportUsage(p, 0, 12);
             }
             long before = System.nanoTime();
-            harness.reportRound(120, 2, b -> calm ? 0 : 3, b -> calm ? 100 * TestSettings.MS : 700 * TestSettings.MS);
+            harness.reportRound(120, 2, b -> calm ? 0 : 3,
+                    b -> calm ? 100 * TestSettings.MS : 700 * TestSettings.MS);
             micros[i] = (System.nanoTime() - before) / 1e3;
             for (var action : harness.lastActions) {
                 lines += action instanceof Log ? 1 : 0;
@@ -43,7 +45,8 @@
             harness.allActions.clear();
         }
         Arrays.sort(micros);
-        System.out.printf(Locale.ROOT, "364 proxies held, %d rounds: %.3f log lines a round, %.0f characters a round; "
+        System.out.printf(Locale.ROOT,
+                "364 proxies held, %d rounds: %.3f log lines a round, %.0f characters a round; "
                 + "a round's events and decision p50 %.0f us, p99 %.0f us%n", rounds, (double) lines / rounds,
                 (double) characters / rounds, micros[rounds / 2], micros[rounds * 99 / 100]);
     }
@@ -54,14 +57,17 @@
         for (int i = 4; i < machines + 4; i++) {
             harness.now += 4 * TestSettings.SECOND;
             long before = System.nanoTime();
-            harness.handle(new Members(ListKind.DELTA, i, List.of(PolicyHarness.member(i - 4, i % 2, Listed.GONE, 0),
+            harness.handle(new Members(ListKind.DELTA, i,
+                    List.of(PolicyHarness.member(i - 4, i % 2, Listed.GONE, 0),
                     PolicyHarness.member(i, i % 2, Listed.READY, 0))));
             harness.advanceOneSecond();
             lastMicros += i >= machines - 96 ? (System.nanoTime() - before) / 1e3 / 100 : 0;
             harness.allActions.clear();
         }
-        long lines = harness.tables.get(harness.boundTables.get(0).get(0)).values().stream().filter(w -> w > 0).count();
-        System.out.printf(Locale.ROOT, "%d machines replaced: %d lines a table, the last hundred changes %.0f us each%n",
+        long lines = harness.tables.get(harness.boundTables.get(0).get(0)).values().stream()
+                .filter(w -> w > 0).count();
+        System.out.printf(Locale.ROOT,
+                "%d machines replaced: %d lines a table, the last hundred changes %.0f us each%n",
                 machines, lines, lastMicros);
     }
 }
--- a/src/test/java/rowanmoor/DocsTest.java
+++ b/src/test/java/rowanmoor/DocsTest.java
@@ -52,8 +52,10 @@
             Matcher matcher = Pattern.compile("^\\| `([^`]+)` \\|").matcher(line);
             if (matcher.find()) {
                 lines++;
-                assertTrue(Pattern.compile("((LOG|getLogger\\([^)]*\\))\\.[a-z]+\\(|Level.WARN, )\"" + matcher.group(1))
-                        .matcher(sources).find(), matcher.group(1) + " is never logged");
+                String statement = "((LOG|getLogger\\([^)]*\\))\\.[a-z]+\\(|Level.WARN, )\""
+                        + matcher.group(1);
+                assertTrue(Pattern.compile(statement).matcher(sources).find(),
+                        matcher.group(1) + " is never logged");
             }
         }
         assertEquals(12, lines);
@@ -74,7 +76,8 @@
         }
         harness.handle(new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(3, 1, Listed.GONE, 0))));
         harness.advanceOneSecond();
-        harness.handle(new Members(ListKind.DELTA, 3, List.of(PolicyHarness.member(3, 1, Listed.READY, harness.now))));
+        harness.handle(new Members(ListKind.DELTA, 3,
+                List.of(PolicyHarness.member(3, 1, Listed.READY, harness.now))));
         for (int i = 0; i < 10; i++) {
             harness.advanceOneSecond();
         }
--- a/src/test/java/rowanmoor/LevelLogTest.java
+++ b/src/test/java/rowanmoor/LevelLogTest.java
@@ -45,18 +45,22 @@
     void sentLevelsAreLoggedWithTheirReason() {
         PolicyHarness harness = new PolicyHarness(TestSettings.plain()).start(4, 4);
         runRounds(harness, 4, 5, 0, 100 * MS);
-        assertEquals(List.of(), linesStartingWith(harness, "levels"), "the first levels are open, which is no change");
+        assertEquals(List.of(), linesStartingWith(harness, "levels"),
+                "the first levels are open, which is no change");
         runRounds(harness, 4, 1, 3, 700 * MS);
-        assertEquals(1, linesStartingWith(harness, "levels set: class 0 ").size(), linesStartingWith(harness, "").toString());
+        assertEquals(1, linesStartingWith(harness, "levels set: class 0 ").size(),
+                linesStartingWith(harness, "").toString());
         String setLine = linesStartingWith(harness, "levels set").get(0);
-        assertTrue(setLine.contains(String.format(Locale.ROOT, "class 0 %.4g, class 1 open; total ", harness.level(0, 0))), setLine);
+        assertTrue(setLine.contains(String.format(Locale.ROOT, "class 0 %.4g, class 1 open; total ",
+                harness.level(0, 0))), setLine);
         assertTrue(setLine.endsWith("4 proxies counted, 0 of them departed"), setLine);
         harness.handle(new ProxyLeft(3));
         runRounds(harness, 3, 4, 3, 700 * MS);
         String lowered = linesStartingWith(harness, "levels lowered").get(0);
         assertTrue(lowered.endsWith("4 proxies counted, 1 of them departed"), lowered);
         runRounds(harness, 3, 150, 10, 0);
-        assertTrue(linesStartingWith(harness, "levels floor").stream().anyMatch(t -> t.contains("(floor)")), linesStartingWith(harness, "levels").toString());
+        assertTrue(linesStartingWith(harness, "levels floor").stream().anyMatch(t -> t.contains("(floor)")),
+                linesStartingWith(harness, "levels").toString());
         runRounds(harness, 3, 40, 0, 100 * MS);
         assertTrue(linesStartingWith(harness, "levels raised").size() > 0);
         List<String> all = linesStartingWith(harness, "levels");
@@ -65,8 +69,8 @@
     }
 
     private static ControlApi.ClassSpec safeClass(long aim, double worth) {
-        return new ControlApi.ClassSpec(aim, 3 * aim, worth, 0.2, ControlApi.Effect.SAFE, ControlApi.Group.ZONE, 2 * SECOND, false,
-                false, Set.of(), Set.of());
+        return new ControlApi.ClassSpec(aim, 3 * aim, worth, 0.2, ControlApi.Effect.SAFE,
+                ControlApi.Group.ZONE, 2 * SECOND, false, false, Set.of(), Set.of());
     }
 
     /**
@@ -77,8 +81,9 @@
      */
     @Test
     void lightestRequestsAreAdmittedUpToATenthOfTheWork() {
-        PolicyHarness harness = new PolicyHarness(TestSettings.with(List.of(safeClass(250 * MS, 1), safeClass(3 * SECOND, 8), safeClass(SECOND, 2)), false, 0, 0))
-                .start(4, 4);
+        List<ControlApi.ClassSpec> classes =
+                List.of(safeClass(250 * MS, 1), safeClass(3 * SECOND, 8), safeClass(SECOND, 2));
+        PolicyHarness harness = new PolicyHarness(TestSettings.with(classes, false, 0, 0)).start(4, 4);
         for (int i = 0; i < 30; i++) {
             for (int proxy = 0; proxy < 4; proxy++) {
                 harness.reportUsage(proxy, 0, 10); // 2.5 of 37.5 of the work, measured by aims
@@ -88,11 +93,13 @@
             int round = i;
             harness.reportRound(4, 2, b -> round < 5 ? 0 : 3, b -> (round < 5 ? 100 : 900) * MS);
         }
-        assertTrue(linesStartingWith(harness, "levels lowered").size() > 0, linesStartingWith(harness, "").toString());
+        assertTrue(linesStartingWith(harness, "levels lowered").size() > 0,
+                linesStartingWith(harness, "").toString());
         assertTrue(harness.level(0, 0) >= 9, "lightest class, lowest worth: " + harness.level(0, 0));
         assertTrue(harness.level(0, 1) < 9, "heaviest class: " + harness.level(0, 1));
         // It gets what remains of the tenth, 1.25 of 5, and no more.
-        assertTrue(harness.level(0, 2) >= 1.2 && harness.level(0, 2) < 1.4, "second lightest class: " + harness.level(0, 2));
+        assertTrue(harness.level(0, 2) >= 1.2 && harness.level(0, 2) < 1.4,
+                "second lightest class: " + harness.level(0, 2));
     }
 
     @Test
@@ -128,7 +135,8 @@
 
     @Test
     void overloadOfAFullSizeFleetLogsAtMostOneLineARound() {
-        PolicyHarness harness = new PolicyHarness(TestSettings.large(364)).startInOneBatch(120, 364).advanceUntilBound();
+        PolicyHarness harness = new PolicyHarness(TestSettings.large(364)).startInOneBatch(120, 364)
+                .advanceUntilBound();
         int before = harness.allActions.size();
         int rounds = 40;
         for (int i = 0; i < rounds; i++) {
--- a/src/test/java/rowanmoor/MultiPoolFleetTest.java
+++ b/src/test/java/rowanmoor/MultiPoolFleetTest.java
@@ -114,7 +114,8 @@
     @Test
     void shareOfAColdBackendOverAllPoolsStaysWithinItsRamp() {
         harness.startInOneBatch(BACKENDS, PROXIES).advanceUntilBound();
-        harness.handle(new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(2, 0, Listed.READY, harness.now))));
+        harness.handle(new Members(ListKind.DELTA, 2,
+                List.of(PolicyHarness.member(2, 0, Listed.READY, harness.now))));
         for (int second = 0; second < 10; second++) {
             double warmth = 0.2 + 0.08 * second;
             assertTrue(harness.meanShare(0, 2) * BACKENDS < 4 * warmth, "second " + second);
@@ -128,7 +129,8 @@
      */
     @Test
     void joinStormAfterADrainStaysWithinTheBacklog() {
-        PolicyHarness drainedFleet = new PolicyHarness(TestSettings.large(300)).startInOneBatch(30, 75).advanceUntilBound();
+        PolicyHarness drainedFleet = new PolicyHarness(TestSettings.large(300)).startInOneBatch(30, 75)
+                .advanceUntilBound();
         List<Member> drained = new ArrayList<>();
         for (int b = 0; b < 20; b++) {
             drained.add(PolicyHarness.member(b, b % 2, Listed.DRAINING, 0));
@@ -146,7 +148,8 @@
             drainedFleet.decide();
             most += drainedFleet.lastLines();
         }
-        assertTrue(most > drainedFleet.settings.channel().backlog() / 2, "enough joins to fill half of the backlog: " + most);
+        assertTrue(most > drainedFleet.settings.channel().backlog() / 2,
+                "enough joins to fill half of the backlog: " + most);
         assertTrue(most <= drainedFleet.settings.channel().backlog(), most + " lines wait");
     }
 
@@ -189,14 +192,16 @@
             }
             harness.now += 50 * MS;
             Listed listed = i % 2 == 0 ? Listed.GONE : Listed.READY;
-            harness.handle(new Members(ListKind.DELTA, i + 2, List.of(PolicyHarness.member(i % BACKENDS, i % 2, listed, 0))));
+            harness.handle(new Members(ListKind.DELTA, i + 2,
+                    List.of(PolicyHarness.member(i % BACKENDS, i % 2, listed, 0))));
         }
         assertEquals(PROXIES, harness.boundTables.size());
     }
 
     @Test
     void ordinaryChangesOfAFullSizeFleetKeepToTheirAllowance() {
-        PolicyHarness fullSize = new PolicyHarness(TestSettings.large(364)).startInOneBatch(120, 364).advanceUntilBound();
+        PolicyHarness fullSize = new PolicyHarness(TestSettings.large(364)).startInOneBatch(120, 364)
+                .advanceUntilBound();
         double lines = 0;
         for (int i = 0; i < 20; i++) {
             int round = i;
@@ -223,7 +228,8 @@
         int heavyTable = harness.boundTables.get(0).get(0);
         long proxiesOfHeavyPool = harness.tablesInUse(0).get(heavyTable);
         long most = harness.tablesInUse(0).values().stream().mapToLong(n -> n).max().orElse(0);
-        assertTrue(proxiesOfHeavyPool < most, "a proxy with a hundred requests a second shares its pool with fewer: " + proxiesOfHeavyPool);
+        assertTrue(proxiesOfHeavyPool < most,
+                "a proxy with a hundred requests a second shares its pool with fewer: " + proxiesOfHeavyPool);
     }
 
     @Test
@@ -246,7 +252,8 @@
             harness.policy.handle(harness.now, new Usage(p, 0, 6L * seconds, 0, seconds * SECOND));
         }
         for (int b = 0; b < BACKENDS; b++) {
-            harness.policy.handle(harness.now, new Tally(PolicyHarness.backend(b), b % 2, 9L * seconds, 0, 100 * MS,
+            harness.policy.handle(harness.now,
+                    new Tally(PolicyHarness.backend(b), b % 2, 9L * seconds, 0, 100 * MS,
                     seconds * SECOND, List.of()));
         }
         harness.advanceOneSecond();
@@ -288,12 +295,14 @@
     void usageIsARateOverItsSpanWhenReportsAccumulate() {
         double[] lines = new double[2];
         for (int piled = 0; piled < 2; piled++) {
-            PolicyHarness fleet = new PolicyHarness(TestSettings.large(60)).startInOneBatch(60, 60).advanceUntilBound();
+            PolicyHarness fleet = new PolicyHarness(TestSettings.large(60)).startInOneBatch(60, 60)
+                    .advanceUntilBound();
             for (int i = 0; i < 30; i++) {
                 for (int p = 0; p < 60; p++) {
                     if (piled == 0) {
                         fleet.reportUsage(p, 0, 20);
-                    } else if (fleet.boundTables.get(p).get(0) % 3 == i % 3) { // all proxies of a pool report in the same round
+                    // all proxies of a pool report in the same round
+                    } else if (fleet.boundTables.get(p).get(0) % 3 == i % 3) {
                         fleet.policy.handle(fleet.now, new Usage(p, 0, 60, 0, 3 * SECOND));
                     }
                 }
@@ -302,7 +311,8 @@
             }
         }
         // Divided by the round instead, the demand of a pool would seem to change threefold: 5,769 lines.
-        assertTrue(lines[0] == 0 && lines[1] < 2000, "lines ordered " + lines[0] + ", and with accumulated reports " + lines[1]);
+        assertTrue(lines[0] == 0 && lines[1] < 2000,
+                "lines ordered " + lines[0] + ", and with accumulated reports " + lines[1]);
     }
 
     @Test
@@ -312,7 +322,8 @@
             PolicyHarness fleet = new PolicyHarness(TestSettings.large(364)).startInOneBatch(120, 364);
             for (int i = 0; i < 40; i++) {
                 if (answered == 1) {
-                    fleet.lastActions.stream().filter(ControlApi.Mark.class::isInstance).map(ControlApi.Mark.class::cast)
+                    fleet.lastActions.stream().filter(ControlApi.Mark.class::isInstance)
+                            .map(ControlApi.Mark.class::cast)
                             .forEach(m -> {
                                 for (int p = 0; p < 364; p++) {
                                     fleet.policy.handle(fleet.now, new ControlApi.Applied(p, m.number(), 1));
@@ -324,7 +335,8 @@
             }
             boundProxies[answered] = fleet.boundTables.size();
         }
-        assertTrue(boundProxies[1] > 1.5 * boundProxies[0], boundProxies[0] + " bound without answers, " + boundProxies[1] + " with answers");
+        assertTrue(boundProxies[1] > 1.5 * boundProxies[0],
+                boundProxies[0] + " bound without answers, " + boundProxies[1] + " with answers");
     }
 
     /**
@@ -335,20 +347,25 @@
     void drainDoesNotWaitBehindBindsInADeepChannel() {
         Settings settings = TestSettings.withEjection();
         ControlApi.Channel deep = new ControlApi.Channel(1300, 4, 17_500, 0, 10 * SECOND, 125 * MS, 312 * MS);
-        PolicyHarness fleet = new PolicyHarness(new Settings(5, 2, settings.classes(), false, false, settings.admission(), 5, 872, 0, SECOND, 500, 0.05,
-                settings.columns(), new ControlApi.Rules(20 * SECOND, 14 * SECOND, 18 * SECOND, 0.16, 4, 3 * SECOND / 2,
-                10 * SECOND), deep)).startInOneBatch(60, 872);
-        assertTrue(!fleet.boundTables.isEmpty() && fleet.lastLines() <= 2 * 1300, fleet.lastLines() + " lines before the drain");
+        ControlApi.Rules rules = new ControlApi.Rules(20 * SECOND, 14 * SECOND, 18 * SECOND, 0.16, 4,
+                3 * SECOND / 2, 10 * SECOND);
+        PolicyHarness fleet = new PolicyHarness(new Settings(5, 2, settings.classes(), false, false,
+                settings.admission(), 5, 872, 0, SECOND, 500, 0.05, settings.columns(), rules, deep))
+                .startInOneBatch(60, 872);
+        assertTrue(!fleet.boundTables.isEmpty() && fleet.lastLines() <= 2 * 1300,
+                fleet.lastLines() + " lines before the drain");
         fleet.now += 10 * MS;
         fleet.handle(new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(3, 1,
                 Listed.DRAINING, 0), PolicyHarness.member(4, 0, Listed.DRAINING, 0))));
         List<Withdraw> withdrawals = fleet.lastActions.stream().filter(Withdraw.class::isInstance)
                 .map(Withdraw.class::cast).toList();
-        assertEquals(List.of(PolicyHarness.backend(3), PolicyHarness.backend(4)), withdrawals.stream().map(Withdraw::backend)
-                .toList());
-        assertTrue(withdrawals.stream().allMatch(Withdraw::boundOnly), "proxies that wait to be bound learn it from their new table");
+        assertEquals(List.of(PolicyHarness.backend(3), PolicyHarness.backend(4)),
+                withdrawals.stream().map(Withdraw::backend).toList());
+        assertTrue(withdrawals.stream().allMatch(Withdraw::boundOnly),
+                "proxies that wait to be bound learn it from their new table");
         double most = 0;
-        for (int i = 0; i < 400 && fleet.boundTables.size() < 872; i++) { // the channel keeps its pace, and marks are answered
+        // the channel keeps its pace, and marks are answered
+        for (int i = 0; i < 400 && fleet.boundTables.size() < 872; i++) {
             fleet.lastActions.stream().filter(Mark.class::isInstance).map(Mark.class::cast).forEach(m -> {
                 for (int p = 0; p < 872; p++) {
                     fleet.policy.handle(fleet.now, new Applied(p, m.number(), 1));
@@ -365,8 +382,9 @@
     @Test
     void poolMovesAndListChangesStayWithinTheMessageBudget() {
         Settings settings = TestSettings.large(60);
-        PolicyHarness fleet = new PolicyHarness(new Settings(1, 2, settings.classes(), false, false, settings.admission(), 0, 60, 0, SECOND, 500, 0.05,
-                settings.columns(), settings.rules(), new ControlApi.Channel(1e6, 4, 1e6, 20, 10 * SECOND, 200 * MS, 500 * MS)))
+        PolicyHarness fleet = new PolicyHarness(new Settings(1, 2, settings.classes(), false, false,
+                settings.admission(), 0, 60, 0, SECOND, 500, 0.05, settings.columns(), settings.rules(),
+                new ControlApi.Channel(1e6, 4, 1e6, 20, 10 * SECOND, 200 * MS, 500 * MS)))
                 .startInOneBatch(60, 60).advanceUntilBound();
         Random random = new Random(5);
         Map<Integer, List<Long>> sentAt = new HashMap<>();
@@ -378,13 +396,15 @@
                     fleet.reportUsage(p, 0, random.nextInt(10) == 0 ? 400 : 5);
                 }
                 for (int b = 0; b < 60; b++) {
-                    fleet.policy.handle(fleet.now, new Tally(PolicyHarness.backend(b), b % 2, 10, 0, 100 * MS + random.nextInt(400) * MS,
+                    long latency = 100 * MS + random.nextInt(400) * MS;
+                    fleet.policy.handle(fleet.now, new Tally(PolicyHarness.backend(b), b % 2, 10, 0, latency,
                             SECOND, List.of()));
                 }
             }
             if (i % 3 == 0) {
                 int b = random.nextInt(60);
-                fleet.policy.handle(fleet.now, new Members(ListKind.DELTA, i, List.of(PolicyHarness.member(b, b % 2,
+                fleet.policy.handle(fleet.now,
+                        new Members(ListKind.DELTA, i, List.of(PolicyHarness.member(b, b % 2,
                         random.nextBoolean() ? Listed.READY : Listed.GONE, 0))));
             }
             fleet.decide();
@@ -405,7 +425,8 @@
             fleet.now += 50 * MS;
             fleet.policy.handle(fleet.now, new ControlApi.Timer(3));
             if (i == 20) {
-                fleet.policy.handle(fleet.now, new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(7, 1, Listed.GONE, 0))));
+                fleet.policy.handle(fleet.now,
+                        new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(7, 1, Listed.GONE, 0))));
             }
             fleet.decide();
             waited = i >= 20 && fleet.withdrawn.getOrDefault(PolicyHarness.backend(7), false) ? i - 20 : -1;
--- a/src/test/java/rowanmoor/NumericEdgeCasesTest.java
+++ b/src/test/java/rowanmoor/NumericEdgeCasesTest.java
@@ -39,7 +39,8 @@
 
     private void assertAllFinite() {
         for (ControlApi.Action action : harness.allActions) {
-            double figure = action instanceof Admit a ? a.level() : action instanceof SetLine l ? l.weight() : 0;
+            double figure = action instanceof Admit admit ? admit.level()
+                    : action instanceof SetLine line ? line.weight() : 0;
             assertTrue(Double.isFinite(figure) && figure >= 0, action.toString());
         }
     }
@@ -50,7 +51,8 @@
         runRounds(8, 10, 0);
         assertTrue(harness.level(0, 0) < 1000, "nothing is served, so levels are set");
         runRounds(60, 0, 100 * MS);
-        assertTrue(harness.level(0, 0) > 1000, "level after a minute without overload: " + harness.level(0, 0));
+        assertTrue(harness.level(0, 0) > 1000,
+                "level after a minute without overload: " + harness.level(0, 0));
     }
 
     @Test
@@ -90,7 +92,8 @@
         runRounds(2, 1, 700 * MS);
         harness.now += HOUR;
         runRounds(1, 1, 700 * MS);
-        assertTrue(harness.level(0, 0) > 5, "80 requests a second are served, not 80 an hour: " + harness.level(0, 0));
+        assertTrue(harness.level(0, 0) > 5,
+                "80 requests a second are served, not 80 an hour: " + harness.level(0, 0));
     }
 
     @Test
@@ -116,7 +119,8 @@
                 harness.reportUsage(proxy, 1, 5);
             }
             for (int b = 0; b < 4; b++) {
-                harness.policy.handle(harness.now, new ControlApi.Tally(PolicyHarness.backend(b), 0, 1, 1, 0, SECOND, List.of()));
+                harness.policy.handle(harness.now,
+                        new ControlApi.Tally(PolicyHarness.backend(b), 0, 1, 1, 0, SECOND, List.of()));
             }
             harness.advanceOneSecond();
         }
@@ -141,7 +145,8 @@
 
     @Test
     void oneClassAndAListAfterTheFirstJoinAreSupported() {
-        PolicyHarness oneClass = new PolicyHarness(TestSettings.with(List.of(TestSettings.spec(ControlApi.Effect.SAFE, 1,
+        PolicyHarness oneClass =
+                new PolicyHarness(TestSettings.with(List.of(TestSettings.spec(ControlApi.Effect.SAFE, 1,
                 Set.of())), false, 0, 0));
         oneClass.handle(new ProxyJoined(0, 0, 20, true));
         oneClass.advanceOneSecond();
@@ -196,8 +201,8 @@
         harness.handle(new ProxyJoined(0, 0, 20, true));
         harness.advanceOneSecond();
         assertAllFinite();
-        assertEquals(1, harness.share(0, 0, 0) + harness.share(0, 0, 1) + harness.share(0, 0, 2) + harness.share(0, 0, 3),
-                1e-6);
+        assertEquals(1, harness.share(0, 0, 0) + harness.share(0, 0, 1) + harness.share(0, 0, 2)
+                + harness.share(0, 0, 3), 1e-6);
     }
 
     @Test
@@ -269,7 +274,8 @@
         }
         runRounds(1, 2, 700 * MS);
         assertAllFinite();
-        assertTrue(harness.level(3, 0) > 0 && harness.level(3, 0) == harness.level(0, 0), "the same level for all proxies");
+        assertTrue(harness.level(3, 0) > 0 && harness.level(3, 0) == harness.level(0, 0),
+                "the same level for all proxies");
         runRounds(80, 0, 100 * MS);
         assertTrue(harness.level(3, 0) > 1000, "level " + harness.level(3, 0));
     }
--- a/src/test/java/rowanmoor/RoutingPolicyTest.java
+++ b/src/test/java/rowanmoor/RoutingPolicyTest.java
@@ -49,10 +49,12 @@
     void drainingBackendIsWithdrawnImmediately() {
         harness.start(2, 2);
         harness.now += 50 * MS;
-        harness.handle(new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(1, 1, Listed.DRAINING, 0))));
+        harness.handle(new Members(ListKind.DELTA, 2,
+                List.of(PolicyHarness.member(1, 1, Listed.DRAINING, 0))));
         assertTrue(harness.withdrawn.get(PolicyHarness.backend(1)));
         harness.now += 50 * MS;
-        harness.handle(new Members(ListKind.DELTA, 3, List.of(PolicyHarness.member(0, 0, Listed.DRAINING, 0))));
+        harness.handle(new Members(ListKind.DELTA, 3,
+                List.of(PolicyHarness.member(0, 0, Listed.DRAINING, 0))));
         assertTrue(harness.withdrawn.get(PolicyHarness.backend(0)), "even the last backend");
     }
 
@@ -67,7 +69,8 @@
     @Test
     void lateJoiningProxyGetsNoWithdrawnBackend() {
         harness.start(4, 2);
-        harness.handle(new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(2, 0, Listed.DRAINING, 0))));
+        harness.handle(new Members(ListKind.DELTA, 2,
+                List.of(PolicyHarness.member(2, 0, Listed.DRAINING, 0))));
         harness.advanceOneSecond();
         harness.handle(new ProxyJoined(2, 0, 20, true));
         assertEquals(0, harness.share(2, 0, 2));
@@ -168,12 +171,15 @@
     @Test
     void coldBackendIsHeldBackLongerWhereProxiesEject() {
         for (boolean ejects : new boolean[] {false, true}) {
-            PolicyHarness held = new PolicyHarness(ejects ? TestSettings.withEjection() : TestSettings.plain()).start(4, 4);
-            held.handle(new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(2, 0, Listed.READY, held.now))));
+            Settings settings = ejects ? TestSettings.withEjection() : TestSettings.plain();
+            PolicyHarness held = new PolicyHarness(settings).start(4, 4);
+            held.handle(new Members(ListKind.DELTA, 2,
+                    List.of(PolicyHarness.member(2, 0, Listed.READY, held.now))));
             for (int i = 0; i < 4; i++) {
                 held.advanceOneSecond();
             }
-            assertEquals(ejects, held.withdrawn.get(PolicyHarness.backend(2)), "at about half of its full warmth");
+            assertEquals(ejects, held.withdrawn.get(PolicyHarness.backend(2)),
+                    "at about half of its full warmth");
         }
     }
 
@@ -186,10 +192,11 @@
         for (double price : new double[] {0.01, 0.05}) {
             Settings settings = TestSettings.plain();
             ControlApi.ClassSpec ownZone = settings.classes().get(0);
-            ownZone = new ControlApi.ClassSpec(ownZone.aim(), ownZone.deadline(), 1, 0, Effect.SAFE, ownZone.group(), ownZone.window(),
-                    false, true, Set.of(), Set.of());
-            PolicyHarness zones = new PolicyHarness(new Settings(1, 3, List.of(ownZone, settings.classes().get(1)), false, false, settings.admission(), 0,
-                    8, 0, SECOND, 500, price, settings.columns(), settings.rules(), settings.channel()));
+            ownZone = new ControlApi.ClassSpec(ownZone.aim(), ownZone.deadline(), 1, 0, Effect.SAFE,
+                    ownZone.group(), ownZone.window(), false, true, Set.of(), Set.of());
+            PolicyHarness zones = new PolicyHarness(new Settings(1, 3,
+                    List.of(ownZone, settings.classes().get(1)), false, false, settings.admission(), 0, 8, 0,
+                    SECOND, 500, price, settings.columns(), settings.rules(), settings.channel()));
             List<ControlApi.Member> members = new ArrayList<>();
             for (int i = 0; i < 9; i++) {
                 members.add(PolicyHarness.member(i, i % 3, Listed.READY, 0));
@@ -200,16 +207,19 @@
             }
             for (int i = 0; i < 20; i++) { // all backends of zone 1 fail, and one of zone 2 is drained
                 zones.reportRound(9, 3, b -> b % 3 == 1 ? 10 : 0, b -> 100 * MS);
-                zones.handle(new Members(ListKind.DELTA, 2 + i, List.of(PolicyHarness.member(2, 2, i < 5 ? Listed.READY
-                        : Listed.DRAINING, 0))));
+                zones.handle(new Members(ListKind.DELTA, 2 + i,
+                        List.of(
+                        PolicyHarness.member(2, 2, i < 5 ? Listed.READY : Listed.DRAINING, 0))));
             }
             for (int p = 0; p < 6; p++) {
                 int zone = p % 3;
                 Map<Backend, Double> lines = zones.tables.get(zones.boundTables.get(p).get(0));
-                assertTrue(List.of(PolicyHarness.backend(zone), PolicyHarness.backend(zone + 3), PolicyHarness.backend(zone + 6))
-                        .containsAll(lines.keySet()), "proxy of zone " + zone + ": " + lines);
+                List<Backend> ownBackends = List.of(PolicyHarness.backend(zone),
+                        PolicyHarness.backend(zone + 3), PolicyHarness.backend(zone + 6));
+                assertTrue(ownBackends.containsAll(lines.keySet()), "proxy of zone " + zone + ": " + lines);
                 assertFalse(lines.isEmpty());
-                assertTrue(zones.tables.get(zones.boundTables.get(p).get(1)).size() > 3, "the other class also uses other zones");
+                assertTrue(zones.tables.get(zones.boundTables.get(p).get(1)).size() > 3,
+                        "the other class also uses other zones");
             }
         }
     }
@@ -222,33 +232,39 @@
     void retriesStopWhileATenthOfAllTriesFailsAndResumeBelowATwentieth() {
         harness.start(10, 4);
         int[] failedOf100 = {0, 11, 9, 11, 6, 4};
-        int[] latency = {100, 110, 200, 200, 200, 200}; // ms; in the second step some backends are dead and the others have room
+        // ms; in the second step some backends are dead and the others have room
+        int[] latency = {100, 110, 200, 200, 200, 200};
         Retry[] expected = {Retry.ONCE_UNRUN, Retry.ONCE_UNRUN, Retry.ONCE_UNRUN, Retry.NEVER, Retry.NEVER,
             Retry.ONCE_UNRUN};
         for (int step = 0; step < expected.length; step++) {
             for (int i = 0; i < 10; i++) { // all failures are at one backend in ten: no overload
-                harness.policy.handle(harness.now, new Tally(PolicyHarness.backend(i), 0, 100, i == 0 ? 10 * failedOf100[step] : 0,
+                int failed = i == 0 ? 10 * failedOf100[step] : 0;
+                harness.policy.handle(harness.now, new Tally(PolicyHarness.backend(i), 0, 100, failed,
                         latency[step] * MS, SECOND, List.of()));
             }
             harness.advanceOneSecond();
             harness.advanceOneSecond();
-            assertEquals(expected[step], harness.sentLevels.get(0).get(harness.boundTables.get(0).get(0)).retry(), "step " + step);
-            assertEquals(expected[step], harness.sentLevels.get(1).get(harness.boundTables.get(1).get(1)).retry(), "step " + step);
+            assertEquals(expected[step],
+                    harness.sentLevels.get(0).get(harness.boundTables.get(0).get(0)).retry(), "step " + step);
+            assertEquals(expected[step],
+                    harness.sentLevels.get(1).get(harness.boundTables.get(1).get(1)).retry(), "step " + step);
         }
     }
 
     @Test
     void joiningProxyReadmitsBackendsThatWarmedUpWhileItWasAway() {
         harness.start(6, 4);
-        harness.handle(new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(2, 0, Listed.READY, harness.now))));
+        harness.handle(new Members(ListKind.DELTA, 2,
+                List.of(PolicyHarness.member(2, 0, Listed.READY, harness.now))));
         for (int i = 0; i < 3; i++) {
             harness.advanceOneSecond();
         }
         assertFalse(harness.withdrawn.get(PolicyHarness.backend(2)), "readmitted by now");
         harness.handle(new ProxyLeft(1), new ProxyJoined(1, 0, 20, false));
-        List<Backend> letBack = harness.lastActions.stream().filter(Bind.class::isInstance).map(Bind.class::cast)
-                .filter(b -> b.proxy() == 1).flatMap(b -> b.letBack().stream()).distinct().toList();
-        assertEquals(List.of(PolicyHarness.backend(2)), letBack);
+        List<Backend> readmitted = harness.lastActions.stream().filter(Bind.class::isInstance)
+                .map(Bind.class::cast).filter(bind -> bind.proxy() == 1)
+                .flatMap(bind -> bind.letBack().stream()).distinct().toList();
+        assertEquals(List.of(PolicyHarness.backend(2)), readmitted);
         for (int i = 0; i < 10; i++) {
             harness.advanceOneSecond();
         }
@@ -260,7 +276,8 @@
     @Test
     void backendRestartedWithoutAnAbsenceIsHeldBackToo() {
         harness.start(4, 4);
-        harness.handle(new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(2, 0, Listed.READY, harness.now))));
+        harness.handle(new Members(ListKind.DELTA, 2,
+                List.of(PolicyHarness.member(2, 0, Listed.READY, harness.now))));
         assertTrue(harness.withdrawn.get(PolicyHarness.backend(2)));
     }
 
@@ -304,10 +321,12 @@
             harness.reportUsage(1, 0, 90);
             harness.advanceOneSecond();
         }
-        harness.handle(new Members(ListKind.DELTA, 3, List.of(PolicyHarness.member(0, 0, Listed.READY, harness.now))));
+        harness.handle(new Members(ListKind.DELTA, 3,
+                List.of(PolicyHarness.member(0, 0, Listed.READY, harness.now))));
         harness.advanceOneSecond();
         harness.advanceOneSecond();
-        assertTrue(harness.share(0, 0, 0) > 0 && harness.share(0, 0, 0) < 0.1, "share " + harness.share(0, 0, 0));
+        assertTrue(harness.share(0, 0, 0) > 0 && harness.share(0, 0, 0) < 0.1,
+                "share " + harness.share(0, 0, 0));
     }
 
     @Test
@@ -332,8 +351,9 @@
 
     @Test
     void confinedClassStaysInItsZones() {
-        PolicyHarness confined = new PolicyHarness(TestSettings.with(List.of(TestSettings.spec(Effect.SAFE, 1, Set.of()),
-                TestSettings.spec(Effect.KEYED, 2, Set.of(1))), false, 0, 0)).start(8, 2);
+        List<ControlApi.ClassSpec> classes = List.of(TestSettings.spec(Effect.SAFE, 1, Set.of()),
+                TestSettings.spec(Effect.KEYED, 2, Set.of(1)));
+        PolicyHarness confined = new PolicyHarness(TestSettings.with(classes, false, 0, 0)).start(8, 2);
         assertEquals(0, confined.share(0, 1, 0));
         assertTrue(confined.share(0, 1, 1) > 0.2);
         assertTrue(confined.share(0, 0, 0) > 0, "the other class may use all zones");
@@ -351,7 +371,8 @@
         double lowWorthLevel = harness.level(0, 0);
         assertTrue(lowWorthLevel < 15, "level of the class of lower worth " + lowWorthLevel);
         assertTrue(harness.level(0, 1) > 1000, "the class of higher worth is open");
-        assertEquals(Retry.ONCE_UNRUN, harness.sentLevels.get(0).get(harness.boundTables.get(0).get(0)).retry());
+        assertEquals(Retry.ONCE_UNRUN, harness.sentLevels.get(0).get(harness.boundTables.get(0).get(0))
+                .retry());
         runCalm(30);
         assertTrue(harness.level(0, 0) > 1000);
     }
@@ -362,7 +383,8 @@
         double before = harness.level(1, 0);
         harness.handle(new ProxyLeft(3));
         runOverload(1);
-        assertTrue(harness.level(1, 0) < 1.2 * before, "the share of the departed proxy is not given to others at once");
+        assertTrue(harness.level(1, 0) < 1.2 * before,
+                "the share of the departed proxy is not given to others at once");
     }
 
     @Test
@@ -376,8 +398,8 @@
                 }
                 long latency = i < 5 ? 100 * MS : 700 * MS;
                 for (int b = 0; b < 4; b++) {
-                    used.policy.handle(used.now, new ControlApi.Tally(PolicyHarness.backend(b), b % 2, 10, i < 5 ? 0 : 1,
-                            latency, SECOND, List.of(busy)));
+                    used.policy.handle(used.now, new ControlApi.Tally(PolicyHarness.backend(b), b % 2, 10,
+                        i < 5 ? 0 : 1, latency, SECOND, List.of(busy)));
                 }
                 used.advanceOneSecond();
             }
@@ -395,8 +417,8 @@
             }
             double busy = i < 5 ? 0.6 : 1;
             for (int b = 0; b < 4; b++) {
-                used.policy.handle(used.now, new ControlApi.Tally(PolicyHarness.backend(b), b % 2, 10, 0, 100 * MS, SECOND,
-                        List.of(busy)));
+                used.policy.handle(used.now, new ControlApi.Tally(PolicyHarness.backend(b), b % 2, 10, 0,
+                        100 * MS, SECOND, List.of(busy)));
             }
             used.advanceOneSecond();
         }
@@ -418,8 +440,8 @@
                 for (int proxy = 0; proxy < 4; proxy++) {
                     harness.reportUsage(proxy, b % 2, 2);
                 }
-                harness.policy.handle(harness.now, new ControlApi.Tally(PolicyHarness.backend(b), 0, 4, i < 5 ? 0 : 1,
-                        100 * MS, SECOND, List.of()));
+                harness.policy.handle(harness.now, new ControlApi.Tally(PolicyHarness.backend(b), 0, 4,
+                        i < 5 ? 0 : 1, 100 * MS, SECOND, List.of()));
             }
             harness.advanceOneSecond();
         }
@@ -465,9 +487,9 @@
 
     @Test
     void unsafeAndKeyedClassesAreNotRetriedAfterATryThatMayHaveRun() {
-        PolicyHarness mixed = new PolicyHarness(TestSettings.with(List.of(TestSettings.spec(Effect.SAFE, 1, Set.of()),
-                TestSettings.spec(Effect.KEYED, 2, Set.of()), TestSettings.spec(Effect.UNSAFE, 5, Set.of())),
-                false, 0, 0)).start(4, 2);
+        List<ControlApi.ClassSpec> classes = List.of(TestSettings.spec(Effect.SAFE, 1, Set.of()),
+                TestSettings.spec(Effect.KEYED, 2, Set.of()), TestSettings.spec(Effect.UNSAFE, 5, Set.of()));
+        PolicyHarness mixed = new PolicyHarness(TestSettings.with(classes, false, 0, 0)).start(4, 2);
         for (int i = 0; i < 6; i++) {
             mixed.reportRound(4, 2, b -> b == 2 ? 9 : 0, b -> 100 * MS);
         }
@@ -485,7 +507,8 @@
         for (int i = 0; i < 100; i++) {
             harness.now += 10 * MS;
             waiting = Math.max(0, waiting - 20);
-            harness.handle(new Members(ListKind.DELTA, i + 2, List.of(PolicyHarness.member(i % 40, i % 2, Listed.READY,
+            harness.handle(new Members(ListKind.DELTA, i + 2,
+                    List.of(PolicyHarness.member(i % 40, i % 2, Listed.READY,
                     harness.now))));
             waiting += harness.lastLines();
             assertTrue(waiting < harness.settings.channel().backlog(), "waiting " + waiting);
@@ -494,14 +517,15 @@
 
     @Test
     void manyListChangesStayWithinTheMessageBudget() {
-        PolicyHarness limited = new PolicyHarness(TestSettings.with(TestSettings.plain().classes(), false, 20, 0)).start(8,
-                4);
+        PolicyHarness limited =
+                new PolicyHarness(TestSettings.with(TestSettings.plain().classes(), false, 20, 0))
+                        .start(8, 4);
         List<Long> written = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
             limited.now += 50 * MS;
             Listed listed = i / 8 % 2 == 0 ? Listed.GONE : Listed.READY;
-            limited.handle(new Members(ListKind.DELTA, i + 2, List.of(PolicyHarness.member(i % 8, i % 2, listed,
-                    limited.now))));
+            limited.handle(new Members(ListKind.DELTA, i + 2,
+                    List.of(PolicyHarness.member(i % 8, i % 2, listed, limited.now))));
             if (limited.lastActions.stream().anyMatch(a -> a instanceof SetLine || a instanceof Withdraw)) {
                 written.add(limited.now);
             }
@@ -512,8 +536,9 @@
 
     @Test
     void withdrawalsDelayedByTheMessageBudgetAreSentSoonAfter() {
-        PolicyHarness limited = new PolicyHarness(TestSettings.with(TestSettings.plain().classes(), false, 20, 0)).start(8,
-                4);
+        PolicyHarness limited =
+                new PolicyHarness(TestSettings.with(TestSettings.plain().classes(), false, 20, 0))
+                        .start(8, 4);
         limited.now += 600 * MS;
         limited.handle(new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(0, 0, Listed.GONE, 0))));
         limited.now += 50 * MS;
@@ -529,7 +554,8 @@
 
     @Test
     void failedListRequestIsRepeatedWithinTheLimit() {
-        PolicyHarness asking = new PolicyHarness(TestSettings.with(TestSettings.plain().classes(), true, 0, 0)).start(4, 1);
+        PolicyHarness asking =
+                new PolicyHarness(TestSettings.with(TestSettings.plain().classes(), true, 0, 0)).start(4, 1);
         assertTrue(asking.allActions.contains(new Watch(true)));
         for (int i = 0; i < 10; i++) {
             asking.handle(new Members(ListKind.FAILED, 2, List.of()));
@@ -565,8 +591,10 @@
 
     @Test
     void siteWithSlicesGetsWithdrawalsAndNoBinds() {
-        PolicyHarness sliced = new PolicyHarness(TestSettings.with(TestSettings.plain().classes(), false, 0, 4)).start(4, 2);
-        sliced.handle(new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(1, 1, Listed.DRAINING, 0))));
+        PolicyHarness sliced =
+                new PolicyHarness(TestSettings.with(TestSettings.plain().classes(), false, 0, 4)).start(4, 2);
+        sliced.handle(new Members(ListKind.DELTA, 2,
+                List.of(PolicyHarness.member(1, 1, Listed.DRAINING, 0))));
         assertTrue(sliced.withdrawn.get(PolicyHarness.backend(1)));
         assertTrue(sliced.boundTables.isEmpty());
         assertTrue(sliced.allActions.stream().noneMatch(a -> a instanceof SetLine || a instanceof Bind));
@@ -577,11 +605,13 @@
         harness.start(4, 4);
         runCalm(8);
         for (int i = 0; i < 10; i++) { // then there is hardly any traffic
-            harness.policy.handle(harness.now, new ControlApi.Tally(PolicyHarness.backend(0), 0, 1, 0, 100 * MS, SECOND, List.of()));
+            harness.policy.handle(harness.now, new ControlApi.Tally(PolicyHarness.backend(0), 0, 1, 0,
+                    100 * MS, SECOND, List.of()));
             harness.advanceOneSecond();
         }
         runRounds(2, 8, 700 * MS);
-        assertTrue(harness.level(0, 0) > 5, "three quarters of the 80 requests a second served before are admitted: "
+        assertTrue(harness.level(0, 0) > 5,
+                "three quarters of the 80 requests a second served before are admitted: "
                 + harness.level(0, 0));
     }
 
@@ -591,7 +621,8 @@
         for (int i = 0; i < 4; i++) {
             harness.reportRound(8, 2, b -> b == 2 ? 10 : 0, b -> 500 * MS);
         }
-        assertEquals(0, harness.share(0, 0, 2), "reduced only for its failures counting as 1 s, it would keep half of its weight");
+        assertEquals(0, harness.share(0, 0, 2),
+                "reduced only for its failures counting as 1 s, it would keep half of its weight");
     }
 
     /**
@@ -642,8 +673,8 @@
             }
             for (int zone = 0; zone < 2; zone++) {
                 for (int b = 0; b < 8; b++) {
-                    harness.policy.handle(harness.now, new Tally(PolicyHarness.backend(b), zone, triesAndFailed[0], triesAndFailed[1],
-                            100 * MS, SECOND, List.of()));
+                    harness.policy.handle(harness.now, new Tally(PolicyHarness.backend(b), zone,
+                            triesAndFailed[0], triesAndFailed[1], 100 * MS, SECOND, List.of()));
                 }
             }
             harness.advanceOneSecond();
