--- a/src/main/java/rowanmoor/FleetState.java
+++ b/src/main/java/rowanmoor/FleetState.java
@@ -140,8 +140,8 @@
         }
 
         void add(Usage report) {
-            newRequests[report.cls()] += report.requests();
-            newSpanSeconds[report.cls()] += report.span() / 1e9;
+            newRequests[report.classIndex()] += report.requests();
+            newSpanSeconds[report.classIndex()] += report.span() / 1e9;
         }
 
         /**
@@ -187,7 +187,7 @@
         /** The levels as they were sent, by class. */
         final Map<Integer, Double> sentLevels = new TreeMap<>();
         /** The retry rule as it was sent with the levels. */
-        ControlApi.Retry sentRetry;
+        ControlApi.RetryPolicy sentRetry;
 
         /** How many pools of this set hold each backend; one map for the whole set. */
         final Map<Backend, Integer> poolCounts;
--- a/src/main/java/rowanmoor/RoutingPolicy.java
+++ b/src/main/java/rowanmoor/RoutingPolicy.java
@@ -15,17 +15,17 @@
 import java.util.function.Predicate;
 import java.util.stream.IntStream;
 import rowanmoor.ControlApi.Action;
-import rowanmoor.ControlApi.Admission;
+import rowanmoor.ControlApi.AdmissionMode;
 import rowanmoor.ControlApi.Admit;
 import rowanmoor.ControlApi.Applied;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.Belief;
+import rowanmoor.ControlApi.BackendEstimate;
 import rowanmoor.ControlApi.Bind;
 import rowanmoor.ControlApi.Channel;
 import rowanmoor.ControlApi.ClassSpec;
 import rowanmoor.ControlApi.Event;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Log;
 import rowanmoor.ControlApi.Mark;
 import rowanmoor.ControlApi.Member;
@@ -34,7 +34,7 @@
 import rowanmoor.ControlApi.Probed;
 import rowanmoor.ControlApi.ProxyJoined;
 import rowanmoor.ControlApi.ProxyLeft;
-import rowanmoor.ControlApi.Retry;
+import rowanmoor.ControlApi.RetryPolicy;
 import rowanmoor.ControlApi.SetLine;
 import rowanmoor.ControlApi.Settings;
 import rowanmoor.ControlApi.Tally;
@@ -185,7 +185,7 @@
      * Safe for every class. A retry after any failure would abort the first try, and that waste alone keeps
      * congestion going.
      */
-    private static final Retry NORMAL_RETRY = Retry.ONCE_UNRUN;
+    private static final RetryPolicy NORMAL_RETRY = RetryPolicy.ONCE_UNRUN;
 
     // ---- Constants of the sender ----
 
@@ -229,7 +229,7 @@
         long listChangedAt;
 
         boolean isReady() {
-            return member.listed() == Listed.READY;
+            return member.availability() == Availability.READY;
         }
 
         boolean isOpen() {
@@ -261,7 +261,7 @@
 
         /** The load on the scale that the site reports, else latency in ns; 0 if unknown. */
         double load() {
-            return settings.columns().busy() >= 0 ? utilization : latency(allRegions);
+            return settings.reportColumns().utilization() >= 0 ? utilization : latency(allRegions);
         }
     }
 
@@ -294,7 +294,7 @@
     private boolean listChangePending;
     private boolean joinPending;
     private boolean watching;
-    private Retry currentRetry = NORMAL_RETRY;
+    private RetryPolicy currentRetry = NORMAL_RETRY;
     private long nextRoundAt;
     private long lastEvaluationAt;
     private long nextListRequestAt;
@@ -322,9 +322,9 @@
     public RoutingPolicy(Settings settings, long seed) {
         this.settings = settings;
         this.random = new Random(seed);
-        boolean ownZones = settings.classes().stream().anyMatch(ClassSpec::ownZone);
+        boolean ownZones = settings.classes().stream().anyMatch(ClassSpec::ownZoneOnly);
         this.regions = ownZones || settings.crossZonePrice() >= ZONE_TABLES_MIN_PRICE ? settings.zones() : 1;
-        this.roundLengthNs = Math.max(MIN_ROUND_NS, settings.period());
+        this.roundLengthNs = Math.max(MIN_ROUND_NS, settings.reportInterval());
         this.tightestAimNs = settings.classes().stream().mapToLong(ClassSpec::aim).min().orElse(0);
         this.classesByWorth = IntStream.range(0, settings.classes().size()).boxed()
                 .sorted(Comparator.comparing(cls -> -settings.classes().get(cls).worth())).toList();
@@ -375,9 +375,9 @@
     }
 
     /** Returns the current state of each backend, for logs and metrics. */
-    public List<Belief> beliefs(long now) {
+    public List<BackendEstimate> beliefs(long now) {
         return backends.values().stream()
-                .map(state -> new Belief(state.member.backend(), state.member.listed(), state.load(),
+                .map(state -> new BackendEstimate(state.member.backend(), state.member.availability(), state.load(),
                         Arrays.stream(state.paths).map(path -> path.health).toList(), state.correction,
                         state.warmth(now), state.allRegions.tries, state.withdrawn))
                 .toList();
@@ -387,22 +387,22 @@
     // Applies list events to the known backends and requests the list where the site requires that.
 
     private void handleMembers(long now, Members list) {
-        if (list.kind() == ListKind.FAILED) {
+        if (list.kind() == CatalogUpdateKind.FAILED) {
             watching = false;
             long base = Math.min(MIN_ROUND_NS << Math.min(listRequestFailures++, 2),
-                    settings.rules().askWithin() / 4);
+                    settings.rules().maxCatalogRetryDelay() / 4);
             nextListRequestAt = now + (long) (base * (0.5 + random.nextDouble() / 2));
             return;
         }
-        listRequestFailures = list.kind() == ListKind.CACHED ? listRequestFailures : 0;
+        listRequestFailures = list.kind() == CatalogUpdateKind.CACHED ? listRequestFailures : 0;
         TreeMap<Backend, BackendState> missing = new TreeMap<>(backends);
         for (Member member : list.entries()) {
             missing.remove(member.backend());
             BackendState state = backends.computeIfAbsent(member.backend(), backend -> new BackendState());
             updateMember(now, state, member);
         }
-        if (list.kind() != ListKind.DELTA) {
-            missing.values().forEach(state -> updateMember(now, state, state.member.gone()));
+        if (list.kind() != CatalogUpdateKind.DELTA) {
+            missing.values().forEach(state -> updateMember(now, state, state.member.asGone()));
         }
     }
 
@@ -417,7 +417,7 @@
     }
 
     private void requestList(long now) {
-        if (settings.mustAsk() && !watching) {
+        if (settings.catalogOnRequest() && !watching) {
             watching = now >= nextListRequestAt;
             if (watching) {
                 actions.add(new Watch(true));
@@ -455,11 +455,11 @@
     }
 
     private void handleLoad(BackendState state, List<Double> load) {
-        int queueColumn = settings.columns().queue();
+        int queueColumn = settings.reportColumns().queue();
         if (queueColumn >= 0 && queueColumn < load.size()) {
             meanQueueLength += (load.get(queueColumn) - meanQueueLength) / BACKENDS_PER_QUEUE_PROBE;
         }
-        int busyColumn = settings.columns().busy();
+        int busyColumn = settings.reportColumns().utilization();
         if (busyColumn >= 0 && busyColumn < load.size()) {
             state.lastUtilization = load.get(busyColumn);
             state.utilization = state.utilization == 0 ? load.get(busyColumn)
@@ -476,11 +476,11 @@
      * backends is enough to tell whether requests queue in the fleet.
      */
     private void sendProbes() {
-        int interval = settings.columns().busy() >= 0 ? 1
-                : settings.columns().queue() >= 0 ? BACKENDS_PER_QUEUE_PROBE : 0;
+        int interval = settings.reportColumns().utilization() >= 0 ? 1
+                : settings.reportColumns().queue() >= 0 ? BACKENDS_PER_QUEUE_PROBE : 0;
         int position = evaluatedRounds;
         for (BackendState state : backends.values()) {
-            boolean due = settings.mayProbe() && interval > 0 && position++ % interval == 0;
+            boolean due = settings.probesAllowed() && interval > 0 && position++ % interval == 0;
             if (due && state.isReady()) {
                 actions.add(new Probe(state.member.backend()));
             }
@@ -528,11 +528,11 @@
         long slower = known.stream()
                 .filter(state -> state.allRegions.lastLatencyNs > QUEUEING_LATENCY_RATIO * state.quietLatency)
                 .count();
-        boolean queueing = settings.columns().queue() >= 0 ? meanQueueLength > QUEUEING_MEAN_LENGTH
+        boolean queueing = settings.reportColumns().queue() >= 0 ? meanQueueLength > QUEUEING_MEAN_LENGTH
                 : slower * 2 > known.size();
         boolean failing = failed > (currentRetry == NORMAL_RETRY ? 2 : 1) * OVERLOAD_FAILURE_FRACTION * tries;
         if (tries >= MIN_TRIES && (!failing || queueing)) {
-            currentRetry = failing ? Retry.NEVER : NORMAL_RETRY;
+            currentRetry = failing ? RetryPolicy.NEVER : NORMAL_RETRY;
         }
     }
 
@@ -574,7 +574,7 @@
             if (path.suspendedUntil > 0) {
                 path.suspendedUntil = 0;
                 path.health = TRIAL_WEIGHT_FRACTION;
-                path.trialEvaluationAt = now + settings.channel().latest() + 2 * settings.period();
+                path.trialEvaluationAt = now + settings.channel().maxDelay() + 2 * settings.reportInterval();
                 path.tries = 0;
                 path.failed = 0;
                 path.latencySum = 0;
@@ -639,7 +639,7 @@
     private void groupClasses() {
         TreeMap<String, List<Integer>> byOpenness = new TreeMap<>();
         for (int cls = 0; cls < levels.length; cls++) {
-            byOpenness.computeIfAbsent(settings.classes().get(cls).openness(), key -> new ArrayList<>())
+            byOpenness.computeIfAbsent(settings.classes().get(cls).eligibilityKey(), key -> new ArrayList<>())
                     .add(cls);
         }
         groups.addAll(byOpenness.values());
@@ -701,9 +701,9 @@
             TreeMap<Backend, Double> shares = new TreeMap<>();
             for (BackendState state : backends.values()) {
                 Backend backend = state.member.backend();
-                if (capacities.get(backend) > 0 && classSpec(g).openTo(state.member)) {
+                if (capacities.get(backend) > 0 && classSpec(g).isEligible(state.member)) {
                     double available =
-                            classSpec(g).confined() ? capacities.get(backend) : remaining.get(backend);
+                            classSpec(g).isRestricted() ? capacities.get(backend) : remaining.get(backend);
                     shares.put(backend, Math.max(1e-9, available));
                 }
             }
@@ -713,7 +713,7 @@
             for (int r = 0; r < regions; r++) {
                 TreeMap<Backend, Double> permitted = new TreeMap<>(shares);
                 int region = r;
-                permitted.keySet().removeIf(backend -> classSpec(group).ownZone()
+                permitted.keySet().removeIf(backend -> classSpec(group).ownZoneOnly()
                         && region(backends.get(backend).member.zone()) != region);
                 TreeMap<Backend, Double> flows = regionFlows(now, r, permitted, demands.get(g));
                 List<Pool> pools = poolSet(g, r);
@@ -863,13 +863,13 @@
     // classes and proxies.
 
     private double openLevel() {
-        return settings.admission() == Admission.SHARE ? 1 : OPEN_RATE_PER_SECOND;
+        return settings.admission() == AdmissionMode.SHARE ? 1 : OPEN_RATE_PER_SECOND;
     }
 
     private void updateUsage(long now, double seconds) {
         proxies.values().removeIf(proxy -> !proxy.joined && now - proxy.leftAt > PROXY_LEASE_NS);
         double reports = backends.size() * settings.zones() + proxies.size() * levels.length;
-        double cycleSeconds = reports / settings.hearsPerSecond();
+        double cycleSeconds = reports / settings.reportLinesPerSecond();
         for (ProxyState proxy : proxies.values()) {
             proxy.hasReported |= Arrays.stream(proxy.newRequests).sum() > 0;
             proxy.presence = smooth(proxy.presence, proxy.joined && proxy.hasReported ? 1 : 0);
@@ -972,7 +972,7 @@
         boolean slower = state.allRegions.lastLatencyNs == 0
                 || state.allRegions.lastLatencyNs > QUEUEING_LATENCY_RATIO * state.quietLatency;
         boolean queueing =
-                settings.columns().queue() >= 0 ? meanQueueLength > QUEUEING_MEAN_LENGTH : slower;
+                settings.reportColumns().queue() >= 0 ? meanQueueLength > QUEUEING_MEAN_LENGTH : slower;
         boolean failing = state.allRegions.lastFailureFraction > OVERLOAD_FAILURE_FRACTION && queueing;
         return isCongested(state) || state.lastUtilization > SATURATED_UTILIZATION || failing
                 || state.allRegions.lastLatencyNs
@@ -1003,7 +1003,7 @@
             double[] usage = proxies.values().stream()
                     .mapToDouble(proxy -> proxy.usage[cls]).sorted().toArray();
             double classDemand = Arrays.stream(usage).sum();
-            boolean share = settings.admission() == Admission.SHARE;
+            boolean share = settings.admission() == AdmissionMode.SHARE;
             double minLevel = minFractions[cls] == 1 ? openLevel() : share ? minFractions[cls]
                     : minFractions[cls] * classDemand / Math.max(1, usage.length);
             levels[cls] = remaining >= classDemand ? openLevel()
@@ -1081,7 +1081,7 @@
                 ordinaryLineAllowance + pacedLines * ORDINARY_PACE_FRACTION);
         lastDrainAt = now;
         holdColdBackends(now);
-        if (settings.slices() > 0) {
+        if (settings.keyRanges() > 0) {
             sendWithdrawals(true); // on sites with slices only these orders are legal
             return;
         }
@@ -1128,8 +1128,8 @@
     private double maxWaitingLines(double fraction) {
         Channel channel = settings.channel();
         double graceSeconds =
-                Math.max(0.5, (settings.rules().drainGrace() - channel.latest()) / NS_PER_SECOND);
-        return Math.min(fraction * channel.backlog(),
+                Math.max(0.5, (settings.rules().drainGrace() - channel.maxDelay()) / NS_PER_SECOND);
+        return Math.min(fraction * channel.maxBacklog(),
                 GRACE_BACKLOG_FRACTION * graceSeconds * channel.linesPerSecond());
     }
 
@@ -1143,7 +1143,7 @@
     private void bindProxies(long now) {
         Channel channel = settings.channel();
         double maxLines = BIND_BACKLOG_FRACTION
-                * Math.min(channel.backlog(), BULK_BACKLOG_SECONDS * channel.linesPerSecond());
+                * Math.min(channel.maxBacklog(), BULK_BACKLOG_SECONDS * channel.linesPerSecond());
         for (Iterator<Integer> queue = bindQueue.iterator(); queue.hasNext();) {
             int number = queue.next();
             ProxyState proxy = proxies.get(number);
@@ -1154,7 +1154,7 @@
                         .filter(backend -> backends.get(backend).withdrawn).count();
                 lines += backendsToReadmit(now, proxy, pool).size();
             }
-            double excess = channelBacklog.waitingLines() + lines + settings.channel().head() + 1 - maxLines;
+            double excess = channelBacklog.waitingLines() + lines + settings.channel().messageOverhead() + 1 - maxLines;
             if (channelBacklog.waitingLines() > 0 && excess > 0) {
                 double waitNs = NS_PER_SECOND * excess / settings.channel().linesPerSecond();
                 timers.set(now, now + Math.max(MIN_SEND_WAIT_NS, (long) waitNs), Timers.BIND, actions);
@@ -1164,7 +1164,7 @@
                 int classes = groups.get(pool.group).stream().mapToInt(cls -> 1 << cls).sum();
                 actions.add(new Bind(number, pool.table, classes, backendsToReadmit(now, proxy, pool)));
             }
-            channelBacklog.add(proxy, lines, settings.channel().head() + 1);
+            channelBacklog.add(proxy, lines, settings.channel().messageOverhead() + 1);
             proxy.bound = true;
             queue.remove();
         }
@@ -1186,7 +1186,7 @@
     /** Adds an order and counts its line for each recipient. */
     private void emit(Action action, Collection<ProxyState> recipients) {
         actions.add(action);
-        recipients.forEach(proxy -> channelBacklog.add(proxy, 1, settings.channel().head() + 1));
+        recipients.forEach(proxy -> channelBacklog.add(proxy, 1, settings.channel().messageOverhead() + 1));
     }
 
     /**
@@ -1195,7 +1195,7 @@
      * weight.
      */
     private void holdColdBackends(long now) {
-        double minWarmth = overloadedRounds > 0 || settings.ejects() > 0
+        double minWarmth = overloadedRounds > 0 || settings.ejectAfterFailures() > 0
                 ? MIN_WARMTH_IN_OVERLOAD : MIN_WARMTH;
         List<BackendState> ready = backends.values().stream().filter(BackendState::isReady).toList();
         long warm = ready.stream().filter(state -> state.warmth(now) >= minWarmth).count();
@@ -1215,12 +1215,12 @@
         List<BackendState> changed = backends.values().stream()
                 .filter(state -> state.withdrawn == state.isOpen() && (readmit || !state.withdrawn)).toList();
         long unbound = proxies.values().stream().filter(proxy -> proxy.joined && !proxy.bound).count();
-        double lines = unbound * (settings.channel().head() + 1 + changed.size());
+        double lines = unbound * (settings.channel().messageOverhead() + 1 + changed.size());
         boolean boundOnly = channelBacklog.waitingLines() + lines > maxBulkLines(URGENT_BACKLOG_FRACTION);
         for (BackendState state : changed) {
             Backend backend = state.member.backend();
             state.withdrawn = !state.withdrawn;
-            String listed = state.withdrawn ? " listed " + state.member.listed() : "";
+            String listed = state.withdrawn ? " listed " + state.member.availability() : "";
             (state.withdrawn ? withdrawn : readmitted).add(backend + listed);
             emit(new Withdraw(backend, state.withdrawn, boundOnly), proxies.values().stream()
                     .filter(proxy -> proxy.mayHold(backend, boundOnly)).toList());
@@ -1238,7 +1238,7 @@
         for (BackendState state : List.copyOf(backends.values())) {
             Backend backend = state.member.backend();
             boolean expired =
-                    state.member.listed() == Listed.GONE && now - state.listChangedAt > GONE_RETENTION_NS;
+                    state.member.availability() == Availability.GONE && now - state.listChangedAt > GONE_RETENTION_NS;
             if (expired && bindQueue.isEmpty()) {
                 List<Pool> pools = poolSets.values().stream().flatMap(List::stream).toList();
                 pools.forEach(pool -> pool.remove(backend));
--- a/src/main/java/rowanmoor/proxy/ReportQueue.java
+++ b/src/main/java/rowanmoor/proxy/ReportQueue.java
@@ -29,8 +29,8 @@
     /** Makes a report of what was counted since the last one, if there is anything and room for it. */
     void cut(long now) {
         if (unacknowledged.size() < UNACKNOWLEDGED_MOST) {
-            Frame.Report report = tallies.report(now);
-            if (!report.tallies().isEmpty() || !report.uses().isEmpty()) {
+            Frame.Report report = tallies.takeReport(now);
+            if (!report.tallies().isEmpty() || !report.usages().isEmpty()) {
                 unacknowledged.add(new Frame.NumberedReport(++lastNumber, report));
             }
         }
--- a/src/test/java/rowanmoor/BoundedGrowthTest.java
+++ b/src/test/java/rowanmoor/BoundedGrowthTest.java
@@ -13,9 +13,9 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import rowanmoor.ControlApi.Bind;
-import rowanmoor.ControlApi.Effect;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.Idempotency;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
 import rowanmoor.ControlApi.ProxyJoined;
@@ -31,9 +31,9 @@
         PolicyHarness harness = new PolicyHarness(TestSettings.plain()).start(4, 2);
         for (int i = 4; i < 604; i++) {
             harness.now += 4 * SECOND;
-            harness.handle(new Members(ListKind.DELTA, i,
-                    List.of(PolicyHarness.member(i - 4, i % 2, Listed.GONE, 0),
-                    PolicyHarness.member(i, i % 2, Listed.READY, 0))));
+            harness.handle(new Members(CatalogUpdateKind.DELTA, i,
+                    List.of(PolicyHarness.member(i - 4, i % 2, Availability.GONE, 0),
+                    PolicyHarness.member(i, i % 2, Availability.READY, 0))));
             harness.advanceOneSecond();
         }
         long lines = harness.tables.get(harness.boundTables.get(0).get(0)).values().stream()
@@ -45,7 +45,7 @@
     @Test
     void removingAGoneBackendOrdersNoMarkWithoutAMessage() {
         PolicyHarness harness = new PolicyHarness(TestSettings.plain()).start(4, 2);
-        harness.handle(new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(0, 0, Listed.GONE, 0))));
+        harness.handle(new Members(CatalogUpdateKind.DELTA, 2, List.of(PolicyHarness.member(0, 0, Availability.GONE, 0))));
         boolean removed = false;
         for (int i = 0; i < 140 && !removed; i++) {
             harness.advanceOneSecond();
@@ -126,12 +126,12 @@
                 new PolicyHarness(TestSettings.with(TestSettings.plain().classes(), false, 20, 0))
                         .start(8, 4);
         limited.now += 600 * MS;
-        limited.handle(new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(0, 0, Listed.GONE, 0))));
+        limited.handle(new Members(CatalogUpdateKind.DELTA, 2, List.of(PolicyHarness.member(0, 0, Availability.GONE, 0))));
         int timers = 0;
         for (int i = 0; i < 80; i++) {
             limited.now += 5 * MS;
-            limited.handle(new Members(ListKind.DELTA, 3 + i,
-                    List.of(PolicyHarness.member(1, 1, Listed.GONE, i))));
+            limited.handle(new Members(CatalogUpdateKind.DELTA, 3 + i,
+                    List.of(PolicyHarness.member(1, 1, Availability.GONE, i))));
             timers += limited.lastActions.stream().filter(a -> a instanceof TimerAt t && t.token() == 2)
                     .count();
         }
@@ -143,17 +143,17 @@
         int zones = 64;
         List<ControlApi.ClassSpec> classes = new ArrayList<>();
         for (int c = 0; c < 16; c++) {
-            classes.add(TestSettings.spec(Effect.SAFE, 1, c == 0 ? Set.of() : Set.of(c, c + 16)));
+            classes.add(TestSettings.spec(Idempotency.SAFE, 1, c == 0 ? Set.of() : Set.of(c, c + 16)));
         }
         Settings settings = TestSettings.plain();
         PolicyHarness harness = new PolicyHarness(new Settings(1, zones, classes, false, false,
-                settings.admission(), 0, 100, 0, SECOND, 500, 0.05, settings.columns(), settings.rules(),
+                settings.admission(), 0, 100, 0, SECOND, 500, 0.05, settings.reportColumns(), settings.rules(),
                 new ControlApi.Channel(1e6, 5, 1e6, 0, SECOND, 0, 0)));
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < 2 * zones; i++) {
-            members.add(new Member(PolicyHarness.backend(i), i % zones, 0, 0, Listed.READY, 1, 0));
+            members.add(new Member(PolicyHarness.backend(i), i % zones, 0, 0, Availability.READY, 1, 0));
         }
-        harness.handle(new Members(ListKind.FULL, 1, members));
+        harness.handle(new Members(CatalogUpdateKind.FULL, 1, members));
         for (int p = 0; p < zones; p++) {
             harness.handle(new ProxyJoined(p, p, 20, true));
         }
@@ -161,7 +161,7 @@
         for (ControlApi.Action action : harness.allActions) {
             if (action instanceof Bind bind) {
                 assertTrue(bind.table() >= 0 && bind.table() < ControlApi.ALL_TABLES, action.toString());
-                String owner = bind.proxy() + "/" + bind.classes();
+                String owner = bind.proxy() + "/" + bind.classMask();
                 assertEquals(owner, owners.computeIfAbsent(bind.table(), t -> owner),
                         "table " + bind.table());
             } else if (action instanceof SetLine line) {
--- a/src/test/java/rowanmoor/DecisionBenchmark.java
+++ b/src/test/java/rowanmoor/DecisionBenchmark.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Log;
 import rowanmoor.ControlApi.Members;
 
@@ -57,9 +57,9 @@
         for (int i = 4; i < machines + 4; i++) {
             harness.now += 4 * TestSettings.SECOND;
             long before = System.nanoTime();
-            harness.handle(new Members(ListKind.DELTA, i,
-                    List.of(PolicyHarness.member(i - 4, i % 2, Listed.GONE, 0),
-                    PolicyHarness.member(i, i % 2, Listed.READY, 0))));
+            harness.handle(new Members(CatalogUpdateKind.DELTA, i,
+                    List.of(PolicyHarness.member(i - 4, i % 2, Availability.GONE, 0),
+                    PolicyHarness.member(i, i % 2, Availability.READY, 0))));
             harness.advanceOneSecond();
             lastMicros += i >= machines - 96 ? (System.nanoTime() - before) / 1e3 / 100 : 0;
             harness.allActions.clear();
--- a/src/test/java/rowanmoor/LevelLogTest.java
+++ b/src/test/java/rowanmoor/LevelLogTest.java
@@ -14,8 +14,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Log;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
@@ -69,8 +69,8 @@
     }
 
     private static ControlApi.ClassSpec safeClass(long aim, double worth) {
-        return new ControlApi.ClassSpec(aim, 3 * aim, worth, 0.2, ControlApi.Effect.SAFE,
-                ControlApi.Group.ZONE, 2 * SECOND, false, false, Set.of(), Set.of());
+        return new ControlApi.ClassSpec(aim, 3 * aim, worth, 0.2, ControlApi.Idempotency.SAFE,
+                ControlApi.DedupScope.ZONE, 2 * SECOND, false, false, Set.of(), Set.of());
     }
 
     /**
@@ -156,11 +156,11 @@
         PolicyHarness harness = new PolicyHarness(TestSettings.plain()).start(0, 0);
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < 1000; i++) {
-            members.add(PolicyHarness.member(i, i % 2, Listed.READY, 0));
+            members.add(PolicyHarness.member(i, i % 2, Availability.READY, 0));
         }
-        harness.handle(new Members(ListKind.FULL, 2, members));
+        harness.handle(new Members(CatalogUpdateKind.FULL, 2, members));
         harness.advanceOneSecond();
-        harness.handle(new Members(ListKind.FULL, 3, List.of()));
+        harness.handle(new Members(CatalogUpdateKind.FULL, 3, List.of()));
         harness.advanceOneSecond();
         List<String> lines = linesStartingWith(harness, "withdrawn");
         assertEquals(1, lines.size());
--- a/src/test/java/rowanmoor/MultiPoolFleetTest.java
+++ b/src/test/java/rowanmoor/MultiPoolFleetTest.java
@@ -15,8 +15,8 @@
 import rowanmoor.ControlApi.Action;
 import rowanmoor.ControlApi.Applied;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Mark;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
@@ -56,7 +56,7 @@
     void losingOneBackendChangesFewTables() {
         harness.startInOneBatch(BACKENDS, PROXIES).advanceUntilBound();
         Map<Integer, TreeSet<Backend>> before = tableMembers();
-        harness.handle(new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(4, 0, Listed.GONE, 0))));
+        harness.handle(new Members(CatalogUpdateKind.DELTA, 2, List.of(PolicyHarness.member(4, 0, Availability.GONE, 0))));
         harness.advanceUntilBound();
         int changed = 0;
         for (Map.Entry<Integer, TreeSet<Backend>> table : tableMembers().entrySet()) {
@@ -71,8 +71,8 @@
     @Test
     void newBackendIsAssignedToAPoolOnceItIsWarm() {
         harness.startInOneBatch(BACKENDS, PROXIES).advanceUntilBound();
-        Member fresh = PolicyHarness.member(BACKENDS, 0, Listed.READY, harness.now);
-        harness.handle(new Members(ListKind.DELTA, 2, List.of(fresh)));
+        Member fresh = PolicyHarness.member(BACKENDS, 0, Availability.READY, harness.now);
+        harness.handle(new Members(CatalogUpdateKind.DELTA, 2, List.of(fresh)));
         harness.advanceUntilBound();
         double part = harness.meanShare(0, BACKENDS) * BACKENDS;
         assertTrue(part > 0.4 && part < 2, "part " + part);
@@ -96,9 +96,9 @@
         harness.startInOneBatch(BACKENDS, PROXIES).advanceUntilBound();
         List<Member> lost = new ArrayList<>();
         for (int b = 0; b < BACKENDS; b += 2) {
-            lost.add(PolicyHarness.member(b, 0, Listed.GONE, 0));
+            lost.add(PolicyHarness.member(b, 0, Availability.GONE, 0));
         }
-        harness.handle(new Members(ListKind.DELTA, 2, lost));
+        harness.handle(new Members(CatalogUpdateKind.DELTA, 2, lost));
         harness.advanceOneSecond();
         for (int table : harness.tablesInUse(0).keySet()) {
             long left = harness.tables.get(table).entrySet().stream().filter(e -> e.getValue() > 0
@@ -114,8 +114,8 @@
     @Test
     void shareOfAColdBackendOverAllPoolsStaysWithinItsRamp() {
         harness.startInOneBatch(BACKENDS, PROXIES).advanceUntilBound();
-        harness.handle(new Members(ListKind.DELTA, 2,
-                List.of(PolicyHarness.member(2, 0, Listed.READY, harness.now))));
+        harness.handle(new Members(CatalogUpdateKind.DELTA, 2,
+                List.of(PolicyHarness.member(2, 0, Availability.READY, harness.now))));
         for (int second = 0; second < 10; second++) {
             double warmth = 0.2 + 0.08 * second;
             assertTrue(harness.meanShare(0, 2) * BACKENDS < 4 * warmth, "second " + second);
@@ -133,9 +133,9 @@
                 .advanceUntilBound();
         List<Member> drained = new ArrayList<>();
         for (int b = 0; b < 20; b++) {
-            drained.add(PolicyHarness.member(b, b % 2, Listed.DRAINING, 0));
+            drained.add(PolicyHarness.member(b, b % 2, Availability.DRAINING, 0));
         }
-        drainedFleet.handle(new Members(ListKind.DELTA, 2, drained));
+        drainedFleet.handle(new Members(CatalogUpdateKind.DELTA, 2, drained));
         drainedFleet.advanceUntilBound();
         ControlApi.Event[] joins = new ControlApi.Event[150];
         for (int p = 0; p < 150; p++) {
@@ -148,9 +148,9 @@
             drainedFleet.decide();
             most += drainedFleet.lastLines();
         }
-        assertTrue(most > drainedFleet.settings.channel().backlog() / 2,
+        assertTrue(most > drainedFleet.settings.channel().maxBacklog() / 2,
                 "enough joins to fill half of the backlog: " + most);
-        assertTrue(most <= drainedFleet.settings.channel().backlog(), most + " lines wait");
+        assertTrue(most <= drainedFleet.settings.channel().maxBacklog(), most + " lines wait");
     }
 
     @Test
@@ -163,7 +163,7 @@
         harness.handle(joins);
         double waiting = harness.lastLines();
         for (int i = 0; i < 200; i++) {
-            assertTrue(waiting <= harness.settings.channel().backlog(), "waiting " + waiting);
+            assertTrue(waiting <= harness.settings.channel().maxBacklog(), "waiting " + waiting);
             for (Action action : harness.lastActions) {
                 if (action instanceof Mark mark) {
                     harness.policy.handle(harness.now, new Applied(0, mark.number(), SECOND / 5));
@@ -191,8 +191,8 @@
                 }
             }
             harness.now += 50 * MS;
-            Listed listed = i % 2 == 0 ? Listed.GONE : Listed.READY;
-            harness.handle(new Members(ListKind.DELTA, i + 2,
+            Availability listed = i % 2 == 0 ? Availability.GONE : Availability.READY;
+            harness.handle(new Members(CatalogUpdateKind.DELTA, i + 2,
                     List.of(PolicyHarness.member(i % BACKENDS, i % 2, listed, 0))));
         }
         assertEquals(PROXIES, harness.boundTables.size());
@@ -212,7 +212,7 @@
             lines += fullSize.lastLines();
         }
         double pace = fullSize.settings.channel().linesPerSecond();
-        double allowed = 0.4 * fullSize.settings.channel().backlog() + 20 * 0.15 * pace;
+        double allowed = 0.4 * fullSize.settings.channel().maxBacklog() + 20 * 0.15 * pace;
         assertTrue(lines > 0 && lines < allowed, "lines " + lines + " of " + allowed);
     }
 
@@ -262,7 +262,7 @@
     @Test
     void unusualInputGivesValidOrdersOrNone() {
         PolicyHarness fleet = new PolicyHarness(TestSettings.large(0));
-        fleet.handle(new Members(ListKind.CACHED, 1, List.of()));
+        fleet.handle(new Members(CatalogUpdateKind.CACHED, 1, List.of()));
         fleet.handle(new ProxyJoined(7, 0, 0, true));
         fleet.advanceOneSecond();
         fleet.handle(new Usage(99, 0, 5, 0, 0), new Usage(7, 0, 5, 0, 0), new ProxyLeft(98),
@@ -270,17 +270,17 @@
         fleet.advanceOneSecond();
         List<Member> members = new ArrayList<>();
         for (int b = 0; b < 40; b++) {
-            members.add(PolicyHarness.member(b, b % 2, Listed.READY, 0));
+            members.add(PolicyHarness.member(b, b % 2, Availability.READY, 0));
         }
-        fleet.handle(new Members(ListKind.FULL, 2, members));
+        fleet.handle(new Members(CatalogUpdateKind.FULL, 2, members));
         fleet.handle(new ProxyJoined(8, 1, Double.NaN, true));
         fleet.advanceUntilBound();
         assertTrue(fleet.share(7, 0, 0) > 0);
         List<Member> draining = new ArrayList<>();
         for (int b = 0; b < 40; b++) {
-            draining.add(PolicyHarness.member(b, b % 2, Listed.DRAINING, 0));
+            draining.add(PolicyHarness.member(b, b % 2, Availability.DRAINING, 0));
         }
-        fleet.handle(new Members(ListKind.FULL, 3, draining));
+        fleet.handle(new Members(CatalogUpdateKind.FULL, 3, draining));
         fleet.advanceUntilBound();
         assertEquals(40, fleet.withdrawn.values().stream().filter(out -> out).count());
         for (Action action : fleet.allActions) {
@@ -350,13 +350,13 @@
         ControlApi.Rules rules = new ControlApi.Rules(20 * SECOND, 14 * SECOND, 18 * SECOND, 0.16, 4,
                 3 * SECOND / 2, 10 * SECOND);
         PolicyHarness fleet = new PolicyHarness(new Settings(5, 2, settings.classes(), false, false,
-                settings.admission(), 5, 872, 0, SECOND, 500, 0.05, settings.columns(), rules, deep))
+                settings.admission(), 5, 872, 0, SECOND, 500, 0.05, settings.reportColumns(), rules, deep))
                 .startInOneBatch(60, 872);
         assertTrue(!fleet.boundTables.isEmpty() && fleet.lastLines() <= 2 * 1300,
                 fleet.lastLines() + " lines before the drain");
         fleet.now += 10 * MS;
-        fleet.handle(new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(3, 1,
-                Listed.DRAINING, 0), PolicyHarness.member(4, 0, Listed.DRAINING, 0))));
+        fleet.handle(new Members(CatalogUpdateKind.DELTA, 2, List.of(PolicyHarness.member(3, 1,
+                Availability.DRAINING, 0), PolicyHarness.member(4, 0, Availability.DRAINING, 0))));
         List<Withdraw> withdrawals = fleet.lastActions.stream().filter(Withdraw.class::isInstance)
                 .map(Withdraw.class::cast).toList();
         assertEquals(List.of(PolicyHarness.backend(3), PolicyHarness.backend(4)),
@@ -383,7 +383,7 @@
     void poolMovesAndListChangesStayWithinTheMessageBudget() {
         Settings settings = TestSettings.large(60);
         PolicyHarness fleet = new PolicyHarness(new Settings(1, 2, settings.classes(), false, false,
-                settings.admission(), 0, 60, 0, SECOND, 500, 0.05, settings.columns(), settings.rules(),
+                settings.admission(), 0, 60, 0, SECOND, 500, 0.05, settings.reportColumns(), settings.rules(),
                 new ControlApi.Channel(1e6, 4, 1e6, 20, 10 * SECOND, 200 * MS, 500 * MS)))
                 .startInOneBatch(60, 60).advanceUntilBound();
         Random random = new Random(5);
@@ -404,8 +404,8 @@
             if (i % 3 == 0) {
                 int b = random.nextInt(60);
                 fleet.policy.handle(fleet.now,
-                        new Members(ListKind.DELTA, i, List.of(PolicyHarness.member(b, b % 2,
-                        random.nextBoolean() ? Listed.READY : Listed.GONE, 0))));
+                        new Members(CatalogUpdateKind.DELTA, i, List.of(PolicyHarness.member(b, b % 2,
+                        random.nextBoolean() ? Availability.READY : Availability.GONE, 0))));
             }
             fleet.decide();
             for (int p : fleet.lastRecipients()) {
@@ -426,7 +426,7 @@
             fleet.policy.handle(fleet.now, new ControlApi.Timer(3));
             if (i == 20) {
                 fleet.policy.handle(fleet.now,
-                        new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(7, 1, Listed.GONE, 0))));
+                        new Members(CatalogUpdateKind.DELTA, 2, List.of(PolicyHarness.member(7, 1, Availability.GONE, 0))));
             }
             fleet.decide();
             waited = i >= 20 && fleet.withdrawn.getOrDefault(PolicyHarness.backend(7), false) ? i - 20 : -1;
--- a/src/test/java/rowanmoor/PolicyHarness.java
+++ b/src/test/java/rowanmoor/PolicyHarness.java
@@ -13,8 +13,8 @@
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Bind;
 import rowanmoor.ControlApi.Event;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Mark;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
@@ -54,7 +54,7 @@
         return new Backend(0x0a000000_1f40L + ((long) i << 16));
     }
 
-    static Member member(int i, int zone, Listed listed, long startedAt) {
+    static Member member(int i, int zone, Availability listed, long startedAt) {
         return new Member(backend(i), zone, i % 2, 0, listed, 1, startedAt);
     }
 
@@ -65,9 +65,9 @@
     PolicyHarness start(int backendCount, int proxyCount) {
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < backendCount; i++) {
-            members.add(member(i, i % 2, Listed.READY, 0));
+            members.add(member(i, i % 2, Availability.READY, 0));
         }
-        handle(new Members(ListKind.CACHED, 1, members));
+        handle(new Members(CatalogUpdateKind.CACHED, 1, members));
         for (int p = 0; p < proxyCount; p++) {
             handle(new ProxyJoined(p, p % 2, 20, true));
         }
@@ -107,15 +107,15 @@
             tables.computeIfAbsent(line.table(), t -> new HashMap<>()).put(line.backend(), line.weight());
         } else if (action instanceof Bind bind) {
             for (int c = 0; c < settings.classes().size(); c++) {
-                if (bind.classes() == 0 || (bind.classes() >> c & 1) == 1) {
+                if (bind.classMask() == 0 || (bind.classMask() >> c & 1) == 1) {
                     boundTables.computeIfAbsent(bind.proxy(), p -> new HashMap<>()).put(c, bind.table());
                 }
             }
         } else if (action instanceof Withdraw withdraw) {
-            withdrawn.put(withdraw.backend(), withdraw.out());
+            withdrawn.put(withdraw.backend(), withdraw.withdrawn());
         } else if (action instanceof Admit admit) {
             for (int c = 0; c < settings.classes().size(); c++) {
-                if ((admit.classes() >> c & 1) == 1) {
+                if ((admit.classMask() >> c & 1) == 1) {
                     sentLevels.computeIfAbsent(c, k -> new HashMap<>()).put(admit.table(), admit);
                 }
             }
@@ -132,7 +132,7 @@
 
     /** The lines that the last reply puts into the channel, message heads included. */
     double lastLines() {
-        return lastLinesByProxy.values().stream().mapToDouble(n -> n + settings.channel().head() + 1).sum();
+        return lastLinesByProxy.values().stream().mapToDouble(n -> n + settings.channel().messageOverhead() + 1).sum();
     }
 
     /** The proxies that the last reply sends a message to. */
@@ -143,7 +143,7 @@
     /** Counts an order's lines for each proxy that it goes to, by the tables bound at that time. */
     private void countLines(Action action) {
         if (action instanceof Bind bind) {
-            double classes = Integer.bitCount(bind.classes());
+            double classes = Integer.bitCount(bind.classMask());
             Map<Backend, Double> table = tables.getOrDefault(bind.table(), Map.of());
             double excluded = table.keySet().stream().filter(b -> withdrawn.getOrDefault(b, false)).count();
             lastLinesByProxy.merge(bind.proxy(), 1 + table.size() + excluded + classes, Double::sum);
--- a/src/test/java/rowanmoor/RoutingPolicyTest.java
+++ b/src/test/java/rowanmoor/RoutingPolicyTest.java
@@ -18,13 +18,13 @@
 import rowanmoor.ControlApi.Admit;
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Bind;
-import rowanmoor.ControlApi.Effect;
-import rowanmoor.ControlApi.ListKind;
-import rowanmoor.ControlApi.Listed;
+import rowanmoor.ControlApi.Idempotency;
+import rowanmoor.ControlApi.CatalogUpdateKind;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Members;
 import rowanmoor.ControlApi.ProxyJoined;
 import rowanmoor.ControlApi.ProxyLeft;
-import rowanmoor.ControlApi.Retry;
+import rowanmoor.ControlApi.RetryPolicy;
 import rowanmoor.ControlApi.Settings;
 import rowanmoor.ControlApi.SetLine;
 import rowanmoor.ControlApi.Tally;
@@ -49,28 +49,28 @@
     void drainingBackendIsWithdrawnImmediately() {
         harness.start(2, 2);
         harness.now += 50 * MS;
-        harness.handle(new Members(ListKind.DELTA, 2,
-                List.of(PolicyHarness.member(1, 1, Listed.DRAINING, 0))));
+        harness.handle(new Members(CatalogUpdateKind.DELTA, 2,
+                List.of(PolicyHarness.member(1, 1, Availability.DRAINING, 0))));
         assertTrue(harness.withdrawn.get(PolicyHarness.backend(1)));
         harness.now += 50 * MS;
-        harness.handle(new Members(ListKind.DELTA, 3,
-                List.of(PolicyHarness.member(0, 0, Listed.DRAINING, 0))));
+        harness.handle(new Members(CatalogUpdateKind.DELTA, 3,
+                List.of(PolicyHarness.member(0, 0, Availability.DRAINING, 0))));
         assertTrue(harness.withdrawn.get(PolicyHarness.backend(0)), "even the last backend");
     }
 
     @Test
     void backendMissingFromAFullListIsWithdrawn() {
         harness.start(3, 2);
-        harness.handle(new Members(ListKind.FULL, 2, List.of(PolicyHarness.member(0, 0, Listed.READY, 0),
-                PolicyHarness.member(1, 1, Listed.READY, 0))));
+        harness.handle(new Members(CatalogUpdateKind.FULL, 2, List.of(PolicyHarness.member(0, 0, Availability.READY, 0),
+                PolicyHarness.member(1, 1, Availability.READY, 0))));
         assertTrue(harness.withdrawn.get(PolicyHarness.backend(2)));
     }
 
     @Test
     void lateJoiningProxyGetsNoWithdrawnBackend() {
         harness.start(4, 2);
-        harness.handle(new Members(ListKind.DELTA, 2,
-                List.of(PolicyHarness.member(2, 0, Listed.DRAINING, 0))));
+        harness.handle(new Members(CatalogUpdateKind.DELTA, 2,
+                List.of(PolicyHarness.member(2, 0, Availability.DRAINING, 0))));
         harness.advanceOneSecond();
         harness.handle(new ProxyJoined(2, 0, 20, true));
         assertEquals(0, harness.share(2, 0, 2));
@@ -149,9 +149,9 @@
     @Test
     void restartedBackendIsHeldBackWhileVeryColdAndThenGetsASmallShare() {
         harness.start(4, 4);
-        harness.handle(new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(2, 0, Listed.GONE, 0))));
+        harness.handle(new Members(CatalogUpdateKind.DELTA, 2, List.of(PolicyHarness.member(2, 0, Availability.GONE, 0))));
         harness.advanceOneSecond();
-        harness.handle(new Members(ListKind.DELTA, 3, List.of(PolicyHarness.member(2, 0, Listed.READY,
+        harness.handle(new Members(CatalogUpdateKind.DELTA, 3, List.of(PolicyHarness.member(2, 0, Availability.READY,
                 harness.now - SECOND))));
         assertTrue(harness.withdrawn.get(PolicyHarness.backend(2)), "still too cold");
         harness.advanceOneSecond();
@@ -173,8 +173,8 @@
         for (boolean ejects : new boolean[] {false, true}) {
             Settings settings = ejects ? TestSettings.withEjection() : TestSettings.plain();
             PolicyHarness held = new PolicyHarness(settings).start(4, 4);
-            held.handle(new Members(ListKind.DELTA, 2,
-                    List.of(PolicyHarness.member(2, 0, Listed.READY, held.now))));
+            held.handle(new Members(CatalogUpdateKind.DELTA, 2,
+                    List.of(PolicyHarness.member(2, 0, Availability.READY, held.now))));
             for (int i = 0; i < 4; i++) {
                 held.advanceOneSecond();
             }
@@ -192,24 +192,24 @@
         for (double price : new double[] {0.01, 0.05}) {
             Settings settings = TestSettings.plain();
             ControlApi.ClassSpec ownZone = settings.classes().get(0);
-            ownZone = new ControlApi.ClassSpec(ownZone.aim(), ownZone.deadline(), 1, 0, Effect.SAFE,
-                    ownZone.group(), ownZone.window(), false, true, Set.of(), Set.of());
+            ownZone = new ControlApi.ClassSpec(ownZone.aim(), ownZone.deadline(), 1, 0, Idempotency.SAFE,
+                    ownZone.dedupScope(), ownZone.dedupWindow(), false, true, Set.of(), Set.of());
             PolicyHarness zones = new PolicyHarness(new Settings(1, 3,
                     List.of(ownZone, settings.classes().get(1)), false, false, settings.admission(), 0, 8, 0,
-                    SECOND, 500, price, settings.columns(), settings.rules(), settings.channel()));
+                    SECOND, 500, price, settings.reportColumns(), settings.rules(), settings.channel()));
             List<ControlApi.Member> members = new ArrayList<>();
             for (int i = 0; i < 9; i++) {
-                members.add(PolicyHarness.member(i, i % 3, Listed.READY, 0));
+                members.add(PolicyHarness.member(i, i % 3, Availability.READY, 0));
             }
-            zones.handle(new Members(ListKind.FULL, 1, members));
+            zones.handle(new Members(CatalogUpdateKind.FULL, 1, members));
             for (int p = 0; p < 6; p++) {
                 zones.handle(new ProxyJoined(p, p % 3, 20, true));
             }
             for (int i = 0; i < 20; i++) { // all backends of zone 1 fail, and one of zone 2 is drained
                 zones.reportRound(9, 3, b -> b % 3 == 1 ? 10 : 0, b -> 100 * MS);
-                zones.handle(new Members(ListKind.DELTA, 2 + i,
+                zones.handle(new Members(CatalogUpdateKind.DELTA, 2 + i,
                         List.of(
-                        PolicyHarness.member(2, 2, i < 5 ? Listed.READY : Listed.DRAINING, 0))));
+                        PolicyHarness.member(2, 2, i < 5 ? Availability.READY : Availability.DRAINING, 0))));
             }
             for (int p = 0; p < 6; p++) {
                 int zone = p % 3;
@@ -234,8 +234,8 @@
         int[] failedOf100 = {0, 11, 9, 11, 6, 4};
         // ms; in the second step some backends are dead and the others have room
         int[] latency = {100, 110, 200, 200, 200, 200};
-        Retry[] expected = {Retry.ONCE_UNRUN, Retry.ONCE_UNRUN, Retry.ONCE_UNRUN, Retry.NEVER, Retry.NEVER,
-            Retry.ONCE_UNRUN};
+        RetryPolicy[] expected = {RetryPolicy.ONCE_UNRUN, RetryPolicy.ONCE_UNRUN, RetryPolicy.ONCE_UNRUN, RetryPolicy.NEVER, RetryPolicy.NEVER,
+            RetryPolicy.ONCE_UNRUN};
         for (int step = 0; step < expected.length; step++) {
             for (int i = 0; i < 10; i++) { // all failures are at one backend in ten: no overload
                 int failed = i == 0 ? 10 * failedOf100[step] : 0;
@@ -254,8 +254,8 @@
     @Test
     void joiningProxyReadmitsBackendsThatWarmedUpWhileItWasAway() {
         harness.start(6, 4);
-        harness.handle(new Members(ListKind.DELTA, 2,
-                List.of(PolicyHarness.member(2, 0, Listed.READY, harness.now))));
+        harness.handle(new Members(CatalogUpdateKind.DELTA, 2,
+                List.of(PolicyHarness.member(2, 0, Availability.READY, harness.now))));
         for (int i = 0; i < 3; i++) {
             harness.advanceOneSecond();
         }
@@ -263,21 +263,21 @@
         harness.handle(new ProxyLeft(1), new ProxyJoined(1, 0, 20, false));
         List<Backend> readmitted = harness.lastActions.stream().filter(Bind.class::isInstance)
                 .map(Bind.class::cast).filter(bind -> bind.proxy() == 1)
-                .flatMap(bind -> bind.letBack().stream()).distinct().toList();
+                .flatMap(bind -> bind.readmitted().stream()).distinct().toList();
         assertEquals(List.of(PolicyHarness.backend(2)), readmitted);
         for (int i = 0; i < 10; i++) {
             harness.advanceOneSecond();
         }
         harness.handle(new ProxyLeft(1), new ProxyJoined(1, 0, 20, false));
         assertTrue(harness.lastActions.stream().filter(Bind.class::isInstance).map(Bind.class::cast)
-                .allMatch(b -> b.letBack().isEmpty()), "warm for long");
+                .allMatch(b -> b.readmitted().isEmpty()), "warm for long");
     }
 
     @Test
     void backendRestartedWithoutAnAbsenceIsHeldBackToo() {
         harness.start(4, 4);
-        harness.handle(new Members(ListKind.DELTA, 2,
-                List.of(PolicyHarness.member(2, 0, Listed.READY, harness.now))));
+        harness.handle(new Members(CatalogUpdateKind.DELTA, 2,
+                List.of(PolicyHarness.member(2, 0, Availability.READY, harness.now))));
         assertTrue(harness.withdrawn.get(PolicyHarness.backend(2)));
     }
 
@@ -286,9 +286,9 @@
         harness.start(4, 4);
         List<ControlApi.Member> cold = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            cold.add(PolicyHarness.member(i, i % 2, Listed.READY, harness.now));
+            cold.add(PolicyHarness.member(i, i % 2, Availability.READY, harness.now));
         }
-        harness.handle(new Members(ListKind.DELTA, 2, cold));
+        harness.handle(new Members(CatalogUpdateKind.DELTA, 2, cold));
         assertFalse(harness.withdrawn.containsValue(true));
         assertTrue(harness.share(0, 0, 0) > 0.2);
     }
@@ -299,10 +299,10 @@
         harness.handle(new ProxyJoined(1, 1, 40, true));
         List<ControlApi.Member> cold = new ArrayList<>();
         for (int i = 0; i < 8; i += 2) {
-            cold.add(PolicyHarness.member(i, 0, Listed.READY, harness.now - 4 * SECOND));
+            cold.add(PolicyHarness.member(i, 0, Availability.READY, harness.now - 4 * SECOND));
         }
         harness.advanceOneSecond();
-        harness.handle(new Members(ListKind.DELTA, 2, cold));
+        harness.handle(new Members(CatalogUpdateKind.DELTA, 2, cold));
         Map<ControlApi.Backend, Double> lines = harness.tables.get(0);
         double sum = lines.values().stream().mapToDouble(w -> w).sum();
         double coldShare = cold.stream().mapToDouble(m -> lines.get(m.backend())).sum() / sum;
@@ -314,15 +314,15 @@
         harness.start(8, 4);
         List<ControlApi.Member> lost = new ArrayList<>();
         for (int i = 0; i < 8; i += 2) {
-            lost.add(PolicyHarness.member(i, 0, Listed.GONE, 0));
+            lost.add(PolicyHarness.member(i, 0, Availability.GONE, 0));
         }
-        harness.handle(new Members(ListKind.DELTA, 2, lost));
+        harness.handle(new Members(CatalogUpdateKind.DELTA, 2, lost));
         for (int i = 0; i < 5; i++) {
             harness.reportUsage(1, 0, 90);
             harness.advanceOneSecond();
         }
-        harness.handle(new Members(ListKind.DELTA, 3,
-                List.of(PolicyHarness.member(0, 0, Listed.READY, harness.now))));
+        harness.handle(new Members(CatalogUpdateKind.DELTA, 3,
+                List.of(PolicyHarness.member(0, 0, Availability.READY, harness.now))));
         harness.advanceOneSecond();
         harness.advanceOneSecond();
         assertTrue(harness.share(0, 0, 0) > 0 && harness.share(0, 0, 0) < 0.1,
@@ -351,8 +351,8 @@
 
     @Test
     void confinedClassStaysInItsZones() {
-        List<ControlApi.ClassSpec> classes = List.of(TestSettings.spec(Effect.SAFE, 1, Set.of()),
-                TestSettings.spec(Effect.KEYED, 2, Set.of(1)));
+        List<ControlApi.ClassSpec> classes = List.of(TestSettings.spec(Idempotency.SAFE, 1, Set.of()),
+                TestSettings.spec(Idempotency.KEYED, 2, Set.of(1)));
         PolicyHarness confined = new PolicyHarness(TestSettings.with(classes, false, 0, 0)).start(8, 2);
         assertEquals(0, confined.share(0, 1, 0));
         assertTrue(confined.share(0, 1, 1) > 0.2);
@@ -371,7 +371,7 @@
         double lowWorthLevel = harness.level(0, 0);
         assertTrue(lowWorthLevel < 15, "level of the class of lower worth " + lowWorthLevel);
         assertTrue(harness.level(0, 1) > 1000, "the class of higher worth is open");
-        assertEquals(Retry.ONCE_UNRUN, harness.sentLevels.get(0).get(harness.boundTables.get(0).get(0))
+        assertEquals(RetryPolicy.ONCE_UNRUN, harness.sentLevels.get(0).get(harness.boundTables.get(0).get(0))
                 .retry());
         runCalm(30);
         assertTrue(harness.level(0, 0) > 1000);
@@ -487,15 +487,15 @@
 
     @Test
     void unsafeAndKeyedClassesAreNotRetriedAfterATryThatMayHaveRun() {
-        List<ControlApi.ClassSpec> classes = List.of(TestSettings.spec(Effect.SAFE, 1, Set.of()),
-                TestSettings.spec(Effect.KEYED, 2, Set.of()), TestSettings.spec(Effect.UNSAFE, 5, Set.of()));
+        List<ControlApi.ClassSpec> classes = List.of(TestSettings.spec(Idempotency.SAFE, 1, Set.of()),
+                TestSettings.spec(Idempotency.KEYED, 2, Set.of()), TestSettings.spec(Idempotency.UNSAFE, 5, Set.of()));
         PolicyHarness mixed = new PolicyHarness(TestSettings.with(classes, false, 0, 0)).start(4, 2);
         for (int i = 0; i < 6; i++) {
             mixed.reportRound(4, 2, b -> b == 2 ? 9 : 0, b -> 100 * MS);
         }
         for (Action action : mixed.allActions) {
-            if (action instanceof Admit admit && (admit.classes() & 6) != 0) {
-                assertEquals(Retry.ONCE_UNRUN, admit.retry());
+            if (action instanceof Admit admit && (admit.classMask() & 6) != 0) {
+                assertEquals(RetryPolicy.ONCE_UNRUN, admit.retry());
             }
         }
     }
@@ -507,11 +507,11 @@
         for (int i = 0; i < 100; i++) {
             harness.now += 10 * MS;
             waiting = Math.max(0, waiting - 20);
-            harness.handle(new Members(ListKind.DELTA, i + 2,
-                    List.of(PolicyHarness.member(i % 40, i % 2, Listed.READY,
+            harness.handle(new Members(CatalogUpdateKind.DELTA, i + 2,
+                    List.of(PolicyHarness.member(i % 40, i % 2, Availability.READY,
                     harness.now))));
             waiting += harness.lastLines();
-            assertTrue(waiting < harness.settings.channel().backlog(), "waiting " + waiting);
+            assertTrue(waiting < harness.settings.channel().maxBacklog(), "waiting " + waiting);
         }
     }
 
@@ -523,8 +523,8 @@
         List<Long> written = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
             limited.now += 50 * MS;
-            Listed listed = i / 8 % 2 == 0 ? Listed.GONE : Listed.READY;
-            limited.handle(new Members(ListKind.DELTA, i + 2,
+            Availability listed = i / 8 % 2 == 0 ? Availability.GONE : Availability.READY;
+            limited.handle(new Members(CatalogUpdateKind.DELTA, i + 2,
                     List.of(PolicyHarness.member(i % 8, i % 2, listed, limited.now))));
             if (limited.lastActions.stream().anyMatch(a -> a instanceof SetLine || a instanceof Withdraw)) {
                 written.add(limited.now);
@@ -540,9 +540,9 @@
                 new PolicyHarness(TestSettings.with(TestSettings.plain().classes(), false, 20, 0))
                         .start(8, 4);
         limited.now += 600 * MS;
-        limited.handle(new Members(ListKind.DELTA, 2, List.of(PolicyHarness.member(0, 0, Listed.GONE, 0))));
+        limited.handle(new Members(CatalogUpdateKind.DELTA, 2, List.of(PolicyHarness.member(0, 0, Availability.GONE, 0))));
         limited.now += 50 * MS;
-        limited.handle(new Members(ListKind.DELTA, 3, List.of(PolicyHarness.member(1, 1, Listed.GONE, 0))));
+        limited.handle(new Members(CatalogUpdateKind.DELTA, 3, List.of(PolicyHarness.member(1, 1, Availability.GONE, 0))));
         long due = limited.lastActions.stream().filter(TimerAt.class::isInstance).mapToLong(a ->
                 ((TimerAt) a).time())
                 .min().orElseThrow();
@@ -558,7 +558,7 @@
                 new PolicyHarness(TestSettings.with(TestSettings.plain().classes(), true, 0, 0)).start(4, 1);
         assertTrue(asking.allActions.contains(new Watch(true)));
         for (int i = 0; i < 10; i++) {
-            asking.handle(new Members(ListKind.FAILED, 2, List.of()));
+            asking.handle(new Members(CatalogUpdateKind.FAILED, 2, List.of()));
             long due = asking.lastActions.stream().filter(TimerAt.class::isInstance).mapToLong(a ->
                     ((TimerAt) a).time())
                     .min().orElseThrow();
@@ -593,8 +593,8 @@
     void siteWithSlicesGetsWithdrawalsAndNoBinds() {
         PolicyHarness sliced =
                 new PolicyHarness(TestSettings.with(TestSettings.plain().classes(), false, 0, 4)).start(4, 2);
-        sliced.handle(new Members(ListKind.DELTA, 2,
-                List.of(PolicyHarness.member(1, 1, Listed.DRAINING, 0))));
+        sliced.handle(new Members(CatalogUpdateKind.DELTA, 2,
+                List.of(PolicyHarness.member(1, 1, Availability.DRAINING, 0))));
         assertTrue(sliced.withdrawn.get(PolicyHarness.backend(1)));
         assertTrue(sliced.boundTables.isEmpty());
         assertTrue(sliced.allActions.stream().noneMatch(a -> a instanceof SetLine || a instanceof Bind));
