--- a/src/main/java/rowanmoor/RoutingPolicy.java
+++ b/src/main/java/rowanmoor/RoutingPolicy.java
@@ -18,14 +18,14 @@
 import rowanmoor.ControlApi.AdmissionMode;
 import rowanmoor.ControlApi.Admit;
 import rowanmoor.ControlApi.Applied;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.BackendEstimate;
 import rowanmoor.ControlApi.Bind;
+import rowanmoor.ControlApi.CatalogUpdateKind;
 import rowanmoor.ControlApi.Channel;
 import rowanmoor.ControlApi.ClassSpec;
 import rowanmoor.ControlApi.Event;
-import rowanmoor.ControlApi.CatalogUpdateKind;
-import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Log;
 import rowanmoor.ControlApi.Mark;
 import rowanmoor.ControlApi.Member;
@@ -377,8 +377,8 @@
     /** Returns the current state of each backend, for logs and metrics. */
     public List<BackendEstimate> beliefs(long now) {
         return backends.values().stream()
-                .map(state -> new BackendEstimate(state.member.backend(), state.member.availability(), state.load(),
-                        Arrays.stream(state.paths).map(path -> path.health).toList(), state.correction,
+                .map(state -> new BackendEstimate(state.member.backend(), state.member.availability(),
+                        state.load(), Arrays.stream(state.paths).map(path -> path.health).toList(), state.correction,
                         state.warmth(now), state.allRegions.tries, state.withdrawn))
                 .toList();
     }
@@ -1082,7 +1082,7 @@
         lastDrainAt = now;
         holdColdBackends(now);
         if (settings.keyRanges() > 0) {
-            sendWithdrawals(true); // on sites with slices only these orders are legal
+            sendWithdrawals(true); // on sites with key ranges only these orders are valid
             return;
         }
         // Waiting proxies are bound before lines are sent: their old tables may hold backends that are gone.
@@ -1154,7 +1154,8 @@
                         .filter(backend -> backends.get(backend).withdrawn).count();
                 lines += backendsToReadmit(now, proxy, pool).size();
             }
-            double excess = channelBacklog.waitingLines() + lines + settings.channel().messageOverhead() + 1 - maxLines;
+            double excess =
+                    channelBacklog.waitingLines() + lines + settings.channel().messageOverhead() + 1 - maxLines;
             if (channelBacklog.waitingLines() > 0 && excess > 0) {
                 double waitNs = NS_PER_SECOND * excess / settings.channel().linesPerSecond();
                 timers.set(now, now + Math.max(MIN_SEND_WAIT_NS, (long) waitNs), Timers.BIND, actions);
@@ -1237,8 +1238,8 @@
     private void removeGoneBackends(long now) {
         for (BackendState state : List.copyOf(backends.values())) {
             Backend backend = state.member.backend();
-            boolean expired =
-                    state.member.availability() == Availability.GONE && now - state.listChangedAt > GONE_RETENTION_NS;
+            boolean expired = state.member.availability() == Availability.GONE
+                    && now - state.listChangedAt > GONE_RETENTION_NS;
             if (expired && bindQueue.isEmpty()) {
                 List<Pool> pools = poolSets.values().stream().flatMap(List::stream).toList();
                 pools.forEach(pool -> pool.remove(backend));
--- a/src/test/java/rowanmoor/BoundedGrowthTest.java
+++ b/src/test/java/rowanmoor/BoundedGrowthTest.java
@@ -12,10 +12,10 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Bind;
-import rowanmoor.ControlApi.Idempotency;
 import rowanmoor.ControlApi.CatalogUpdateKind;
-import rowanmoor.ControlApi.Availability;
+import rowanmoor.ControlApi.Idempotency;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
 import rowanmoor.ControlApi.ProxyJoined;
@@ -45,7 +45,8 @@
     @Test
     void removingAGoneBackendOrdersNoMarkWithoutAMessage() {
         PolicyHarness harness = new PolicyHarness(TestSettings.plain()).start(4, 2);
-        harness.handle(new Members(CatalogUpdateKind.DELTA, 2, List.of(PolicyHarness.member(0, 0, Availability.GONE, 0))));
+        harness.handle(new Members(CatalogUpdateKind.DELTA, 2,
+                List.of(PolicyHarness.member(0, 0, Availability.GONE, 0))));
         boolean removed = false;
         for (int i = 0; i < 140 && !removed; i++) {
             harness.advanceOneSecond();
@@ -126,7 +127,8 @@
                 new PolicyHarness(TestSettings.with(TestSettings.plain().classes(), false, 20, 0))
                         .start(8, 4);
         limited.now += 600 * MS;
-        limited.handle(new Members(CatalogUpdateKind.DELTA, 2, List.of(PolicyHarness.member(0, 0, Availability.GONE, 0))));
+        limited.handle(new Members(CatalogUpdateKind.DELTA, 2,
+                List.of(PolicyHarness.member(0, 0, Availability.GONE, 0))));
         int timers = 0;
         for (int i = 0; i < 80; i++) {
             limited.now += 5 * MS;
@@ -147,7 +149,8 @@
         }
         Settings settings = TestSettings.plain();
         PolicyHarness harness = new PolicyHarness(new Settings(1, zones, classes, false, false,
-                settings.admission(), 0, 100, 0, SECOND, 500, 0.05, settings.reportColumns(), settings.rules(),
+                settings.admission(), 0, 100, 0, SECOND, 500, 0.05, settings.reportColumns(),
+                settings.rules(),
                 new ControlApi.Channel(1e6, 5, 1e6, 0, SECOND, 0, 0)));
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < 2 * zones; i++) {
--- a/src/test/java/rowanmoor/DecisionBenchmark.java
+++ b/src/test/java/rowanmoor/DecisionBenchmark.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
-import rowanmoor.ControlApi.CatalogUpdateKind;
 import rowanmoor.ControlApi.Availability;
+import rowanmoor.ControlApi.CatalogUpdateKind;
 import rowanmoor.ControlApi.Log;
 import rowanmoor.ControlApi.Members;
 
--- a/src/test/java/rowanmoor/DocsTest.java
+++ b/src/test/java/rowanmoor/DocsTest.java
@@ -13,8 +13,8 @@
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import rowanmoor.ControlApi.CatalogUpdateKind;
 import rowanmoor.ControlApi.Availability;
+import rowanmoor.ControlApi.CatalogUpdateKind;
 import rowanmoor.ControlApi.Log;
 import rowanmoor.ControlApi.Members;
 
@@ -74,7 +74,8 @@
             }
             harness.reportRound(8, 2, b -> calm ? 0 : 4, b -> calm ? 100 * MS : 900 * MS);
         }
-        harness.handle(new Members(CatalogUpdateKind.DELTA, 2, List.of(PolicyHarness.member(3, 1, Availability.GONE, 0))));
+        harness.handle(new Members(CatalogUpdateKind.DELTA, 2,
+                List.of(PolicyHarness.member(3, 1, Availability.GONE, 0))));
         harness.advanceOneSecond();
         harness.handle(new Members(CatalogUpdateKind.DELTA, 3,
                 List.of(PolicyHarness.member(3, 1, Availability.READY, harness.now))));
--- a/src/test/java/rowanmoor/MultiPoolFleetTest.java
+++ b/src/test/java/rowanmoor/MultiPoolFleetTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Test;
 import rowanmoor.ControlApi.Action;
 import rowanmoor.ControlApi.Applied;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.CatalogUpdateKind;
-import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Mark;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
@@ -56,7 +56,8 @@
     void losingOneBackendChangesFewTables() {
         harness.startInOneBatch(BACKENDS, PROXIES).advanceUntilBound();
         Map<Integer, TreeSet<Backend>> before = tableMembers();
-        harness.handle(new Members(CatalogUpdateKind.DELTA, 2, List.of(PolicyHarness.member(4, 0, Availability.GONE, 0))));
+        harness.handle(new Members(CatalogUpdateKind.DELTA, 2,
+                List.of(PolicyHarness.member(4, 0, Availability.GONE, 0))));
         harness.advanceUntilBound();
         int changed = 0;
         for (Map.Entry<Integer, TreeSet<Backend>> table : tableMembers().entrySet()) {
@@ -426,7 +427,8 @@
             fleet.policy.handle(fleet.now, new ControlApi.Timer(3));
             if (i == 20) {
                 fleet.policy.handle(fleet.now,
-                        new Members(CatalogUpdateKind.DELTA, 2, List.of(PolicyHarness.member(7, 1, Availability.GONE, 0))));
+                        new Members(CatalogUpdateKind.DELTA, 2,
+                        List.of(PolicyHarness.member(7, 1, Availability.GONE, 0))));
             }
             fleet.decide();
             waited = i >= 20 && fleet.withdrawn.getOrDefault(PolicyHarness.backend(7), false) ? i - 20 : -1;
--- a/src/test/java/rowanmoor/NumericEdgeCasesTest.java
+++ b/src/test/java/rowanmoor/NumericEdgeCasesTest.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import rowanmoor.ControlApi.Admit;
-import rowanmoor.ControlApi.CatalogUpdateKind;
 import rowanmoor.ControlApi.Availability;
+import rowanmoor.ControlApi.CatalogUpdateKind;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
 import rowanmoor.ControlApi.ProxyJoined;
@@ -137,7 +137,8 @@
         }
         harness.handle(new ProxyJoined(0, 0, 20, true));
         harness.advanceOneSecond();
-        harness.handle(new Members(CatalogUpdateKind.FULL, 2, List.of(PolicyHarness.member(0, 0, Availability.READY, 0))));
+        harness.handle(new Members(CatalogUpdateKind.FULL, 2,
+                List.of(PolicyHarness.member(0, 0, Availability.READY, 0))));
         harness.advanceOneSecond();
         assertAllFinite();
         assertEquals(1, harness.share(0, 0, 0), 1e-9);
@@ -150,7 +151,8 @@
                 Set.of())), false, 0, 0));
         oneClass.handle(new ProxyJoined(0, 0, 20, true));
         oneClass.advanceOneSecond();
-        oneClass.handle(new Members(CatalogUpdateKind.FULL, 1, List.of(PolicyHarness.member(0, 0, Availability.READY, 0),
+        oneClass.handle(new Members(CatalogUpdateKind.FULL, 1,
+                List.of(PolicyHarness.member(0, 0, Availability.READY, 0),
                 PolicyHarness.member(1, 1, Availability.READY, 0))));
         for (int i = 0; i < 20; i++) {
             boolean calm = i < 6;
--- a/src/test/java/rowanmoor/PolicyHarness.java
+++ b/src/test/java/rowanmoor/PolicyHarness.java
@@ -10,11 +10,11 @@
 import rowanmoor.ControlApi.Action;
 import rowanmoor.ControlApi.Admit;
 import rowanmoor.ControlApi.Applied;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Bind;
-import rowanmoor.ControlApi.Event;
 import rowanmoor.ControlApi.CatalogUpdateKind;
-import rowanmoor.ControlApi.Availability;
+import rowanmoor.ControlApi.Event;
 import rowanmoor.ControlApi.Mark;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
@@ -132,7 +132,8 @@
 
     /** The lines that the last reply puts into the channel, message heads included. */
     double lastLines() {
-        return lastLinesByProxy.values().stream().mapToDouble(n -> n + settings.channel().messageOverhead() + 1).sum();
+        return lastLinesByProxy.values().stream()
+                .mapToDouble(n -> n + settings.channel().messageOverhead() + 1).sum();
     }
 
     /** The proxies that the last reply sends a message to. */
--- a/src/test/java/rowanmoor/RoutingPolicyTest.java
+++ b/src/test/java/rowanmoor/RoutingPolicyTest.java
@@ -16,17 +16,17 @@
 import org.junit.jupiter.api.Test;
 import rowanmoor.ControlApi.Action;
 import rowanmoor.ControlApi.Admit;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Bind;
-import rowanmoor.ControlApi.Idempotency;
 import rowanmoor.ControlApi.CatalogUpdateKind;
-import rowanmoor.ControlApi.Availability;
+import rowanmoor.ControlApi.Idempotency;
 import rowanmoor.ControlApi.Members;
 import rowanmoor.ControlApi.ProxyJoined;
 import rowanmoor.ControlApi.ProxyLeft;
 import rowanmoor.ControlApi.RetryPolicy;
-import rowanmoor.ControlApi.Settings;
 import rowanmoor.ControlApi.SetLine;
+import rowanmoor.ControlApi.Settings;
 import rowanmoor.ControlApi.Tally;
 import rowanmoor.ControlApi.TimerAt;
 import rowanmoor.ControlApi.Watch;
@@ -61,7 +61,8 @@
     @Test
     void backendMissingFromAFullListIsWithdrawn() {
         harness.start(3, 2);
-        harness.handle(new Members(CatalogUpdateKind.FULL, 2, List.of(PolicyHarness.member(0, 0, Availability.READY, 0),
+        harness.handle(new Members(CatalogUpdateKind.FULL, 2,
+                List.of(PolicyHarness.member(0, 0, Availability.READY, 0),
                 PolicyHarness.member(1, 1, Availability.READY, 0))));
         assertTrue(harness.withdrawn.get(PolicyHarness.backend(2)));
     }
@@ -149,9 +150,11 @@
     @Test
     void restartedBackendIsHeldBackWhileVeryColdAndThenGetsASmallShare() {
         harness.start(4, 4);
-        harness.handle(new Members(CatalogUpdateKind.DELTA, 2, List.of(PolicyHarness.member(2, 0, Availability.GONE, 0))));
+        harness.handle(new Members(CatalogUpdateKind.DELTA, 2,
+                List.of(PolicyHarness.member(2, 0, Availability.GONE, 0))));
         harness.advanceOneSecond();
-        harness.handle(new Members(CatalogUpdateKind.DELTA, 3, List.of(PolicyHarness.member(2, 0, Availability.READY,
+        harness.handle(new Members(CatalogUpdateKind.DELTA, 3,
+                List.of(PolicyHarness.member(2, 0, Availability.READY,
                 harness.now - SECOND))));
         assertTrue(harness.withdrawn.get(PolicyHarness.backend(2)), "still too cold");
         harness.advanceOneSecond();
@@ -234,7 +237,9 @@
         int[] failedOf100 = {0, 11, 9, 11, 6, 4};
         // ms; in the second step some backends are dead and the others have room
         int[] latency = {100, 110, 200, 200, 200, 200};
-        RetryPolicy[] expected = {RetryPolicy.ONCE_UNRUN, RetryPolicy.ONCE_UNRUN, RetryPolicy.ONCE_UNRUN, RetryPolicy.NEVER, RetryPolicy.NEVER,
+        RetryPolicy[] expected =
+                {RetryPolicy.ONCE_UNRUN, RetryPolicy.ONCE_UNRUN, RetryPolicy.ONCE_UNRUN, RetryPolicy.NEVER,
+                RetryPolicy.NEVER,
             RetryPolicy.ONCE_UNRUN};
         for (int step = 0; step < expected.length; step++) {
             for (int i = 0; i < 10; i++) { // all failures are at one backend in ten: no overload
@@ -488,7 +493,8 @@
     @Test
     void unsafeAndKeyedClassesAreNotRetriedAfterATryThatMayHaveRun() {
         List<ControlApi.ClassSpec> classes = List.of(TestSettings.spec(Idempotency.SAFE, 1, Set.of()),
-                TestSettings.spec(Idempotency.KEYED, 2, Set.of()), TestSettings.spec(Idempotency.UNSAFE, 5, Set.of()));
+                TestSettings.spec(Idempotency.KEYED, 2, Set.of()),
+                TestSettings.spec(Idempotency.UNSAFE, 5, Set.of()));
         PolicyHarness mixed = new PolicyHarness(TestSettings.with(classes, false, 0, 0)).start(4, 2);
         for (int i = 0; i < 6; i++) {
             mixed.reportRound(4, 2, b -> b == 2 ? 9 : 0, b -> 100 * MS);
@@ -540,9 +546,11 @@
                 new PolicyHarness(TestSettings.with(TestSettings.plain().classes(), false, 20, 0))
                         .start(8, 4);
         limited.now += 600 * MS;
-        limited.handle(new Members(CatalogUpdateKind.DELTA, 2, List.of(PolicyHarness.member(0, 0, Availability.GONE, 0))));
+        limited.handle(new Members(CatalogUpdateKind.DELTA, 2,
+                List.of(PolicyHarness.member(0, 0, Availability.GONE, 0))));
         limited.now += 50 * MS;
-        limited.handle(new Members(CatalogUpdateKind.DELTA, 3, List.of(PolicyHarness.member(1, 1, Availability.GONE, 0))));
+        limited.handle(new Members(CatalogUpdateKind.DELTA, 3,
+                List.of(PolicyHarness.member(1, 1, Availability.GONE, 0))));
         long due = limited.lastActions.stream().filter(TimerAt.class::isInstance).mapToLong(a ->
                 ((TimerAt) a).time())
                 .min().orElseThrow();
--- a/src/test/java/rowanmoor/TestSettings.java
+++ b/src/test/java/rowanmoor/TestSettings.java
@@ -5,8 +5,8 @@
 import rowanmoor.ControlApi.AdmissionMode;
 import rowanmoor.ControlApi.Channel;
 import rowanmoor.ControlApi.ClassSpec;
-import rowanmoor.ControlApi.Idempotency;
 import rowanmoor.ControlApi.DedupScope;
+import rowanmoor.ControlApi.Idempotency;
 import rowanmoor.ControlApi.ReportColumns;
 import rowanmoor.ControlApi.Rules;
 import rowanmoor.ControlApi.Settings;
@@ -29,7 +29,8 @@
      * tables of their own.
      */
     public static Settings plain() {
-        return with(List.of(spec(Idempotency.SAFE, 1, Set.of()), spec(Idempotency.UNSAFE, 5, Set.of())), false, 0, 0);
+        return with(List.of(spec(Idempotency.SAFE, 1, Set.of()), spec(Idempotency.UNSAFE, 5, Set.of())),
+                false, 0, 0);
     }
 
     static Settings with(List<ClassSpec> classes, boolean mustAsk, int messagesMost, int slices) {
@@ -55,7 +56,8 @@
 
     private static Settings of(List<ClassSpec> classes, boolean mustAsk, int slices, int proxies,
             double hearsPerSecond, int busyColumn, int ejects, Channel channel) {
-        return new Settings(1, 2, classes, mustAsk, false, AdmissionMode.RATE, ejects, proxies, slices, SECOND,
+        return new Settings(1, 2, classes, mustAsk, false, AdmissionMode.RATE, ejects, proxies, slices,
+                SECOND,
                 hearsPerSecond, 0.05, new ReportColumns(-1, busyColumn),
                 new Rules(3 * SECOND, 2 * SECOND, 10 * SECOND, 0.2, 4, 2 * SECOND, 10 * SECOND),
                 channel);
