--- a/src/main/java/rowanmoor/RoutingPolicy.java
+++ b/src/main/java/rowanmoor/RoutingPolicy.java
@@ -703,7 +703,7 @@
                 Backend backend = state.member.backend();
                 if (capacities.get(backend) > 0 && classSpec(g).isEligible(state.member)) {
                     double available =
-                            classSpec(g).isRestricted() ? capacities.get(backend) : remaining.get(backend);
+                            classSpec(g).restricted() ? capacities.get(backend) : remaining.get(backend);
                     shares.put(backend, Math.max(1e-9, available));
                 }
             }
