--- a/src/main/java/rowanmoor/RoutingPolicy.java
+++ b/src/main/java/rowanmoor/RoutingPolicy.java
@@ -375,7 +375,7 @@
     }
 
     /** Returns the current state of each backend, for logs and metrics. */
-    public List<BackendEstimate> beliefs(long now) {
+    public List<BackendEstimate> backendEstimates(long now) {
         return backends.values().stream()
                 .map(state -> new BackendEstimate(state.member.backend(), state.member.availability(),
                         state.load(), Arrays.stream(state.paths).map(path -> path.health).toList(), state.correction,
