--- a/src/main/java/rowanmoor/FleetState.java
+++ b/src/main/java/rowanmoor/FleetState.java
@@ -307,13 +307,13 @@
          * Adds an order of this reply to one proxy.
          *
          * @param lines the order's own lines
-         * @param head the lines that a message takes in itself; counted with the proxy's first order
+         * @param messageOverhead the lines that a message takes in itself; counted with the proxy's first order
          */
-        void add(ProxyState proxy, double lines, double head) {
+        void add(ProxyState proxy, double lines, double messageOverhead) {
             boolean first = proxy.lastMessageReply != replyCount;
             proxy.lastMessageReply = replyCount;
             replyMessages += first ? 1 : 0;
-            replyLines += lines + (first ? head : 0);
+            replyLines += lines + (first ? messageOverhead : 0);
         }
 
         /** Ends the reply; returns the number to mark it with, or -1 if it sends nothing. */
--- a/src/main/java/rowanmoor/RoutingPolicy.java
+++ b/src/main/java/rowanmoor/RoutingPolicy.java
@@ -56,7 +56,7 @@
  *
  * <p>The sections of this file, in the order in which a round passes through them:
  * <ol>
- * <li>Members: keeps the list of backends up to date.
+ * <li>Members: keeps the known backends in step with the catalog.
  * <li>Health and speed: judges each backend from the proxies' tallies and from load reports.
  * <li>Tables: derives the weights of all routing tables from capacity, health and demand.
  * <li>Levels: detects overload and derives the admission level of each class.
@@ -216,7 +216,7 @@
         PathStats[] paths = PathStats.newArray(regions);
         /** The sums over all paths. */
         PathStats allRegions = new PathStats();
-        /** Factor on the listed weight. */
+        /** Factor on the member's weight. */
         double correction = 1;
         /** Reported utilization, smoothed; 0 if unknown. */
         double utilization;
@@ -225,8 +225,8 @@
         double quietLatency;
         boolean withdrawn;
         boolean heldCold;
-        /** When the list last changed this backend. */
-        long listChangedAt;
+        /** When the catalog last changed this backend. */
+        long memberChangedAt;
 
         boolean isReady() {
             return member.availability() == Availability.READY;
@@ -291,17 +291,17 @@
     private final LevelLog levelLog;
     private LevelLog.Reason levelReason = LevelLog.Reason.DEMAND;
     private boolean reportsReceived;
-    private boolean listChangePending;
+    private boolean catalogChangePending;
     private boolean joinPending;
     private boolean watching;
     private RetryPolicy currentRetry = NORMAL_RETRY;
     private long nextRoundAt;
     private long lastEvaluationAt;
-    private long nextListRequestAt;
+    private long nextCatalogRequestAt;
     private long nextMessageAt;
     private long lastDrainAt;
     private int evaluatedRounds;
-    private int listRequestFailures;
+    private int catalogRequestFailures;
     private int overloadedRounds;
     /** The rate, in requests a second, that the levels of all proxies admit together. */
     private double totalRate = Double.POSITIVE_INFINITY;
@@ -317,7 +317,7 @@
     /**
      * Creates the policy of one controller instance.
      *
-     * @param seed of the jitter between requests for the list
+     * @param seed seeds the jitter between requests for the catalog
      */
     public RoutingPolicy(Settings settings, long seed) {
         this.settings = settings;
@@ -360,7 +360,7 @@
 
     /** Returns the orders that follow from all events up to now; a round is evaluated if one is due. */
     public List<Action> decide(long now) {
-        requestList(now);
+        requestCatalog(now);
         boolean round = now >= nextRoundAt;
         if (round) {
             nextRoundAt = now + roundLengthNs;
@@ -378,30 +378,30 @@
     public List<BackendEstimate> backendEstimates(long now) {
         return backends.values().stream()
                 .map(state -> new BackendEstimate(state.member.backend(), state.member.availability(),
-                        state.load(), Arrays.stream(state.paths).map(path -> path.health).toList(), state.correction,
-                        state.warmth(now), state.allRegions.tries, state.withdrawn))
+                        state.load(), Arrays.stream(state.paths).map(path -> path.health).toList(),
+                        state.correction, state.warmth(now), state.allRegions.tries, state.withdrawn))
                 .toList();
     }
 
     // ---- 1. Members -------------------------------------------------------------------------------------
-    // Applies list events to the known backends and requests the list where the site requires that.
+    // Applies catalog updates to the known backends and requests the catalog where the site requires that.
 
-    private void handleMembers(long now, Members list) {
-        if (list.kind() == CatalogUpdateKind.FAILED) {
+    private void handleMembers(long now, Members update) {
+        if (update.kind() == CatalogUpdateKind.FAILED) {
             watching = false;
-            long base = Math.min(MIN_ROUND_NS << Math.min(listRequestFailures++, 2),
+            long base = Math.min(MIN_ROUND_NS << Math.min(catalogRequestFailures++, 2),
                     settings.rules().maxCatalogRetryDelay() / 4);
-            nextListRequestAt = now + (long) (base * (0.5 + random.nextDouble() / 2));
+            nextCatalogRequestAt = now + (long) (base * (0.5 + random.nextDouble() / 2));
             return;
         }
-        listRequestFailures = list.kind() == CatalogUpdateKind.CACHED ? listRequestFailures : 0;
+        catalogRequestFailures = update.kind() == CatalogUpdateKind.CACHED ? catalogRequestFailures : 0;
         TreeMap<Backend, BackendState> missing = new TreeMap<>(backends);
-        for (Member member : list.entries()) {
+        for (Member member : update.entries()) {
             missing.remove(member.backend());
             BackendState state = backends.computeIfAbsent(member.backend(), backend -> new BackendState());
             updateMember(now, state, member);
         }
-        if (list.kind() != CatalogUpdateKind.DELTA) {
+        if (update.kind() != CatalogUpdateKind.DELTA) {
             missing.values().forEach(state -> updateMember(now, state, state.member.asGone()));
         }
     }
@@ -411,19 +411,19 @@
             state.resetStats();
         }
         boolean changed = state.member == null || !state.member.equals(member);
-        state.listChangedAt = changed ? now : state.listChangedAt;
-        listChangePending |= changed;
+        state.memberChangedAt = changed ? now : state.memberChangedAt;
+        catalogChangePending |= changed;
         state.member = member;
     }
 
-    private void requestList(long now) {
+    private void requestCatalog(long now) {
         if (settings.catalogOnRequest() && !watching) {
-            watching = now >= nextListRequestAt;
+            watching = now >= nextCatalogRequestAt;
             if (watching) {
                 actions.add(new Watch(true));
             }
             if (!watching) {
-                timers.set(now, nextListRequestAt, Timers.ASK, actions);
+                timers.set(now, nextCatalogRequestAt, Timers.ASK, actions);
             }
         }
     }
@@ -459,11 +459,11 @@
         if (queueColumn >= 0 && queueColumn < load.size()) {
             meanQueueLength += (load.get(queueColumn) - meanQueueLength) / BACKENDS_PER_QUEUE_PROBE;
         }
-        int busyColumn = settings.reportColumns().utilization();
-        if (busyColumn >= 0 && busyColumn < load.size()) {
-            state.lastUtilization = load.get(busyColumn);
-            state.utilization = state.utilization == 0 ? load.get(busyColumn)
-                    : smooth(state.utilization, load.get(busyColumn));
+        int utilizationColumn = settings.reportColumns().utilization();
+        if (utilizationColumn >= 0 && utilizationColumn < load.size()) {
+            state.lastUtilization = load.get(utilizationColumn);
+            state.utilization = state.utilization == 0 ? load.get(utilizationColumn)
+                    : smooth(state.utilization, load.get(utilizationColumn));
         }
     }
 
@@ -1089,7 +1089,7 @@
         if (!joinPending && !withdrawalPending()) {
             bindProxies(now);
         }
-        boolean due = (round || listChangePending || joinPending) && now >= nextMessageAt;
+        boolean due = (round || catalogChangePending || joinPending) && now >= nextMessageAt;
         boolean room = channelBacklog.waitingLines() <= maxBulkLines(URGENT_BACKLOG_FRACTION);
         if (due && channelBacklog.waitingLines() <= maxWaitingLines(URGENT_BACKLOG_FRACTION)) {
             sendWithdrawals(room);
@@ -1100,7 +1100,7 @@
             joinPending = false;
             logLevels(now);
         }
-        if (listChangePending) {
+        if (catalogChangePending) {
             timers.set(now, Math.max(nextMessageAt, now + MIN_SEND_WAIT_NS), Timers.SEND, actions);
         }
         if (round) {
@@ -1154,8 +1154,8 @@
                         .filter(backend -> backends.get(backend).withdrawn).count();
                 lines += backendsToReadmit(now, proxy, pool).size();
             }
-            double excess =
-                    channelBacklog.waitingLines() + lines + settings.channel().messageOverhead() + 1 - maxLines;
+            double excess = channelBacklog.waitingLines() + lines
+                    + settings.channel().messageOverhead() + 1 - maxLines;
             if (channelBacklog.waitingLines() > 0 && excess > 0) {
                 double waitNs = NS_PER_SECOND * excess / settings.channel().linesPerSecond();
                 timers.set(now, now + Math.max(MIN_SEND_WAIT_NS, (long) waitNs), Timers.BIND, actions);
@@ -1221,8 +1221,8 @@
         for (BackendState state : changed) {
             Backend backend = state.member.backend();
             state.withdrawn = !state.withdrawn;
-            String listed = state.withdrawn ? " listed " + state.member.availability() : "";
-            (state.withdrawn ? withdrawn : readmitted).add(backend + listed);
+            String reason = state.withdrawn ? " listed " + state.member.availability() : "";
+            (state.withdrawn ? withdrawn : readmitted).add(backend + reason);
             emit(new Withdraw(backend, state.withdrawn, boundOnly), proxies.values().stream()
                     .filter(proxy -> proxy.mayHold(backend, boundOnly)).toList());
         }
@@ -1239,7 +1239,7 @@
         for (BackendState state : List.copyOf(backends.values())) {
             Backend backend = state.member.backend();
             boolean expired = state.member.availability() == Availability.GONE
-                    && now - state.listChangedAt > GONE_RETENTION_NS;
+                    && now - state.memberChangedAt > GONE_RETENTION_NS;
             if (expired && bindQueue.isEmpty()) {
                 List<Pool> pools = poolSets.values().stream().flatMap(List::stream).toList();
                 pools.forEach(pool -> pool.remove(backend));
@@ -1274,7 +1274,7 @@
         });
         double waitingBefore = channelBacklog.waitingLines();
         for (List<WeightChange> changes : furthestFirst.values()) {
-            boolean spent = !listChangePending
+            boolean spent = !catalogChangePending
                     && channelBacklog.waitingLines() - waitingBefore >= ordinaryLineAllowance;
             for (WeightChange change : changes) {
                 boolean room = change.pool().proxies.isEmpty()
@@ -1286,9 +1286,9 @@
                 }
             }
         }
-        ordinaryLineAllowance -= listChangePending ? 0 : channelBacklog.waitingLines() - waitingBefore;
-        // What a list change requires and did not fit is sent as soon as there is room.
-        listChangePending &= channelBacklog.waitingLines() >= maxWaiting;
+        ordinaryLineAllowance -= catalogChangePending ? 0 : channelBacklog.waitingLines() - waitingBefore;
+        // What a catalog change requires and did not fit is sent as soon as there is room.
+        catalogChangePending &= channelBacklog.waitingLines() >= maxWaiting;
     }
 
     private void logLevels(long now) {
--- a/src/test/java/rowanmoor/MultiPoolFleetTest.java
+++ b/src/test/java/rowanmoor/MultiPoolFleetTest.java
@@ -179,7 +179,7 @@
     }
 
     @Test
-    void listChangesDoNotStarveProxiesThatWaitToBeBound() {
+    void catalogChangesDoNotStarveProxiesThatWaitToBeBound() {
         harness.startInOneBatch(BACKENDS, 0);
         for (int p = 0; p < PROXIES; p++) {
             harness.policy.handle(harness.now, new ProxyJoined(p, p % 2, 8, false));
@@ -381,7 +381,7 @@
     }
 
     @Test
-    void poolMovesAndListChangesStayWithinTheMessageBudget() {
+    void poolMovesAndCatalogChangesStayWithinTheMessageBudget() {
         Settings settings = TestSettings.large(60);
         PolicyHarness fleet = new PolicyHarness(new Settings(1, 2, settings.classes(), false, false,
                 settings.admission(), 0, 60, 0, SECOND, 500, 0.05, settings.reportColumns(), settings.rules(),
--- a/src/test/java/rowanmoor/NumericEdgeCasesTest.java
+++ b/src/test/java/rowanmoor/NumericEdgeCasesTest.java
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void oneClassAndAListAfterTheFirstJoinAreSupported() {
+    void oneClassAndACatalogAfterTheFirstJoinAreSupported() {
         PolicyHarness oneClass =
                 new PolicyHarness(TestSettings.with(List.of(TestSettings.spec(ControlApi.Idempotency.SAFE, 1,
                 Set.of())), false, 0, 0));
--- a/src/test/java/rowanmoor/RoutingPolicyTest.java
+++ b/src/test/java/rowanmoor/RoutingPolicyTest.java
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void backendMissingFromAFullListIsWithdrawn() {
+    void backendMissingFromAFullCatalogIsWithdrawn() {
         harness.start(3, 2);
         harness.handle(new Members(CatalogUpdateKind.FULL, 2,
                 List.of(PolicyHarness.member(0, 0, Availability.READY, 0),
@@ -237,10 +237,8 @@
         int[] failedOf100 = {0, 11, 9, 11, 6, 4};
         // ms; in the second step some backends are dead and the others have room
         int[] latency = {100, 110, 200, 200, 200, 200};
-        RetryPolicy[] expected =
-                {RetryPolicy.ONCE_UNRUN, RetryPolicy.ONCE_UNRUN, RetryPolicy.ONCE_UNRUN, RetryPolicy.NEVER,
-                RetryPolicy.NEVER,
-            RetryPolicy.ONCE_UNRUN};
+        RetryPolicy[] expected = {RetryPolicy.ONCE_UNRUN, RetryPolicy.ONCE_UNRUN, RetryPolicy.ONCE_UNRUN,
+            RetryPolicy.NEVER, RetryPolicy.NEVER, RetryPolicy.ONCE_UNRUN};
         for (int step = 0; step < expected.length; step++) {
             for (int i = 0; i < 10; i++) { // all failures are at one backend in ten: no overload
                 int failed = i == 0 ? 10 * failedOf100[step] : 0;
@@ -507,7 +505,7 @@
     }
 
     @Test
-    void manyListChangesStayWithinTheBacklog() {
+    void manyCatalogChangesStayWithinTheBacklog() {
         harness.start(40, 30);
         double waiting = 0;
         for (int i = 0; i < 100; i++) {
@@ -522,7 +520,7 @@
     }
 
     @Test
-    void manyListChangesStayWithinTheMessageBudget() {
+    void manyCatalogChangesStayWithinTheMessageBudget() {
         PolicyHarness limited =
                 new PolicyHarness(TestSettings.with(TestSettings.plain().classes(), false, 20, 0))
                         .start(8, 4);
@@ -561,7 +559,7 @@
     }
 
     @Test
-    void failedListRequestIsRepeatedWithinTheLimit() {
+    void failedCatalogRequestIsRepeatedWithinTheLimit() {
         PolicyHarness asking =
                 new PolicyHarness(TestSettings.with(TestSettings.plain().classes(), true, 0, 0)).start(4, 1);
         assertTrue(asking.allActions.contains(new Watch(true)));
@@ -598,14 +596,14 @@
     }
 
     @Test
-    void siteWithSlicesGetsWithdrawalsAndNoBinds() {
-        PolicyHarness sliced =
+    void siteWithKeyRangesGetsWithdrawalsAndNoBinds() {
+        PolicyHarness keyRanges =
                 new PolicyHarness(TestSettings.with(TestSettings.plain().classes(), false, 0, 4)).start(4, 2);
-        sliced.handle(new Members(CatalogUpdateKind.DELTA, 2,
+        keyRanges.handle(new Members(CatalogUpdateKind.DELTA, 2,
                 List.of(PolicyHarness.member(1, 1, Availability.DRAINING, 0))));
-        assertTrue(sliced.withdrawn.get(PolicyHarness.backend(1)));
-        assertTrue(sliced.boundTables.isEmpty());
-        assertTrue(sliced.allActions.stream().noneMatch(a -> a instanceof SetLine || a instanceof Bind));
+        assertTrue(keyRanges.withdrawn.get(PolicyHarness.backend(1)));
+        assertTrue(keyRanges.boundTables.isEmpty());
+        assertTrue(keyRanges.allActions.stream().noneMatch(a -> a instanceof SetLine || a instanceof Bind));
     }
 
     @Test
--- a/src/test/java/rowanmoor/TestSettings.java
+++ b/src/test/java/rowanmoor/TestSettings.java
@@ -33,9 +33,9 @@
                 false, 0, 0);
     }
 
-    static Settings with(List<ClassSpec> classes, boolean mustAsk, int messagesMost, int slices) {
-        return of(classes, mustAsk, slices, 8, 500, -1, 0,
-                new Channel(2000, 5, 3000, messagesMost, 10 * SECOND, 200 * MS, 500 * MS));
+    static Settings with(List<ClassSpec> classes, boolean catalogOnRequest, int maxMessages, int keyRanges) {
+        return of(classes, catalogOnRequest, keyRanges, 8, 500, -1, 0,
+                new Channel(2000, 5, 3000, maxMessages, 10 * SECOND, 200 * MS, 500 * MS));
     }
 
     /** Like {@link #plain}, but backends report the utilization of their cores. */
@@ -54,11 +54,11 @@
                 new Channel(1200, 4, 2600, 0, 10 * SECOND, 200 * MS, 500 * MS));
     }
 
-    private static Settings of(List<ClassSpec> classes, boolean mustAsk, int slices, int proxies,
-            double hearsPerSecond, int busyColumn, int ejects, Channel channel) {
-        return new Settings(1, 2, classes, mustAsk, false, AdmissionMode.RATE, ejects, proxies, slices,
-                SECOND,
-                hearsPerSecond, 0.05, new ReportColumns(-1, busyColumn),
+    private static Settings of(List<ClassSpec> classes, boolean catalogOnRequest, int keyRanges, int proxies,
+            double reportLinesPerSecond, int utilizationColumn, int ejectAfterFailures, Channel channel) {
+        return new Settings(1, 2, classes, catalogOnRequest, false, AdmissionMode.RATE, ejectAfterFailures,
+                proxies, keyRanges, SECOND, reportLinesPerSecond, 0.05,
+                new ReportColumns(-1, utilizationColumn),
                 new Rules(3 * SECOND, 2 * SECOND, 10 * SECOND, 0.2, 4, 2 * SECOND, 10 * SECOND),
                 channel);
     }
