--- a/src/test/java/rowanmoor/DecisionBenchmark.java
+++ b/src/test/java/rowanmoor/DecisionBenchmark.java
@@ -25,7 +25,7 @@
 
     private static void measureOverload(int rounds) {
         PolicyHarness harness = new PolicyHarness(TestSettings.large(364)).startInOneBatch(120, 364)
-                .advanceUntilBound();
+                .advance20Seconds();
         double[] micros = new double[rounds];
         long lines = 0;
         long characters = 0;
@@ -46,7 +46,7 @@
         }
         Arrays.sort(micros);
         System.out.printf(Locale.ROOT,
-                "364 proxies held, %d rounds: %.3f log lines a round, %.0f characters a round; "
+                "364 proxies limited, %d rounds: %.3f log lines a round, %.0f characters a round; "
                 + "a round's events and decision p50 %.0f us, p99 %.0f us%n", rounds, (double) lines / rounds,
                 (double) characters / rounds, micros[rounds / 2], micros[rounds * 99 / 100]);
     }
--- a/src/test/java/rowanmoor/LevelLogTest.java
+++ b/src/test/java/rowanmoor/LevelLogTest.java
@@ -136,7 +136,7 @@
     @Test
     void overloadOfAFullSizeFleetLogsAtMostOneLineARound() {
         PolicyHarness harness = new PolicyHarness(TestSettings.large(364)).startInOneBatch(120, 364)
-                .advanceUntilBound();
+                .advance20Seconds();
         int before = harness.allActions.size();
         int rounds = 40;
         for (int i = 0; i < rounds; i++) {
--- a/src/test/java/rowanmoor/MultiPoolFleetTest.java
+++ b/src/test/java/rowanmoor/MultiPoolFleetTest.java
@@ -38,27 +38,27 @@
 
     @Test
     void poolsAreFewSmallAndEvenlyUsed() {
-        harness.startInOneBatch(BACKENDS, PROXIES).advanceUntilBound();
+        harness.startInOneBatch(BACKENDS, PROXIES).advance20Seconds();
         Map<Integer, Long> used = harness.tablesInUse(0);
         assertTrue(used.size() > 2 && used.size() * 5 <= PROXIES, "tables " + used);
         for (Map.Entry<Integer, Long> table : used.entrySet()) {
             long lines = harness.tables.get(table.getKey()).values().stream().filter(w -> w > 0).count();
             assertTrue(lines <= 25, "lines " + lines);
-            assertTrue(table.getValue() <= 2.0 * PROXIES / used.size(), "users " + used);
+            assertTrue(table.getValue() <= 2.0 * PROXIES / used.size(), "proxies by table " + used);
         }
         for (int b = 0; b < BACKENDS; b++) {
-            double part = harness.meanShare(0, b) * BACKENDS;
-            assertTrue(part > 0.5 && part < 2, "backend " + b + " has " + part + " times the even share");
+            double ratio = harness.meanShare(0, b) * BACKENDS;
+            assertTrue(ratio > 0.5 && ratio < 2, "backend " + b + " has " + ratio + " times the even share");
         }
     }
 
     @Test
     void losingOneBackendChangesFewTables() {
-        harness.startInOneBatch(BACKENDS, PROXIES).advanceUntilBound();
+        harness.startInOneBatch(BACKENDS, PROXIES).advance20Seconds();
         Map<Integer, TreeSet<Backend>> before = tableMembers();
         harness.handle(new Members(CatalogUpdateKind.DELTA, 2,
                 List.of(PolicyHarness.member(4, 0, Availability.GONE, 0))));
-        harness.advanceUntilBound();
+        harness.advance20Seconds();
         int changed = 0;
         for (Map.Entry<Integer, TreeSet<Backend>> table : tableMembers().entrySet()) {
             TreeSet<Backend> added = new TreeSet<>(table.getValue());
@@ -71,12 +71,12 @@
 
     @Test
     void newBackendIsAssignedToAPoolOnceItIsWarm() {
-        harness.startInOneBatch(BACKENDS, PROXIES).advanceUntilBound();
+        harness.startInOneBatch(BACKENDS, PROXIES).advance20Seconds();
         Member fresh = PolicyHarness.member(BACKENDS, 0, Availability.READY, harness.now);
         harness.handle(new Members(CatalogUpdateKind.DELTA, 2, List.of(fresh)));
-        harness.advanceUntilBound();
-        double part = harness.meanShare(0, BACKENDS) * BACKENDS;
-        assertTrue(part > 0.4 && part < 2, "part " + part);
+        harness.advance20Seconds();
+        double ratio = harness.meanShare(0, BACKENDS) * BACKENDS;
+        assertTrue(ratio > 0.4 && ratio < 2, ratio + " times the even share");
     }
 
     private Map<Integer, TreeSet<Backend>> tableMembers() {
@@ -94,7 +94,7 @@
 
     @Test
     void noPoolIsEmptyAfterAZoneIsLost() {
-        harness.startInOneBatch(BACKENDS, PROXIES).advanceUntilBound();
+        harness.startInOneBatch(BACKENDS, PROXIES).advance20Seconds();
         List<Member> lost = new ArrayList<>();
         for (int b = 0; b < BACKENDS; b += 2) {
             lost.add(PolicyHarness.member(b, 0, Availability.GONE, 0));
@@ -106,15 +106,16 @@
                     && !harness.withdrawn.getOrDefault(e.getKey(), false)).count();
             assertTrue(left >= 2, "lines left in table " + table + ": " + left);
         }
-        harness.advanceUntilBound();
+        harness.advance20Seconds();
         for (int b = 1; b < BACKENDS; b += 2) {
-            assertTrue(harness.meanShare(0, b) * BACKENDS / 2 < 2.5, "backend " + b + " is not overloaded");
+            assertTrue(harness.meanShare(0, b) * BACKENDS / 2 < 2.5, "backend " + b
+                    + " gets at most 2.5 times the even share");
         }
     }
 
     @Test
     void shareOfAColdBackendOverAllPoolsStaysWithinItsRamp() {
-        harness.startInOneBatch(BACKENDS, PROXIES).advanceUntilBound();
+        harness.startInOneBatch(BACKENDS, PROXIES).advance20Seconds();
         harness.handle(new Members(CatalogUpdateKind.DELTA, 2,
                 List.of(PolicyHarness.member(2, 0, Availability.READY, harness.now))));
         for (int second = 0; second < 10; second++) {
@@ -131,13 +132,13 @@
     @Test
     void joinStormAfterADrainStaysWithinTheBacklog() {
         PolicyHarness drainedFleet = new PolicyHarness(TestSettings.large(300)).startInOneBatch(30, 75)
-                .advanceUntilBound();
+                .advance20Seconds();
         List<Member> drained = new ArrayList<>();
         for (int b = 0; b < 20; b++) {
             drained.add(PolicyHarness.member(b, b % 2, Availability.DRAINING, 0));
         }
         drainedFleet.handle(new Members(CatalogUpdateKind.DELTA, 2, drained));
-        drainedFleet.advanceUntilBound();
+        drainedFleet.advance20Seconds();
         ControlApi.Event[] joins = new ControlApi.Event[150];
         for (int p = 0; p < 150; p++) {
             joins[p] = new ProxyJoined(75 + p, p % 2, 8, false);
@@ -192,9 +193,9 @@
                 }
             }
             harness.now += 50 * MS;
-            Availability listed = i % 2 == 0 ? Availability.GONE : Availability.READY;
+            Availability availability = i % 2 == 0 ? Availability.GONE : Availability.READY;
             harness.handle(new Members(CatalogUpdateKind.DELTA, i + 2,
-                    List.of(PolicyHarness.member(i % BACKENDS, i % 2, listed, 0))));
+                    List.of(PolicyHarness.member(i % BACKENDS, i % 2, availability, 0))));
         }
         assertEquals(PROXIES, harness.boundTables.size());
     }
@@ -202,7 +203,7 @@
     @Test
     void ordinaryChangesOfAFullSizeFleetKeepToTheirAllowance() {
         PolicyHarness fullSize = new PolicyHarness(TestSettings.large(364)).startInOneBatch(120, 364)
-                .advanceUntilBound();
+                .advance20Seconds();
         double lines = 0;
         for (int i = 0; i < 20; i++) {
             int round = i;
@@ -219,7 +220,7 @@
 
     @Test
     void heavyProxySharesItsPoolWithFewerProxies() {
-        harness.startInOneBatch(BACKENDS, PROXIES).advanceUntilBound();
+        harness.startInOneBatch(BACKENDS, PROXIES).advance20Seconds();
         for (int i = 0; i < 30; i++) {
             for (int p = i % 3; p < PROXIES; p += 3) {
                 harness.policy.handle(harness.now, new Usage(p, 0, p == 0 ? 300 : 24, 0, 3 * SECOND));
@@ -235,7 +236,7 @@
 
     @Test
     void pausedControllerNeitherShedsLoadNorWithdrawsBackends() {
-        harness.startInOneBatch(BACKENDS, PROXIES).advanceUntilBound();
+        harness.startInOneBatch(BACKENDS, PROXIES).advance20Seconds();
         for (int i = 0; i < 6; i++) {
             reportSteadyLoad(1);
         }
@@ -253,9 +254,8 @@
             harness.policy.handle(harness.now, new Usage(p, 0, 6L * seconds, 0, seconds * SECOND));
         }
         for (int b = 0; b < BACKENDS; b++) {
-            harness.policy.handle(harness.now,
-                    new Tally(PolicyHarness.backend(b), b % 2, 9L * seconds, 0, 100 * MS,
-                    seconds * SECOND, List.of()));
+            harness.policy.handle(harness.now, new Tally(PolicyHarness.backend(b), b % 2, 9L * seconds, 0,
+                    100 * MS, seconds * SECOND, List.of()));
         }
         harness.advanceOneSecond();
     }
@@ -275,14 +275,14 @@
         }
         fleet.handle(new Members(CatalogUpdateKind.FULL, 2, members));
         fleet.handle(new ProxyJoined(8, 1, Double.NaN, true));
-        fleet.advanceUntilBound();
+        fleet.advance20Seconds();
         assertTrue(fleet.share(7, 0, 0) > 0);
         List<Member> draining = new ArrayList<>();
         for (int b = 0; b < 40; b++) {
             draining.add(PolicyHarness.member(b, b % 2, Availability.DRAINING, 0));
         }
         fleet.handle(new Members(CatalogUpdateKind.FULL, 3, draining));
-        fleet.advanceUntilBound();
+        fleet.advance20Seconds();
         assertEquals(40, fleet.withdrawn.values().stream().filter(out -> out).count());
         for (Action action : fleet.allActions) {
             if (action instanceof SetLine line) {
@@ -295,12 +295,12 @@
     @Test
     void usageIsARateOverItsSpanWhenReportsAccumulate() {
         double[] lines = new double[2];
-        for (int piled = 0; piled < 2; piled++) {
+        for (int accumulated = 0; accumulated < 2; accumulated++) {
             PolicyHarness fleet = new PolicyHarness(TestSettings.large(60)).startInOneBatch(60, 60)
-                    .advanceUntilBound();
+                    .advance20Seconds();
             for (int i = 0; i < 30; i++) {
                 for (int p = 0; p < 60; p++) {
-                    if (piled == 0) {
+                    if (accumulated == 0) {
                         fleet.reportUsage(p, 0, 20);
                     // all proxies of a pool report in the same round
                     } else if (fleet.boundTables.get(p).get(0) % 3 == i % 3) {
@@ -308,7 +308,7 @@
                     }
                 }
                 fleet.reportRound(60, 2, b -> 0, b -> 100 * MS);
-                lines[piled] += i < 6 ? 0 : fleet.lastLines();
+                lines[accumulated] += i < 6 ? 0 : fleet.lastLines();
             }
         }
         // Divided by the round instead, the demand of a pool would seem to change threefold: 5,769 lines.
@@ -386,7 +386,7 @@
         PolicyHarness fleet = new PolicyHarness(new Settings(1, 2, settings.classes(), false, false,
                 settings.admission(), 0, 60, 0, SECOND, 500, 0.05, settings.reportColumns(), settings.rules(),
                 new ControlApi.Channel(1e6, 4, 1e6, 20, 10 * SECOND, 200 * MS, 500 * MS)))
-                .startInOneBatch(60, 60).advanceUntilBound();
+                .startInOneBatch(60, 60).advance20Seconds();
         Random random = new Random(5);
         Map<Integer, List<Long>> sentAt = new HashMap<>();
         int most = 0;
@@ -404,9 +404,9 @@
             }
             if (i % 3 == 0) {
                 int b = random.nextInt(60);
-                fleet.policy.handle(fleet.now,
-                        new Members(CatalogUpdateKind.DELTA, i, List.of(PolicyHarness.member(b, b % 2,
-                        random.nextBoolean() ? Availability.READY : Availability.GONE, 0))));
+                Availability availability = random.nextBoolean() ? Availability.READY : Availability.GONE;
+                fleet.policy.handle(fleet.now, new Members(CatalogUpdateKind.DELTA, i,
+                        List.of(PolicyHarness.member(b, b % 2, availability, 0))));
             }
             fleet.decide();
             for (int p : fleet.lastRecipients()) {
@@ -426,8 +426,7 @@
             fleet.now += 50 * MS;
             fleet.policy.handle(fleet.now, new ControlApi.Timer(3));
             if (i == 20) {
-                fleet.policy.handle(fleet.now,
-                        new Members(CatalogUpdateKind.DELTA, 2,
+                fleet.policy.handle(fleet.now, new Members(CatalogUpdateKind.DELTA, 2,
                         List.of(PolicyHarness.member(7, 1, Availability.GONE, 0))));
             }
             fleet.decide();
--- a/src/test/java/rowanmoor/PolicyHarness.java
+++ b/src/test/java/rowanmoor/PolicyHarness.java
@@ -54,8 +54,8 @@
         return new Backend(0x0a000000_1f40L + ((long) i << 16));
     }
 
-    static Member member(int i, int zone, Availability listed, long startedAt) {
-        return new Member(backend(i), zone, i % 2, 0, listed, 1, startedAt);
+    static Member member(int i, int zone, Availability availability, long startedAt) {
+        return new Member(backend(i), zone, i % 2, 0, availability, 1, startedAt);
     }
 
     /**
@@ -170,8 +170,8 @@
                 Collectors.counting()));
     }
 
-    /** Lets 20 seconds pass, in which all waiting proxies are bound. */
-    PolicyHarness advanceUntilBound() {
+    /** Lets 20 seconds pass; by then all proxies of the tests are bound and pools are settled. */
+    PolicyHarness advance20Seconds() {
         for (int i = 0; i < 20; i++) {
             advanceOneSecond();
         }
--- a/src/test/java/rowanmoor/RoutingPolicyTest.java
+++ b/src/test/java/rowanmoor/RoutingPolicyTest.java
@@ -527,9 +527,9 @@
         List<Long> written = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
             limited.now += 50 * MS;
-            Availability listed = i / 8 % 2 == 0 ? Availability.GONE : Availability.READY;
+            Availability availability = i / 8 % 2 == 0 ? Availability.GONE : Availability.READY;
             limited.handle(new Members(CatalogUpdateKind.DELTA, i + 2,
-                    List.of(PolicyHarness.member(i % 8, i % 2, listed, limited.now))));
+                    List.of(PolicyHarness.member(i % 8, i % 2, availability, limited.now))));
             if (limited.lastActions.stream().anyMatch(a -> a instanceof SetLine || a instanceof Withdraw)) {
                 written.add(limited.now);
             }
