--- a/src/main/java/rowanmoor/FleetState.java
+++ b/src/main/java/rowanmoor/FleetState.java
@@ -307,7 +307,7 @@
          * Adds an order of this reply to one proxy.
          *
          * @param lines the order's own lines
-         * @param messageOverhead the lines that a message takes in itself; counted with the proxy's first order
+         * @param messageOverhead the lines that a message itself takes; counted with the proxy's first order
          */
         void add(ProxyState proxy, double lines, double messageOverhead) {
             boolean first = proxy.lastMessageReply != replyCount;
