--- a/src/test/java/rowanmoor/RoutingPolicyTest.java
+++ b/src/test/java/rowanmoor/RoutingPolicyTest.java
@@ -211,8 +211,8 @@
             for (int i = 0; i < 20; i++) { // all backends of zone 1 fail, and one of zone 2 is drained
                 zones.reportRound(9, 3, b -> b % 3 == 1 ? 10 : 0, b -> 100 * MS);
                 zones.handle(new Members(CatalogUpdateKind.DELTA, 2 + i,
-                        List.of(
-                        PolicyHarness.member(2, 2, i < 5 ? Availability.READY : Availability.DRAINING, 0))));
+                        List.of(PolicyHarness.member(2, 2,
+                                i < 5 ? Availability.READY : Availability.DRAINING, 0))));
             }
             for (int p = 0; p < 6; p++) {
                 int zone = p % 3;
@@ -666,8 +666,8 @@
 
     /**
      * Guards against limits without overload after proxies have moved away. Seen on real sockets after a
-     * restart: half of the proxies had moved back, and a quarter of the requests of
-     * the others was rejected though there was no overload.
+     * restart: half of the proxies had moved back, and a quarter of the requests was rejected though there
+     * was no overload.
      */
     @Test
     void departedProxiesDoNotLimitTheOthersWithoutOverload() {
