--- a/src/main/java/rowanmoor/cli/Commands.java
+++ b/src/main/java/rowanmoor/cli/Commands.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import rowanmoor.config.ConfigError;
+import rowanmoor.config.ConfigException;
 import rowanmoor.config.ControllerConfig;
 import rowanmoor.config.Section;
 import rowanmoor.config.Site;
@@ -25,16 +25,16 @@
 import rowanmoor.controller.Trace;
 import rowanmoor.emulator.Emulator;
 import rowanmoor.emulator.Outcome;
-import rowanmoor.lab.BenchDay;
+import rowanmoor.lab.BenchDayConverter;
 import rowanmoor.lab.DayFile;
 import rowanmoor.lab.Experiment;
-import rowanmoor.lab.Fuzz;
-import rowanmoor.lab.Models;
-import rowanmoor.lab.Played;
-import rowanmoor.lab.Player;
-import rowanmoor.lab.ProxyLoad;
-import rowanmoor.lab.Report;
-import rowanmoor.lab.Soak;
+import rowanmoor.lab.Fuzzer;
+import rowanmoor.lab.EmulatorModels;
+import rowanmoor.lab.DayResult;
+import rowanmoor.lab.DayRunner;
+import rowanmoor.lab.ProxyBenchmark;
+import rowanmoor.lab.DayReport;
+import rowanmoor.lab.SoakRunner;
 import rowanmoor.net.Loop;
 import rowanmoor.platform.PlatformServer;
 import rowanmoor.proxy.Proxy;
@@ -73,25 +73,25 @@
     }
 
     static CommandLine commandLine() {
-        return new CommandLine(new Commands()).registerConverter(Fuzz.Target.class,
+        return new CommandLine(new Commands()).registerConverter(Fuzzer.Target.class,
                 Commands::target).setExecutionExceptionHandler((e, line, parsed) -> {
             // What a command's method throws comes wrapped.
             Throwable cause = e instanceof CommandLine.ExecutionException && e.getCause() != null ? e
                     .getCause() : e;
-            line.getErr().println("rowanmoor: " + (cause instanceof ConfigError
+            line.getErr().println("rowanmoor: " + (cause instanceof ConfigException
                     || cause instanceof IOException
                     ? cause.getMessage() : cause.toString()));
             return 1;
         });
     }
 
-    private static Fuzz.Target target(String word) {
-        for (Fuzz.Target target : Fuzz.Target.values()) {
+    private static Fuzzer.Target target(String word) {
+        for (Fuzzer.Target target : Fuzzer.Target.values()) {
             if (target.toString().equals(word)) {
                 return target;
             }
         }
-        throw new CommandLine.TypeConversionException("there are " + List.of(Fuzz.Target.values()));
+        throw new CommandLine.TypeConversionException("there are " + List.of(Fuzzer.Target.values()));
     }
 
     private PrintWriter out() {
@@ -121,7 +121,7 @@
             try {
                 String kind = checkOne(file);
                 out().println(file + ": " + kind + ", nothing wrong");
-            } catch (ConfigError e) {
+            } catch (ConfigException e) {
                 problems.addAll(e.problems());
             }
         }
@@ -130,7 +130,7 @@
         return problems.isEmpty() ? 0 : 1;
     }
 
-    private static String checkOne(Path file) throws ConfigError, IOException {
+    private static String checkOne(Path file) throws ConfigException, IOException {
         Section root = Section.read(file);
         if (root.has("day")) {
             DayFile.read(file);
@@ -150,17 +150,17 @@
         }
         if (root.has("site")) {
             Site.of(root);
-            root.finish();
-            root.check();
+            root.rejectUnknownKeys();
+            root.throwIfInvalid();
             return "a site";
         }
-        throw new ConfigError(List.of(file + ":1:1: has no day, controller, proxy or site"));
+        throw new ConfigException(List.of(file + ":1:1: has no day, controller, proxy or site"));
     }
 
     @Command(name = "controller", description = "Runs a controller until it is stopped.")
     int controller(@Option(names = "--config", required = true, paramLabel = "FILE") Path file,
             @Option(names = "--seed", description = "seeds the decisions; drawn if left out") Long seed)
-            throws ConfigError, IOException {
+            throws ConfigException, IOException {
         ControllerConfig config = ControllerConfig.read(file);
         Loop loop = Loop.onSockets(Commands::onFault);
         // Two starts of one controller must never share an epoch: the clock and chance together see to it.
@@ -179,7 +179,7 @@
             @Option(names = "--seed", description = "seeds their choices; drawn if left out") Long seed,
             @Option(names = "--tap", paramLabel = "FILE",
                     description = "keeps what is read of the channel") Path
-                    taps) throws ConfigError, IOException {
+                    taps) throws ConfigException, IOException {
         List<ProxyConfig> configs = ProxyConfig.read(file);
         Loop loop = Loop.onSockets(Commands::onFault);
         SplittableRandom random = seed == null ? new SplittableRandom() : new SplittableRandom(seed);
@@ -241,7 +241,7 @@
                     description = "keeps tables, JSON lines, charts") Path
                     report,
             @Option(names = "--simulated", description = "in memory and in simulated time") boolean simulated)
-            throws ConfigError, IOException, InterruptedException {
+            throws ConfigException, IOException, InterruptedException {
         // Controllers' own lines go to files; what proxies here would log drowns the report.
         if (System.getProperty(LOG_LEVEL) == null) {
             System.setProperty(LOG_LEVEL, "OFF");
@@ -255,12 +255,12 @@
         Path dayFile = file == null ? convert(bench, scale, directory) : file;
         DayFile day = DayFile.read(dayFile);
         DayFile seeded = seed == null ? day : day.seed(seed);
-        Played played = simulated ? Player.simulate(seeded) : Player.play(seeded, dayFile, directory);
-        out().print(Report.text(played));
+        DayResult played = simulated ? DayRunner.simulate(seeded) : DayRunner.runOnSockets(seeded, dayFile, directory);
+        out().print(DayReport.text(played));
         out().flush();
         if (report != null) {
             System.setProperty("java.awt.headless", "true");
-            Report.write(played, report);
+            DayReport.write(played, report);
         }
         return played.passed() ? 0 : 1;
     }
@@ -279,7 +279,7 @@
         String[] ends = seeds.split("\\.\\.");
         Path directory = report == null ? Files.createTempDirectory("rowanmoor-soak") : report;
         Files.createDirectories(directory);
-        boolean passed = new Soak(directory, line -> {
+        boolean passed = new SoakRunner(directory, line -> {
             out().println(line);
             out().flush();
         }).play(Long.parseLong(ends[0]), Long.parseLong(ends[1]), lanes);
@@ -296,7 +296,7 @@
                     description = "writes CSV and a chart") Path report,
             @Option(names = "--live",
                     description = "on stand-ins, proxies and controllers that run here") boolean live)
-            throws ConfigError, IOException {
+            throws ConfigException, IOException {
         PrintWriter err = spec.commandLine().getErr();
         Consumer<String> progress = line -> {
             err.print("\r" + line);
@@ -321,26 +321,26 @@
 
     @Command(name = "emulate", description = "Plays a day file in the emulator and tells what clients met.")
     int emulate(@Parameters(paramLabel = "FILE") Path file,
-            @Option(names = "--seed", defaultValue = "1") long seed) throws ConfigError {
-        Models.Modelled modelled = Models.of(DayFile.read(file), seed);
-        modelled.leftOut().forEach(l -> out().println("left out: " + l));
+            @Option(names = "--seed", defaultValue = "1") long seed) throws ConfigException {
+        EmulatorModels.Conversion modelled = EmulatorModels.of(DayFile.read(file), seed);
+        modelled.skippedTroubles().forEach(l -> out().println("left out: " + l));
         long before = System.nanoTime();
-        Outcome outcome = Emulator.play(modelled.model(), seed);
+        Outcome outcome = Emulator.run(modelled.model(), seed);
         double seconds = (System.nanoTime() - before) / 1e9;
-        double simulated = (modelled.model().settle() + modelled.model().length()) / 1e9;
+        double simulated = (modelled.model().settleNs() + modelled.model().durationNs()) / 1e9;
         for (int c = 0; c < outcome.classes().size(); c++) {
-            Outcome.ClassMet met = outcome.classes().get(c);
+            Outcome.ClassStats met = outcome.classes().get(c);
             out().printf("%-16s offered %d, good %d, late %d, failed %d; by level %d, no line %d;"
                     + " p50 %.1f ms, p99 %.1f ms%n", modelled.model().site().classNames().get(c),
                             met.offered, met.good,
-                    met.late, met.failed, met.byLevel, met.noLine,
+                    met.late, met.failed, met.rejectedByLevel, met.noBackend,
                     met.latency.getValueAtPercentile(50) / 1000.0,
                             met.latency.getValueAtPercentile(99) / 1000.0);
         }
         out().printf("service by worth %.3f, worst 10 s %.3f; most lines waiting %.0f;"
                 + " held time off by %.1e%n",
-                outcome.service(), outcome.worst(10), outcome.controllers().stream().mapToDouble(m ->
-                        m.mostLines).max().orElse(0), outcome.littleOff());
+                outcome.service(), outcome.worstService(10), outcome.controllers().stream().mapToDouble(m ->
+                        m.maxQueuedLines).max().orElse(0), outcome.littlesLawError());
         out().printf("%d events, %.1f times as fast as the day%n", outcome.events(), simulated / seconds);
         out().flush();
         return 0;
@@ -348,25 +348,25 @@
 
     /** Writes the bench's day as a day file, and says what of it cannot be played. */
     private Path convert(Path bench, double scale, Path directory) throws IOException {
-        BenchDay.Converted converted = BenchDay.convert(bench, scale);
+        BenchDayConverter.Conversion converted = BenchDayConverter.convert(bench, scale);
         Path file = directory.resolve("from-bench.kdl");
         Files.writeString(file, converted.text());
         out().println("day file: " + file);
-        converted.leftOut().forEach(l -> out().println("left out: " + l));
+        converted.skippedTroubles().forEach(l -> out().println("left out: " + l));
         out().flush();
         return file;
     }
 
     @Command(name = "fuzz",
             description = "Feeds a parser mutants of sound inputs, until it fails or time is up.")
-    int fuzz(@Parameters(paramLabel = "PARSER", description = "${COMPLETION-CANDIDATES}") Fuzz.Target target,
+    int fuzz(@Parameters(paramLabel = "PARSER", description = "${COMPLETION-CANDIDATES}") Fuzzer.Target target,
             @Option(names = "--seconds", defaultValue = "10") int seconds,
             @Option(names = "--seed", defaultValue = "1") long seed) {
         long end = System.nanoTime() + seconds * 1_000_000_000L;
-        Fuzz.Found found = new Fuzz(target, seed).run(Long.MAX_VALUE, () -> System.nanoTime() < end);
+        Fuzzer.Result found = new Fuzzer(target, seed).run(Long.MAX_VALUE, () -> System.nanoTime() < end);
         out().printf("%s, seed %d: %d inputs, %d refused, at most %d bytes allocated for one%n", target, seed,
-                found.inputs(), found.refused(), found.mostAllocated());
-        found.refusals().forEach((why, times) -> out().printf("%10d  %s%n", times, why));
+                found.inputs(), found.rejected(), found.maxAllocatedBytes());
+        found.rejections().forEach((why, times) -> out().printf("%10d  %s%n", times, why));
         out().println(found.failure() == null ? "nothing found" : "FAILED: " + found.failure());
         out().flush();
         return found.failure() == null ? 0 : 1;
@@ -378,9 +378,9 @@
             @Option(names = "--rates", defaultValue = "1000,4000", split = ",") List<Double> rates,
             @Option(names = "--seconds", defaultValue = "5") double seconds,
             @Option(names = "--over-only", description = "nothing goes straight") boolean overOnly)
-            throws IOException, ConfigError, InterruptedException {
+            throws IOException, ConfigException, InterruptedException {
         for (int count : lines) {
-            ProxyLoad load = new ProxyLoad(count, !overOnly);
+            ProxyBenchmark load = new ProxyBenchmark(count, !overOnly);
             load.step(2000, WARM_SECONDS); // compiles, and is not counted
             for (double rate : rates) {
                 out().println(load.step(rate, seconds));
--- a/src/main/java/rowanmoor/controller/Outbox.java
+++ b/src/main/java/rowanmoor/controller/Outbox.java
@@ -4,82 +4,92 @@
 import java.util.Iterator;
 
 /**
- * The channel's queue: messages leave one after the other, each taking as long as its lines take at the
- * stated pace. What has not left counts as waiting.
+ * The send queue of the channel, limited to a rate of lines per second. Messages leave in order; each
+ * occupies the channel for as long as its lines take at that rate. Lines that have not left count as queued.
  */
 final class Outbox<M> {
 
-    private static final double SECOND = 1e9;
+    private static final double NS_PER_SECOND = 1e9;
 
-    /** A message under way to a proxy. {@code lines} has the head in it. */
-    record Entry<M>(int proxy, M message, double lines, long orderedAt, double waitingThen) { }
+    /**
+     * A queued message.
+     *
+     * @param lines size of the message, including its head
+     * @param queuedLines lines in the queue just after this message was added
+     */
+    record Entry<M>(int proxy, M message, double lines, long orderedAtNs, double queuedLines) { }
 
     private final double linesPerSecond;
     private final ArrayDeque<Entry<M>> queue = new ArrayDeque<>();
-    private double waiting;
-    private double mostWaiting;
+    private double queuedLines;
+    private double maxQueuedLines;
     private double totalLines;
-    private long freeAt;
+    /** When the first message in the queue began to occupy the channel. */
+    private long headStartNs;
 
     Outbox(double linesPerSecond, long now) {
         this.linesPerSecond = linesPerSecond;
-        this.freeAt = now;
+        this.headStartNs = now;
     }
 
-    /** Puts a message at the end; answers the lines that wait with it. */
+    /** Appends a message and returns its queue entry. */
     Entry<M> add(long now, int proxy, M message, double lines) {
         if (queue.isEmpty()) {
-            freeAt = Math.max(freeAt, now);
+            headStartNs = Math.max(headStartNs, now);
         }
-        waiting += lines;
+        queuedLines += lines;
         totalLines += lines;
-        mostWaiting = Math.max(mostWaiting, waiting);
-        Entry<M> entry = new Entry<>(proxy, message, lines, now, waiting);
+        maxQueuedLines = Math.max(maxQueuedLines, queuedLines);
+        Entry<M> entry = new Entry<>(proxy, message, lines, now, queuedLines);
         queue.add(entry);
         return entry;
     }
 
-    /** The next message that has left by now, or null. */
+    /** Removes and returns the next message that has left by {@code now}, or null if there is none. */
     Entry<M> poll(long now) {
-        if (queue.isEmpty() || nextAt() > now) {
+        if (queue.isEmpty() || nextSendAt() > now) {
             return null;
         }
-        freeAt = nextAt();
+        headStartNs = nextSendAt();
         Entry<M> entry = queue.poll();
-        waiting = queue.isEmpty() ? 0 : waiting - entry.lines();
+        queuedLines = queue.isEmpty() ? 0 : queuedLines - entry.lines();
         return entry;
     }
 
-    /** When the first message has left, or a very long time. */
-    long nextAt() {
+    /** Returns when the first message leaves, or {@link Long#MAX_VALUE} if the queue is empty. */
+    long nextSendAt() {
         return queue.isEmpty() ? Long.MAX_VALUE
-                : freeAt + (long) (queue.peek().lines() / linesPerSecond * SECOND);
+                : headStartNs + (long) (queue.peek().lines() / linesPerSecond * NS_PER_SECOND);
     }
 
-    /** A stream broke: what waits for its proxy is lost. */
-    void drop(int proxy) {
+    /** Removes all messages to a proxy, whose stream has ended. */
+    void discard(int proxy) {
         for (Iterator<Entry<M>> entries = queue.iterator(); entries.hasNext();) {
             Entry<M> entry = entries.next();
             if (entry.proxy() == proxy) {
                 entries.remove();
-                waiting -= entry.lines();
+                queuedLines -= entry.lines();
             }
         }
-        waiting = queue.isEmpty() ? 0 : waiting;
+        queuedLines = queue.isEmpty() ? 0 : queuedLines;
     }
 
-    double waiting() {
-        return waiting;
+    /** Returns the lines in the queue. */
+    double queuedLines() {
+        return queuedLines;
     }
 
-    double mostWaiting() {
-        return mostWaiting;
+    /** Returns the largest number of lines that were ever in the queue. */
+    double maxQueuedLines() {
+        return maxQueuedLines;
     }
 
+    /** Returns all lines that were ever added. */
     double totalLines() {
         return totalLines;
     }
 
+    /** Returns the number of messages in the queue. */
     int messages() {
         return queue.size();
     }
--- a/src/main/java/rowanmoor/lab/ControllerLoops.java
+++ b/src/main/java/rowanmoor/lab/ControllerLoops.java
@@ -34,7 +34,7 @@
 
     @Override
     public void start(int rank, InetSocketAddress roster, Up up) throws IOException {
-        Loop loop = net.loop(onFault);
+        Loop loop = net.newLoop(onFault);
         running.put(rank, loop);
         long epoch = ++starts;
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
@@ -52,27 +52,27 @@
     public void kill(int rank) {
         Loop loop = running.remove(rank);
         if (loop != null) {
-            net.kill(loop);
+            net.killLoop(loop);
         }
     }
 
     @Override
     public void stall(int rank, boolean on) {
         if (running.containsKey(rank)) {
-            net.freeze(running.get(rank), on);
+            net.setFrozen(running.get(rank), on);
         }
     }
 
     @Override
-    public List<Outcome.ControllerMet> met() {
-        List<Outcome.ControllerMet> all = new ArrayList<>();
+    public List<Outcome.ControllerStats> met() {
+        List<Outcome.ControllerStats> all = new ArrayList<>();
         for (int rank = 0; rank < day.controllerZones().size(); rank++) {
-            Outcome.ControllerMet met = new Outcome.ControllerMet();
+            Outcome.ControllerStats met = new Outcome.ControllerStats();
             if (newest.containsKey(rank)) {
                 var driver = newest.get(rank).driver();
-                met.lines = driver.totalQueuedLines();
-                met.mostLines = driver.maxQueuedLines();
-                met.mostReports = driver.maxPendingReportLines();
+                met.totalQueuedLines = driver.totalQueuedLines();
+                met.maxQueuedLines = driver.maxQueuedLines();
+                met.maxPendingReportLines = driver.maxPendingReportLines();
             }
             all.add(met);
         }
--- a/src/main/java/rowanmoor/lab/Experiment.java
+++ b/src/main/java/rowanmoor/lab/Experiment.java
@@ -18,7 +18,7 @@
 import org.knowm.xchart.VectorGraphicsEncoder.VectorGraphicsFormat;
 import org.knowm.xchart.XYChart;
 import org.knowm.xchart.XYChartBuilder;
-import rowanmoor.config.ConfigError;
+import rowanmoor.config.ConfigException;
 import rowanmoor.config.Section;
 import rowanmoor.emulator.Emulator;
 import rowanmoor.emulator.Outcome;
@@ -55,9 +55,9 @@
         }
     }
 
-    /** All that was played. {@code found} has the rate that each variant's search came to,
+    /** All that was played. {@code failingRates} has the rate that each variant's search came to,
             if one was asked. */
-    public record Grid(String name, List<Cell> cells, Map<Variant, Double> found, int played, int kept) { }
+    public record Grid(String name, List<Cell> cells, Map<Variant, Double> failingRates, int played, int cached) { }
 
     private record Fleet(String name, Path file, byte[] bytes, DayFile day) { }
 
@@ -77,33 +77,33 @@
     private final int seeds;
     private final long length;
 
-    private Experiment(Section e, Path file) throws ConfigError, IOException {
-        name = e.name();
-        List<String> files = e.texts("fleet", true);
-        rates = e.rates("rates", 0, 1e6);
-        backends = e.wholes("backends", 1, 100000);
-        seeds = e.whole("seeds", 1, 1000, 3);
-        length = e.duration("length", "0s", "1h", "0s");
-        List<String> words = e.texts("troubles", false);
+    private Experiment(Section e, Path file) throws ConfigException, IOException {
+        name = e.label();
+        List<String> files = e.strings("fleet", true);
+        rates = e.ratesPerSecond("rates", 0, 1e6);
+        backends = e.integers("backends", 1, 100000);
+        seeds = e.integer("seeds", 1, 1000, 3);
+        length = e.durationNs("length", "0s", "1h", "0s");
+        List<String> words = e.strings("troubles", false);
         for (String word : words.isEmpty() ? List.of("with") : words) {
             if (!word.equals("with") && !word.equals("without")) {
-                e.problem("troubles", "is \"with\", \"without\" or both");
+                e.addProblem("troubles", "is \"with\", \"without\" or both");
             }
             troubles.add(word.equals("with"));
         }
         search = e.has("search") ? search(e.section("search")) : null;
         if (search != null && !rates.isEmpty()) {
-            e.problem("search", "and rates exclude each other");
+            e.addProblem("search", "and rates exclude each other");
         }
         List<Section> asked = e.sections("mix");
-        e.finish();
+        e.rejectUnknownKeys();
         for (String one : files) {
             Path path = file.resolveSibling(one);
             DayFile day = DayFile.read(path);
             fleets.add(new Fleet(day.name(), path, Files.readAllBytes(path), day));
         }
         for (Section mix : asked) {
-            mixes.put(mix.name(), shares(mix, fleets.isEmpty() ? null : fleets.get(0).day()));
+            mixes.put(mix.label(), shares(mix, fleets.isEmpty() ? null : fleets.get(0).day()));
         }
         if (mixes.isEmpty()) {
             mixes.put("", null);
@@ -111,42 +111,42 @@
     }
 
     private static Search search(Section s) {
-        Search search = new Search(s.rate("from", 0.1, 1e6), s.rate("to", 0.1, 1e6),
+        Search search = new Search(s.ratePerSecond("from", 0.1, 1e6), s.ratePerSecond("to", 0.1, 1e6),
                 s.number("service", 0.01, 1), s.number("within", 0.001, 0.5, 0.02));
         if (search.to() <= search.from()) {
-            s.problem("to", "is not above from");
+            s.addProblem("to", "is not above from");
         }
-        s.finish();
+        s.rejectUnknownKeys();
         return search;
     }
 
     private double[] shares(Section mix, DayFile day) {
         double[] shares = new double[day == null ? 0 : day.shares().length];
         for (Section c : mix.sections("class")) {
-            int cls = day == null ? -1 : day.site().classNames().indexOf(c.name());
+            int cls = day == null ? -1 : day.site().classNames().indexOf(c.label());
             double share = c.number("share", 0, 1);
             if (cls < 0) {
-                c.problem("", "is not a class of the first fleet's site");
+                c.addProblem("", "is not a class of the first fleet's site");
             } else {
                 shares[cls] = share;
             }
-            c.finish();
+            c.rejectUnknownKeys();
         }
         if (Arrays.stream(shares).sum() <= 0) {
-            mix.problem("class", "no class has a share");
+            mix.addProblem("class", "no class has a share");
         }
-        mix.finish();
+        mix.rejectUnknownKeys();
         return shares;
     }
 
     /** Reads {@code experiment "name" { fleet "FILE"; rates ...; backends ...; seeds 3 }}. */
-    public static Experiment read(Path file) throws ConfigError, IOException {
+    public static Experiment read(Path file) throws ConfigException, IOException {
         Section root = Section.read(file);
         Section e = root.section("experiment");
-        root.check();
+        root.throwIfInvalid();
         Experiment experiment = new Experiment(e, file);
-        root.finish();
-        root.check();
+        root.rejectUnknownKeys();
+        root.throwIfInvalid();
         return experiment;
     }
 
@@ -182,7 +182,7 @@
 
     private DayFile day(Variant v, double rate) {
         DayFile day = fleet(v).day();
-        return day.variant(rate, length == 0 ? day.length() : length, v.mix().isEmpty() ? day.shares()
+        return day.withVariant(rate, length == 0 ? day.length() : length, v.mix().isEmpty() ? day.shares()
                 : mixes.get(v.mix()), v.backends(), v.troubles());
     }
 
@@ -231,12 +231,12 @@
 
         private double search(Variant variant, List<Cell> cells) throws IOException {
             Bisection bisection = new Bisection(search.from(), search.to(), search.within());
-            for (double rate = bisection.next(); rate > 0; rate = bisection.next()) {
+            for (double rate = bisection.nextRate(); rate > 0; rate = bisection.nextRate()) {
                 Cell cell = new Cell(variant, rate, play(runs(variant, rate)));
                 cells.add(cell);
-                bisection.tried(rate, cell.interval(Result::service).mean() >= search.service());
+                bisection.recordResult(rate, cell.interval(Result::service).mean() >= search.service());
             }
-            return bisection.found();
+            return bisection.result();
         }
 
         private List<Run> runs(Variant v, double rate) {
@@ -280,18 +280,18 @@
 
         private Result emulated(Run run) {
             DayFile day = day(run.variant(), run.rate());
-            return result(Emulator.play(Models.of(day, run.seed()).model(), run.seed()));
+            return result(Emulator.run(EmulatorModels.of(day, run.seed()).model(), run.seed()));
         }
 
         private Result live(Run run) {
             try {
                 Path own = Files.createTempDirectory(live, "run");
-                Played run1 = Player.play(day(run.variant(), run.rate()).seed(run.seed()),
+                DayResult run1 = DayRunner.runOnSockets(day(run.variant(), run.rate()).seed(run.seed()),
                         fleet(run.variant()).file(), own);
                 if (!run1.faults().isEmpty()) {
                     throw new IOException(run1.faults().get(0));
                 }
-                return result(run1.seen());
+                return result(run1.outcome());
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             } catch (InterruptedException e) {
@@ -302,9 +302,9 @@
     }
 
     private static Result result(Outcome o) {
-        return new Result(o.service(), o.worst(WINDOW),
-                o.backends().stream().mapToDouble(b -> b.busy).max().orElse(0),
-                o.controllers().stream().mapToDouble(c -> c.mostLines).max().orElse(0),
+        return new Result(o.service(), o.worstService(WINDOW),
+                o.backends().stream().mapToDouble(b -> b.utilization).max().orElse(0),
+                o.controllers().stream().mapToDouble(c -> c.maxQueuedLines).max().orElse(0),
                 o.classes().stream().mapToLong(c -> c.offered).sum(),
                 o.classes().stream().mapToLong(c -> c.good).sum());
     }
@@ -314,7 +314,7 @@
     /** A table for people. */
     public static String table(Grid grid) {
         StringBuilder text = new StringBuilder(String.format(Locale.ROOT,
-                "%s: %d runs played, %d kept from before%n", grid.name(), grid.played(), grid.kept()));
+                "%s: %d runs played, %d kept from before%n", grid.name(), grid.played(), grid.cached()));
         text.append(String.format("%-44s %10s %26s %10s %9s %8s%n", "variant", "rate", "service (95%)",
                 "worst 10 s", "busiest", "lines"));
         for (Cell c : grid.cells()) {
@@ -324,7 +324,7 @@
                     c.interval(Result::worst).mean(), c.interval(Result::busiest).mean(),
                     c.interval(Result::mostLines).mean()));
         }
-        grid.found().forEach((variant, rate) -> text.append(String.format(Locale.ROOT,
+        grid.failingRates().forEach((variant, rate) -> text.append(String.format(Locale.ROOT,
                 "%-44s %s%n", variant, rate == 0 ? "fails at the lowest rate"
                         : rate == Double.POSITIVE_INFINITY
                         ? "holds at the highest rate" : String.format(Locale.ROOT, "fails at %.1f/s",
--- a/src/test/java/rowanmoor/ArchitectureTest.java
+++ b/src/test/java/rowanmoor/ArchitectureTest.java
@@ -83,8 +83,8 @@
                 .or().haveSimpleName("Messages").or().haveSimpleName("Translator")
                 .or().haveSimpleName("RosterView").or().haveSimpleName("Router")
                 .or().haveSimpleName("Tallies").or().haveSimpleName("Redial")
-                .or().haveSimpleName("BackendModel").or().haveSimpleName("Judge")
-                .or().haveSimpleName("Mirror")
+                .or().haveSimpleName("BackendModel").or().haveSimpleName("RuleChecker")
+                .or().haveSimpleName("ProxyStateModel")
                 .should().dependOnClassesThat().resideInAnyPackage("java.io..", "java.nio.channels..",
                         "java.nio.file..", "java.net..", "rowanmoor.net..", "org.slf4j..")
                 .orShould().callMethod(System.class, "nanoTime")
