--- a/src/test/java/rowanmoor/TestSettings.java
+++ b/src/test/java/rowanmoor/TestSettings.java
@@ -5,13 +5,13 @@
 import rowanmoor.ControlApi.AdmissionMode;
 import rowanmoor.ControlApi.Channel;
 import rowanmoor.ControlApi.ClassSpec;
-import rowanmoor.ControlApi.Idempotency;
 import rowanmoor.ControlApi.DedupScope;
+import rowanmoor.ControlApi.Idempotency;
 import rowanmoor.ControlApi.ReportColumns;
 import rowanmoor.ControlApi.Rules;
 import rowanmoor.ControlApi.Settings;
 
-/** Settings of invented sites. */
+/** Settings of artificial sites. */
 public final class TestSettings {
 
     public static final long MS = 1_000_000L;
@@ -25,25 +25,26 @@
     }
 
     /**
-     * A safe class of worth 1 and an unsafe one of worth 5, both open everywhere; two zones with own
-     * tables.
+     * A safe class of worth 1 and an unsafe class of worth 5, both open to all backends; two zones with
+     * tables of their own.
      */
     public static Settings plain() {
-        return with(List.of(spec(Idempotency.SAFE, 1, Set.of()), spec(Idempotency.UNSAFE, 5, Set.of())), false, 0, 0);
+        return with(List.of(spec(Idempotency.SAFE, 1, Set.of()), spec(Idempotency.UNSAFE, 5, Set.of())),
+                false, 0, 0);
     }
 
-    static Settings with(List<ClassSpec> classes, boolean mustAsk, int messagesMost, int slices) {
-        return of(classes, mustAsk, slices, 8, 500, -1, 0,
-                new Channel(2000, 5, 3000, messagesMost, 10 * SECOND, 200 * MS, 500 * MS));
+    static Settings with(List<ClassSpec> classes, boolean catalogOnRequest, int maxMessages, int keyRanges) {
+        return of(classes, catalogOnRequest, keyRanges, 8, 500, -1, 0,
+                new Channel(2000, 5, 3000, maxMessages, 10 * SECOND, 200 * MS, 500 * MS));
     }
 
-    /** Like {@link #plain}, but backends report how busy their cores are. */
-    static Settings reportingUse() {
+    /** Like {@link #plain}, but backends report the utilization of their cores. */
+    static Settings reportingUtilization() {
         return of(plain().classes(), false, 0, 8, 500, 0, 0, plain().channel());
     }
 
-    /** Like {@link #plain}, but proxies shun a backend that failed five of their tries in a row. */
-    static Settings shunning() {
+    /** Like {@link #plain}, but proxies eject a backend after five failed tries in a row. */
+    static Settings withEjection() {
         return of(plain().classes(), false, 0, 8, 500, -1, 5, plain().channel());
     }
 
@@ -53,10 +54,11 @@
                 new Channel(1200, 4, 2600, 0, 10 * SECOND, 200 * MS, 500 * MS));
     }
 
-    private static Settings of(List<ClassSpec> classes, boolean mustAsk, int slices, int proxies,
-            double hearsPerSecond, int busyColumn, int ejects, Channel channel) {
-        return new Settings(1, 2, classes, mustAsk, false, AdmissionMode.RATE, ejects, proxies, slices, SECOND,
-                hearsPerSecond, 0.05, new ReportColumns(-1, busyColumn),
+    private static Settings of(List<ClassSpec> classes, boolean catalogOnRequest, int keyRanges, int proxies,
+            double reportLinesPerSecond, int utilizationColumn, int ejectAfterFailures, Channel channel) {
+        return new Settings(1, 2, classes, catalogOnRequest, false, AdmissionMode.RATE, ejectAfterFailures,
+                proxies, keyRanges, SECOND, reportLinesPerSecond, 0.05,
+                new ReportColumns(-1, utilizationColumn),
                 new Rules(3 * SECOND, 2 * SECOND, 10 * SECOND, 0.2, 4, 2 * SECOND, 10 * SECOND),
                 channel);
     }
