--- a/src/main/java/rowanmoor/emulator/Emulator.java
+++ b/src/main/java/rowanmoor/emulator/Emulator.java
@@ -60,11 +60,11 @@
     private static final long TAIL = 30_000 * MILLI;
 
     private final Model model;
-    private final Agenda agenda = new Agenda();
+    private final EventQueue agenda = new EventQueue();
     private final SplittableRandom arrivals;
     private final SplittableRandom works;
     private final SplittableRandom ways;
-    private final Station[] stations;
+    private final SimulatedBackend[] stations;
     private final Backend[] backends;
     private final Availability[] listed;
     private final long[] startedAt;
@@ -147,12 +147,12 @@
         SplittableRandom choices = root.split();
         int count = model.backends().size();
         int proxies = model.proxyZones().length;
-        this.stations = new Station[count];
+        this.stations = new SimulatedBackend[count];
         this.backends = new Backend[count];
         this.listed = new Availability[count];
         this.startedAt = new long[count];
         for (int b = 0; b < count; b++) {
-            stations[b] = new Station(model.backends().get(b), START);
+            stations[b] = new SimulatedBackend(model.backends().get(b), START);
             backends[b] = new Backend(0x0a0000000000L + ((long) b << 16) + 80);
             listed[b] = Availability.READY;
         }
@@ -705,7 +705,7 @@
             return;
         }
         int b = backend[request];
-        Station station = stations[b];
+        SimulatedBackend station = stations[b];
         long back = now + way(proxy[request], b);
         if (station.isDown()) {
             agenda.add(back, NO_CONNECT, request, its);
@@ -751,7 +751,7 @@
     }
 
     private void look(int b, int its) {
-        Station station = stations[b];
+        SimulatedBackend station = stations[b];
         if (station.stamp() != its) {
             return;
         }
@@ -782,7 +782,7 @@
     }
 
     private List<Double> load(int b) {
-        Station station = stations[b];
+        SimulatedBackend station = stations[b];
         if (now - busyAt[b] > 300 * MILLI) {
             double busy = station.busySeconds(now);
             busyPart[b] = Math.min(1, (busy - busyBefore[b]) / ((now - busyAt[b]) / SECOND)
--- a/src/main/java/rowanmoor/emulator/Agenda.java
+++ b/src/main/java/rowanmoor/emulator/EventQueue.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /** What is to happen, by time and then in the order in which it was added: a binary heap in plain arrays. */
-final class Agenda {
+final class EventQueue {
 
     private long[] times = new long[1024];
     private long[] numbers = new long[1024];
--- a/src/main/java/rowanmoor/emulator/Station.java
+++ b/src/main/java/rowanmoor/emulator/SimulatedBackend.java
@@ -7,7 +7,7 @@
  * from cold to warm. With as many slots as cores it is a plain queue with so many servers. Requests are
  * numbers; nothing is allocated for one. Work is seconds on a core of speed 1; times are nanoseconds.
  */
-final class Station {
+final class SimulatedBackend {
 
     private static final double SECOND = 1e9;
     private static final long RAMP_STEP = 100_000_000L;
@@ -32,7 +32,7 @@
     private double heldSeconds;
     private int mostWaiting;
 
-    Station(Model.BackendSpec machine, long now) {
+    SimulatedBackend(Model.BackendSpec machine, long now) {
         this.machine = machine;
         this.at = now;
         this.startedAt = now - machine.warmUpNs();
--- a/src/main/java/rowanmoor/lab/ResultStore.java
+++ b/src/main/java/rowanmoor/lab/ResultStore.java
@@ -30,8 +30,8 @@
     private static final List<String> MORE = List.of("/rowanmoor/FleetState.class", "/rowanmoor/FleetState$Path.class",
             "/rowanmoor/controller/Intake.class", "/rowanmoor/controller/Outbox.class",
             "/rowanmoor/host/TableStore.class", "/rowanmoor/host/TickRunner.class",
-            "/rowanmoor/host/Fanout.class", "/rowanmoor/emulator/Station.class",
-            "/rowanmoor/emulator/Agenda.class", "/rowanmoor/emulator/Model.class");
+            "/rowanmoor/host/Fanout.class", "/rowanmoor/emulator/SimulatedBackend.class",
+            "/rowanmoor/emulator/EventQueue.class", "/rowanmoor/emulator/Model.class");
 
     private final MVStore store;
     private final MVMap<String, String> results;
