--- a/src/main/java/rowanmoor/controller/AsyncLineWriter.java
+++ b/src/main/java/rowanmoor/controller/AsyncLineWriter.java
@@ -10,84 +10,86 @@
 import java.util.function.Consumer;
 
 /**
- * Lines written by a thread of its own. {@link #offer} never waits and never throws: with the first line that
- * cannot be written, or that does not fit into what may wait, the file ends for good, which is told once. A
- * file with a gap would be worse than a short one.
+ * Writes lines on a thread of its own. {@link #offer} never blocks and never throws: after the first line
+ * that cannot be written, or that does not fit into the queue, no more lines are accepted, which is reported
+ * once. A file that ends early is preferred to one with a gap.
  */
 final class AsyncLineWriter implements Closeable {
 
-    private static final String END = "\0"; // no line: offered lines are JSON
-    private static final long CLOSE_MS = 2000;
+    private static final String END_MARKER = "\0"; // cannot be a line: offered lines are JSON
+    private static final long CLOSE_TIMEOUT_MS = 2000;
+    private static final int BUFFER_CHARS = 1 << 16;
 
     private final BufferedWriter out;
-    private final long charsMost;
-    private final Consumer<String> lost;
+    private final long maxQueuedChars;
+    private final Consumer<String> onFailure;
     private final LinkedBlockingQueue<String> queue = new LinkedBlockingQueue<>();
-    private final AtomicLong waiting = new AtomicLong();
-    private final AtomicBoolean over = new AtomicBoolean();
+    private final AtomicLong queuedChars = new AtomicLong();
+    private final AtomicBoolean failed = new AtomicBoolean();
     private final Thread thread;
     private volatile boolean closing;
 
     /**
-     * @param charsMost characters that may wait to be written
-     * @param lost hears once why no more is written, on any thread
+     * @param maxQueuedChars capacity of the queue in characters
+     * @param onFailure called at most once, on any thread, with the reason why writing has stopped
      */
-    AsyncLineWriter(Writer to, long charsMost, Consumer<String> lost) {
-        this.out = new BufferedWriter(to, 1 << 16);
-        this.charsMost = charsMost;
-        this.lost = lost;
-        this.thread = new Thread(this::run, "lines");
+    AsyncLineWriter(Writer target, long maxQueuedChars, Consumer<String> onFailure) {
+        this.out = new BufferedWriter(target, BUFFER_CHARS);
+        this.maxQueuedChars = maxQueuedChars;
+        this.onFailure = onFailure;
+        this.thread = new Thread(this::writeLoop, "lines");
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Whether lines are still taken. */
+    /** Returns whether lines are still accepted. */
     boolean isOpen() {
-        return !over.get() && !closing;
+        return !failed.get() && !closing;
     }
 
+    /** Queues a line; discards it if the writer is closed or has failed. */
     void offer(String line) {
         if (!isOpen()) {
             return;
         }
-        if (waiting.addAndGet(line.length()) > charsMost) {
-            end("more than " + charsMost + " characters wait to be written");
+        if (queuedChars.addAndGet(line.length()) > maxQueuedChars) {
+            fail("write queue full: more than " + maxQueuedChars + " characters");
         } else {
             queue.add(line);
         }
     }
 
-    private void end(String why) {
-        if (!over.getAndSet(true)) {
-            lost.accept(why);
+    private void fail(String reason) {
+        if (!failed.getAndSet(true)) {
+            onFailure.accept(reason);
         }
     }
 
-    private void run() {
+    private void writeLoop() {
         try (out) {
-            for (String line = queue.take(); !line.equals(END); line = queue.take()) {
+            for (String line = queue.take(); !line.equals(END_MARKER); line = queue.take()) {
                 out.write(line);
                 out.write('\n');
-                waiting.addAndGet(-line.length());
+                queuedChars.addAndGet(-line.length());
                 if (queue.isEmpty()) {
                     out.flush();
                 }
             }
         } catch (IOException e) {
-            end(String.valueOf(e.getMessage()));
+            fail(String.valueOf(e.getMessage()));
             queue.clear();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Writes what waits, for two seconds at the most. */
+    /** Stops accepting lines and waits up to 2 s for the queued ones to be written. */
     @Override
     public void close() {
         closing = true;
-        queue.add(END);
+        queue.add(END_MARKER);
         try {
-            thread.join(CLOSE_MS);
+            thread.join(CLOSE_TIMEOUT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/rowanmoor/discovery/LoadColumns.java
+++ b/src/main/java/rowanmoor/discovery/LoadColumns.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import rowanmoor.http.Orca;
+import rowanmoor.http.OrcaLoadReport;
 
 /**
  * The metrics of a load report that are passed on to the decision module.
@@ -27,7 +27,7 @@
 
     /** Parses a response's load field; returns an empty list if it is absent or lacks one of the columns. */
     public List<Double> parse(String field) {
-        Map<String, Double> metrics = Orca.parse(field);
+        Map<String, Double> metrics = OrcaLoadReport.parse(field);
         List<Double> values = new ArrayList<>(names.size());
         for (String name : names) {
             Double value = metrics.get(ORCA_NAMES.get(name));
--- a/src/main/java/rowanmoor/discovery/Prober.java
+++ b/src/main/java/rowanmoor/discovery/Prober.java
@@ -10,9 +10,9 @@
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Probed;
 import rowanmoor.http.ClientConnection;
-import rowanmoor.http.Limits;
+import rowanmoor.http.MessageLimits;
 import rowanmoor.http.Message;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
 import rowanmoor.net.Loop;
 import rowanmoor.net.Timer;
@@ -85,17 +85,17 @@
             return;
         }
         ClientConnection connection = ClientConnection.open(loop, null, address,
-                Connection.Options.usual().connectWithin(timeoutNs),
-                Limits.usual().body(MAX_BODY_BYTES), c -> { });
+                Connection.Options.defaults().connectWithin(timeoutNs),
+                MessageLimits.defaults().body(MAX_BODY_BYTES), c -> { });
         Timer timeout = loop.after(timeoutNs, () -> {
             connection.cancel();
             finish(address, new Probed(backend, false, STATUS_TIMEOUT, loop.now() - startedAt, List.of()));
         });
-        connection.ask(Message.Request.get(path, "Host", address.getHostString() + ":" + address.getPort(),
+        connection.send(Message.Request.get(path, "Host", address.getHostString() + ":" + address.getPort(),
                 "Connection", "close"),
-                new ClientConnection.Answer() {
+                new ClientConnection.ResponseHandler() {
                     @Override
-                    public void answered(Message.Response response) {
+                    public void onResponse(Message.Response response) {
                         timeout.cancel();
                         connection.cancel(); // a backend may leave it open despite "Connection: close"
                         int status = response.status() == 200 ? STATUS_OK
@@ -105,9 +105,9 @@
                     }
 
                     @Override
-                    public void failed(boolean neverRan, Close why, String detail) {
+                    public void onFailure(boolean neverRan, CloseReason why, String detail) {
                         timeout.cancel();
-                        int status = why == Close.CONNECT_TIMEOUT ? STATUS_TIMEOUT
+                        int status = why == CloseReason.CONNECT_TIMEOUT ? STATUS_TIMEOUT
                                 : neverRan ? STATUS_UNREACHABLE : STATUS_CONNECTION_LOST;
                         finish(address,
                                 new Probed(backend, false, status, loop.now() - startedAt, List.of()));
--- a/src/main/java/rowanmoor/discovery/RosterClient.java
+++ b/src/main/java/rowanmoor/discovery/RosterClient.java
@@ -7,9 +7,9 @@
 import java.util.function.LongSupplier;
 import rowanmoor.ControlApi.Members;
 import rowanmoor.http.ClientConnection;
-import rowanmoor.http.Limits;
+import rowanmoor.http.MessageLimits;
 import rowanmoor.http.Message;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
 import rowanmoor.net.Loop;
 import rowanmoor.net.Timer;
@@ -98,9 +98,9 @@
 
     private void sendQuery() {
         queryPending = true;
-        if (connection == null || !connection.free()) {
-            connection = ClientConnection.open(loop, null, address, Connection.Options.usual()
-                    .connectWithin(CONNECT_TIMEOUT_NS), Limits.usual().body(MAX_RESPONSE_BYTES), c -> { });
+        if (connection == null || !connection.isAvailable()) {
+            connection = ClientConnection.open(loop, null, address, Connection.Options.defaults()
+                    .connectWithin(CONNECT_TIMEOUT_NS), MessageLimits.defaults().body(MAX_RESPONSE_BYTES), c -> { });
         }
         String query = index == 0 ? "" : "?index=" + index + "&wait=" + waitNs / 1_000_000 + "ms";
         // A roster may hold a query for a sixteenth longer than requested (Consul, Blocking Queries).
@@ -110,17 +110,17 @@
             queried.cancel();
             fail("no response within " + timeoutNs / 1_000_000 + " ms");
         });
-        queried.ask(Message.Request.get(path + query,
+        queried.send(Message.Request.get(path + query,
                 "Host", address.getHostString() + ":" + address.getPort(), "User-Agent", userAgent),
-                new ClientConnection.Answer() {
+                new ClientConnection.ResponseHandler() {
                     @Override
-                    public void answered(Message.Response response) {
+                    public void onResponse(Message.Response response) {
                         responseTimer.cancel();
                         handleResponse(response);
                     }
 
                     @Override
-                    public void failed(boolean neverRan, Close why, String detail) {
+                    public void onFailure(boolean neverRan, CloseReason why, String detail) {
                         responseTimer.cancel();
                         fail(why + ": " + detail);
                     }
--- a/src/main/java/rowanmoor/lab/Report.java
+++ b/src/main/java/rowanmoor/lab/DayReport.java
@@ -13,29 +13,29 @@
 import rowanmoor.standin.Clients;
 
 /** What is said of a played day: a text, and with a directory JSON lines and charts. */
-public final class Report {
+public final class DayReport {
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final double SECOND = 1e9;
 
-    private Report() { }
+    private DayReport() { }
 
     /** The text that the command prints. */
-    public static String text(Played played) {
+    public static String text(DayResult played) {
         StringBuilder text = new StringBuilder();
         DayFile day = played.day();
         line(text, "%s, seed %d: %d controllers, %d proxies, %d backends, %.0f requests a second, %.0f s",
                 day.name(), day.seed(), day.controllerZones().size(), day.proxies(), day.backendCount(),
                 day.rate(), day.length() / SECOND);
         line(text, "%n%-32s %10s %10s  %s", "rule", "limit", "worst", "");
-        for (Judge.Verdict v : played.verdicts()) {
+        for (RuleChecker.Verdict v : played.verdicts()) {
             line(text, "%-32s %10.3f %10.3f  %s%s", v.rule(), v.limit(), v.worst(),
                     v.broken() ? "BROKEN " : "kept", v.broken() ? v.first() : " (" + v.unit() + ")");
         }
         line(text, "%n%-16s %8s %8s %6s %7s %8s %10s %10s", "class", "offered", "good", "late", "failed",
                 "service", "p50 ms", "p99 ms");
-        for (int c = 0; c < played.met().size(); c++) {
-            Clients.Met met = played.met().get(c);
+        for (int c = 0; c < played.classTotals().size(); c++) {
+            Clients.ClassStats met = played.classTotals().get(c);
             line(text, "%-16s %8d %8d %6d %7d %8.3f %10.1f %10.1f", day.site().classNames().get(c),
                     met.offered,
                     met.good, met.late, met.failed, played.service(c),
@@ -44,11 +44,11 @@
         }
         line(text, "%-16s %8s %8s %6s %7s %8.3f", "all, by worth", "", "", "", "", played.service(-1));
         changes(text, played);
-        line(text, "most sent to a cold backend: %.2f of its capacity (it falls at %.2f)", played.worstPush(),
+        line(text, "most sent to a cold backend: %.2f of its capacity (it falls at %.2f)", played.worstColdOverload(),
                 day.site().rules().overloadFactor());
         stats(text, played);
         played.faults().forEach(f -> line(text, "fault: %s", f));
-        played.unmet().forEach(u -> line(text, "expectation: %s", u));
+        played.unmetExpectations().forEach(u -> line(text, "expectation: %s", u));
         line(text, "%n%s", played.passed() ? "passed" : "FAILED");
         return text.toString();
     }
@@ -57,8 +57,8 @@
         text.append(String.format(Locale.ROOT, format, arguments)).append('\n');
     }
 
-    private static void changes(StringBuilder text, Played played) {
-        List<Double> took = new ArrayList<>(played.changeMillis());
+    private static void changes(StringBuilder text, DayResult played) {
+        List<Double> took = new ArrayList<>(played.changeLatenciesMs());
         took.sort(null);
         if (!took.isEmpty()) {
             line(text, "%nfrom a roster change to the last proxy's next message: %d changes, p50 %.0f ms,"
@@ -71,7 +71,7 @@
         return sorted.get((int) Math.min(sorted.size() - 1, Math.floor(part * sorted.size())));
     }
 
-    private static void stats(StringBuilder text, Played played) {
+    private static void stats(StringBuilder text, DayResult played) {
         for (int rank = 0; rank < played.day().controllerZones().size(); rank++) {
             int its = rank;
             JsonNode last = played.stats().stream().filter(s -> s.get("rank").asInt() == its)
@@ -88,19 +88,19 @@
     }
 
     /** Writes text, outcomes, verdicts and charts into a directory. */
-    public static void write(Played played, Path directory) throws IOException {
+    public static void write(DayResult played, Path directory) throws IOException {
         Files.createDirectories(directory);
         Files.writeString(directory.resolve("report.txt"), text(played));
         try (BufferedWriter out = Files.newBufferedWriter(directory.resolve("day.jsonl"))) {
-            for (Judge.Verdict verdict : played.verdicts()) {
+            for (RuleChecker.Verdict verdict : played.verdicts()) {
                 ObjectNode node = JSON.valueToTree(verdict);
                 out.write(node.put("what", "verdict").toString() + "\n");
             }
-            for (Clients.Outcome outcome : played.outcomes()) {
+            for (Clients.RequestOutcome outcome : played.outcomes()) {
                 ObjectNode node = JSON.createObjectNode().put("what", "outcome")
                         .put("atMs", (outcome.arrivedAt() - played.evidence().start()) / 1e6)
                         .put("class", played.day().site().classNames().get(outcome.cls()))
-                        .put("tookMs", outcome.took() / 1e6).put("answered", outcome.answered());
+                        .put("tookMs", outcome.latencyNs() / 1e6).put("answered", outcome.answered());
                 out.write(node + "\n");
             }
             for (JsonNode stat : played.stats()) {
--- a/src/main/java/rowanmoor/platform/CatalogClient.java
+++ b/src/main/java/rowanmoor/platform/CatalogClient.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import rowanmoor.http.ClientStream;
-import rowanmoor.http.Fields;
-import rowanmoor.http.Limits;
-import rowanmoor.http.Part;
-import rowanmoor.net.Close;
+import rowanmoor.http.HttpFields;
+import rowanmoor.http.MessageLimits;
+import rowanmoor.http.MessagePart;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
 import rowanmoor.net.Loop;
 import rowanmoor.net.Timer;
@@ -116,7 +116,7 @@
     }
 
     /** One request to the catalog, on a connection of its own. */
-    private final class Watch implements ClientStream.Answer {
+    private final class Watch implements ClientStream.ResponseHandler {
         private final ByteArrayOutputStream lineBuffer = new ByteArrayOutputStream();
         private ClientStream stream;
         private Timer silenceTimer;
@@ -125,12 +125,12 @@
 
         void open() {
             lastReceivedAt = loop.now();
-            stream = ClientStream.open(loop, null, address, Connection.Options.usual()
-                    .connectWithin(CONNECT_TIMEOUT_NS), Limits.usual(), closed -> { });
-            stream.ask(new Part.RequestHead("GET",
+            stream = ClientStream.open(loop, null, address, Connection.Options.defaults()
+                    .connectWithin(CONNECT_TIMEOUT_NS), MessageLimits.defaults(), closed -> { });
+            stream.sendHead(new MessagePart.RequestHead("GET",
                     "/catalog/members?follow=1&since=" + listener.generation(), 1,
-                    Fields.of("Host", address.getHostString() + ":" + address.getPort()), 0), this);
-            stream.end(new Fields());
+                    HttpFields.of("Host", address.getHostString() + ":" + address.getPort()), 0), this);
+            stream.endRequest(new HttpFields());
             checkSilence();
         }
 
@@ -158,7 +158,7 @@
         }
 
         @Override
-        public void head(Part.ResponseHead head) {
+        public void onResponseHead(MessagePart.ResponseHead head) {
             lastReceivedAt = loop.now();
             if (head.status() != 200) {
                 watchEnded(this, "status " + head.status());
@@ -166,7 +166,7 @@
         }
 
         @Override
-        public void content(ByteBuffer bytes) {
+        public void onResponseContent(ByteBuffer bytes) {
             lastReceivedAt = loop.now();
             while (bytes.hasRemaining() && isAttached()) {
                 byte b = bytes.get();
@@ -215,12 +215,12 @@
         }
 
         @Override
-        public void whole(Fields trailers) {
+        public void onResponseEnd(HttpFields trailers) {
             watchEnded(this, "ended"); // also closes the connection, which the end of a response leaves open
         }
 
         @Override
-        public void failed(boolean neverRan, Close why, String detail) {
+        public void onFailure(boolean neverRan, CloseReason why, String detail) {
             watchEnded(this, why + ": " + detail);
         }
     }
--- a/src/main/java/rowanmoor/platform/Peer.java
+++ b/src/main/java/rowanmoor/platform/Peer.java
@@ -3,9 +3,9 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 import java.util.List;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 import rowanmoor.net.Loop;
 import rowanmoor.net.Timer;
 import rowanmoor.resp.RespException;
@@ -16,7 +16,7 @@
  * One connection to the controller. States: unjoined (neither joined as a proxy nor named a zone), proxy,
  * collector, ended. An error of the peer affects only this connection.
  */
-final class Peer implements Handler {
+final class Peer implements ConnectionHandler {
 
     /** Receives the peers' messages and ends. */
     interface Listener {
@@ -91,13 +91,13 @@
     }
 
     @Override
-    public void opened(Connection source) {
+    public void onOpen(Connection source) {
         connection = source;
         deadlineTimer = loop.after(joinTimeoutNs, () -> endWithError("it has not joined"));
     }
 
     @Override
-    public void received(Connection source, ByteBuffer bytes) {
+    public void onData(Connection source, ByteBuffer bytes) {
         try {
             while (bytes.hasRemaining() && connection.isOpen()) {
                 List<String> parts = reader.next(bytes);
@@ -137,7 +137,7 @@
             if (role != Role.COLLECTOR) {
                 send(List.of("error", "reason", why));
             }
-            connection.end();
+            connection.closeGracefully();
             notifyEnded(why);
             startFinalWriteTimer();
         }
@@ -145,7 +145,7 @@
 
     /** Reads and handles what has arrived, without waiting for the loop's next turn. */
     void readNow() {
-        connection.readNow();
+        connection.readPending();
     }
 
     private void startFinalWriteTimer() {
@@ -157,7 +157,7 @@
 
     /** The peer has left when it ends its side, whether or not it still reads what is queued for it. */
     @Override
-    public boolean ended(Connection source) {
+    public boolean onInputEnd(Connection source) {
         notifyEnded("ENDED: the peer ended");
         startFinalWriteTimer();
         return false;
@@ -165,11 +165,11 @@
 
     /** Closes the connection at once. */
     void abort(String why) {
-        connection.close(Close.LOCAL, why);
+        connection.close(CloseReason.LOCAL, why);
     }
 
     @Override
-    public void closed(Connection source, Close why, String detail) {
+    public void onClose(Connection source, CloseReason why, String detail) {
         notifyEnded(why + ": " + detail);
         deadlineTimer.cancel();
         listener.onClosed(this);
--- a/src/main/java/rowanmoor/platform/PlatformController.java
+++ b/src/main/java/rowanmoor/platform/PlatformController.java
@@ -31,10 +31,10 @@
 import rowanmoor.discovery.Prober;
 import rowanmoor.host.Fanout;
 import rowanmoor.host.TickRunner;
-import rowanmoor.net.Bound;
+import rowanmoor.net.WriteLimit;
 import rowanmoor.net.Connection;
 import rowanmoor.net.Loop;
-import rowanmoor.net.Ticks;
+import rowanmoor.net.TickScheduler;
 
 /**
  * One controller of the platform: the decision module on one event loop, with its peers, its catalog client
@@ -79,7 +79,7 @@
     private final Map<Integer, Peer> proxies = new HashMap<>();
     private final TreeMap<Integer, ArrayDeque<Peer>> collectors = new TreeMap<>();
     private final LinkedHashSet<Peer> unjoined = new LinkedHashSet<>();
-    private final Ticks ticks;
+    private final TickScheduler ticks;
     private int openConnections;
     private long problemSecond;
     private long problemsThisSecond;
@@ -109,17 +109,17 @@
         this.catalogView = new CatalogView(config.namedSettings(), instances);
         this.fanout = new Fanout(settings.classes().size());
         this.tickRunner = new TickRunner(settings, config.seed(), System::nanoTime);
-        this.ticks = new Ticks(loop, config.namedSettings().tick(), this::runTick, tickRunner::nextTickAt);
+        this.ticks = new TickScheduler(loop, config.namedSettings().tick(), this::runTick, tickRunner::nextTickAt);
         this.translator = new Translator(config.namedSettings().classes(), instances, fanout);
-        this.listener = loop.listen(config.listenAddress(), Connection.Options.usual()
-                .bound(new Bound(MAX_QUEUED_BYTES, MAX_QUEUED_MESSAGES, Bound.Policy.CLOSE)), c -> accept());
+        this.listener = loop.listen(config.listenAddress(), Connection.Options.defaults()
+                .bound(new WriteLimit(MAX_QUEUED_BYTES, MAX_QUEUED_MESSAGES, WriteLimit.OverflowPolicy.CLOSE)), c -> accept());
         this.catalog = new CatalogClient(loop, config.catalogAddress(), config.seed(), this);
         this.prober = new Prober(loop, config.namedSettings().columns().isEmpty() ? "/ping" : "/_load",
                 PROBE_TIMEOUT_NS, MAX_CONCURRENT_PROBES, instances::address,
                 response -> parseLoadReport(response.body()), probed -> {
                     if (fanout.isKnown(probed.backend())) {
                         tickRunner.onProbeResult(probed);
-                        ticks.soon();
+                        ticks.requestTick();
                     }
                 });
         this.stateLog = Boolean.getBoolean(STATE_LOG_PROPERTY) ? new BackendStateLog(instances, log) : null;
@@ -130,7 +130,7 @@
         if (!settings.catalogOnRequest()) {
             catalog.follow();
         }
-        ticks.soon();
+        ticks.requestTick();
         loop.after(STATS_PERIOD_NS, this::logStats);
         log.accept(config.name() + " listens at " + listener.address() + ", " + instances.size()
                 + " instances known, catalog at " + config.catalogAddress());
@@ -218,7 +218,7 @@
                 throw new MalformedMessageException("ack node or nonce: not this stream's");
             }
             tickRunner.onStreamEvent(new Applied(ack.proxy(), ack.mark(), ack.latency()));
-            ticks.soon();
+            ticks.requestTick();
         } else {
             handleReport(peer, message);
         }
@@ -242,7 +242,7 @@
         proxies.put(hello.proxy(), peer);
         fanout.join(hello.proxy());
         tickRunner.onStreamEvent(new ProxyJoined(hello.proxy(), hello.zone(), hello.rate(), hello.fresh()));
-        ticks.soon();
+        ticks.requestTick();
     }
 
     private void joinCollector(Peer peer, int zone) {
@@ -274,7 +274,7 @@
         } else if (message instanceof Message.Demand d) {
             tickRunner.onReport(new Usage(d.proxy(), d.cls(), d.requests(), d.failed(), d.span()));
         }
-        ticks.soon();
+        ticks.requestTick();
     }
 
     @Override
@@ -304,7 +304,7 @@
         if (proxies.remove(peer.number(), peer)) {
             fanout.leave(peer.number());
             tickRunner.onStreamEvent(new ProxyLeft(peer.number()));
-            ticks.soon();
+            ticks.requestTick();
         }
     }
 
@@ -328,7 +328,7 @@
             log.accept("catalog: " + members.kind() + " " + members.version() + ": " + countByState(members));
             fanout.onCatalog(members);
             tickRunner.onCatalog(members);
-            ticks.soon();
+            ticks.requestTick();
         }
     }
 
@@ -345,7 +345,7 @@
         checkConfigFile.run(); // the catalog may have moved
         if (settings.catalogOnRequest()) {
             tickRunner.onCatalog(new Members(CatalogUpdateKind.FAILED, catalogView.generation(), List.of()));
-            ticks.soon();
+            ticks.requestTick();
         }
         return !settings.catalogOnRequest();
     }
--- a/src/main/java/rowanmoor/platform/Rehearsal.java
+++ b/src/main/java/rowanmoor/platform/Rehearsal.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 import rowanmoor.net.Loop;
 import rowanmoor.resp.RespWriter;
 import rowanmoor.settings.SettingsReader;
@@ -50,9 +50,9 @@
 
     @SuppressWarnings("unchecked")
     private void start(AsyncLineLog log) throws IOException {
-        InetSocketAddress catalog = loop.listen(LOOPBACK, Connection.Options.usual(), c -> respondWith(
+        InetSocketAddress catalog = loop.listen(LOOPBACK, Connection.Options.defaults(), c -> respondWith(
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")).address();
-        InetSocketAddress backend = loop.listen(LOOPBACK, Connection.Options.usual(), c -> respondWith(
+        InetSocketAddress backend = loop.listen(LOOPBACK, Connection.Options.defaults(), c -> respondWith(
                 "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nqueue=2,latency_ms=9")).address();
         Map<String, Object> known = (Map<String, Object>) script.get("known");
         for (Object entry : (List<Object>) known.get("instances")) {
@@ -67,27 +67,27 @@
         }
     }
 
-    private static Handler respondWith(String text) {
-        return new Handler() {
+    private static ConnectionHandler respondWith(String text) {
+        return new ConnectionHandler() {
             @Override
-            public void received(Connection connection, ByteBuffer bytes) {
+            public void onData(Connection connection, ByteBuffer bytes) {
                 connection.send(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
             }
         };
     }
 
     /** A proxy that joins and sends the script's reports every 100 ms. */
-    private final class ScriptedProxy implements Handler {
+    private final class ScriptedProxy implements ConnectionHandler {
         private final int number;
         private Connection connection;
 
         ScriptedProxy(InetSocketAddress address, int number) {
             this.number = number;
-            loop.connect(null, address, Connection.Options.usual(), this);
+            loop.connect(null, address, Connection.Options.defaults(), this);
         }
 
         @Override
-        public void opened(Connection source) {
+        public void onOpen(Connection source) {
             connection = source;
             send("probe");
             String zone = number % 2 == 0 ? "north" : "south";
@@ -107,7 +107,7 @@
         }
 
         @Override
-        public void received(Connection source, ByteBuffer bytes) {
+        public void onData(Connection source, ByteBuffer bytes) {
             // pushes are ignored
         }
     }
--- a/src/main/java/rowanmoor/proxy/ChannelClient.java
+++ b/src/main/java/rowanmoor/proxy/ChannelClient.java
@@ -12,64 +12,75 @@
 import rowanmoor.channel.Codec;
 import rowanmoor.channel.Frame;
 import rowanmoor.channel.FrameReader;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 import rowanmoor.net.Loop;
 import rowanmoor.net.Timer;
 
 /**
- * A proxy's end of the channel: calls a controller, says hello, takes messages in order, and calls again
- * when the stream ends. States: calling, open (hello sent), up (snapshot taken), waiting to call.
+ * A proxy's end of the channel: connects to a controller, sends a hello, handles messages in order, and
+ * reconnects when the stream ends. States: connecting, open (hello sent), up (snapshot received), waiting to
+ * reconnect.
  */
-final class ChannelClient implements Handler {
+final class ChannelClient implements ConnectionHandler {
 
     private static final Logger LOG = LoggerFactory.getLogger(ChannelClient.class);
 
     private final Loop loop;
     private final ProxyConfig config;
     private final Router router;
-    private final Runnable tablesChanged;
+    private final Runnable onTablesChanged;
     private final ReportQueue reports;
-    private final Runnable reportsChanged;
-    private final Set<Integer> oldControllers = new HashSet<>(); // places of those that refused this version
+    private final Runnable onReportsChanged;
+    /** Indexes of the controllers that refused the current protocol version. */
+    private final Set<Integer> oldProtocolControllers = new HashSet<>();
     private final Redial redial;
     private final long incarnation;
     private final Tap tap;
     private FrameReader reader;
     private Connection connection;
-    private Timer firstSnapshot;
+    private Timer snapshotTimer;
     private boolean up;
     private boolean hasBeenUp;
-    private boolean unasked;
+    /** Whether the outbound queue refused the last request for a snapshot. */
+    private boolean resyncPending;
     private boolean stopped;
-    private int streams;
-    private int calling; // place of the controller that is called or joined
-    private int protocol;
+    /** Number of streams opened so far, which is the number of the latest. */
+    private int streamNumber;
+    /** Index of the controller that it connects to or is connected to. */
+    private int controllerIndex;
+    private int protocolVersion;
 
-    /** @param reportsChanged called when the stream comes up and when reports were acknowledged */
+    /**
+     * Does not connect yet.
+     *
+     * @param onTablesChanged called after each applied snapshot or update
+     * @param onReportsChanged called when the stream comes up and when reports were acknowledged
+     */
     ChannelClient(Loop loop, ProxyConfig config, Router router, ReportQueue reports, RandomGenerator random,
-            Tap tap, Runnable tablesChanged, Runnable reportsChanged) {
+            Tap tap, Runnable onTablesChanged, Runnable onReportsChanged) {
         this.loop = loop;
         this.config = config;
         this.router = router;
         this.tap = tap;
-        this.tablesChanged = tablesChanged;
+        this.onTablesChanged = onTablesChanged;
         this.reports = reports;
-        this.reportsChanged = reportsChanged;
+        this.onReportsChanged = onReportsChanged;
         this.incarnation = random.nextLong();
         this.redial = new Redial(config.controllers().size(), config.firstController(), config.redialWaitNs(),
                 random);
     }
 
-    void call() {
+    void connect() {
         if (stopped) {
             return;
         }
-        calling = redial.controller();
-        protocol = oldControllers.contains(calling) ? Frame.MIN_PROTOCOL_VERSION : Frame.PROTOCOL_VERSION;
-        InetSocketAddress to = config.controllers().get(calling);
-        connection = loop.connect(config.localAddress(), to, Connection.Options.usual()
+        controllerIndex = redial.currentController();
+        protocolVersion = oldProtocolControllers.contains(controllerIndex) ? Frame.MIN_PROTOCOL_VERSION
+                : Frame.PROTOCOL_VERSION;
+        InetSocketAddress address = config.controllers().get(controllerIndex);
+        connection = loop.connect(config.localAddress(), address, Connection.Options.defaults()
                 .connectWithin(config.controllerTimeoutNs()).idleAfter(config.controllerTimeoutNs()), this);
     }
 
@@ -77,32 +88,32 @@
         stopped = true;
         if (connection != null) {
             send(new Frame.Goodbye(Frame.Reason.STOPPING, "the proxy stops"));
-            connection.end();
+            connection.closeGracefully();
         }
     }
 
-    boolean up() {
+    boolean isUp() {
         return up;
     }
 
-    /** Whether any stream was up since the start: if not, nobody can be told anything. */
+    /** Whether any stream has been up since the start; if not, there is no controller to report to. */
     boolean hasBeenUp() {
         return hasBeenUp;
     }
 
-    /** Reports what was counted by now, if the stream is up; what it does not take waits. */
-    void report() {
+    /** Reports the counts so far if the stream is up; reports that it cannot take yet wait. */
+    void sendReport() {
         if (up) {
-            reports.cut(loop.now());
-            sendReports();
+            reports.enqueueReport(loop.now());
+            sendPendingReports();
         }
     }
 
-    private void sendReports() {
-        if (protocol == Frame.MIN_PROTOCOL_VERSION) {
+    private void sendPendingReports() {
+        if (protocolVersion == Frame.MIN_PROTOCOL_VERSION) {
             reports.sendUnnumbered(this::send);
         } else {
-            reports.send(this::send);
+            reports.sendPending(this::send);
         }
     }
 
@@ -111,157 +122,163 @@
     }
 
     @Override
-    public void opened(Connection its) {
-        tap.opened(config.number(), ++streams, loop.now());
+    public void onOpen(Connection stream) {
+        tap.opened(config.number(), ++streamNumber, loop.now());
         reader = new FrameReader(ChannelLimits.defaults());
-        boolean fresh = router.hasOnlyStandingTable();
+        boolean onlyStandingTable = router.hasOnlyStandingTable();
         router.onStreamOpened();
-        unasked = false;
-        reports.streamBegins();
-        send(new Frame.Hello(protocol, config.number(), incarnation, config.zone(), config.requestsPerSecond(), fresh,
-                router.epoch(), router.version(), config.name()));
-        firstSnapshot = loop.after(config.controllerTimeoutNs(), () ->
-                connection.close(Close.IDLE, "no snapshot after the hello"));
+        resyncPending = false;
+        reports.onStreamOpened();
+        send(new Frame.Hello(protocolVersion, config.number(), incarnation, config.zone(),
+                config.requestsPerSecond(), onlyStandingTable, router.epoch(), router.version(),
+                config.name()));
+        snapshotTimer = loop.after(config.controllerTimeoutNs(), () ->
+                connection.close(CloseReason.IDLE, "no snapshot received after the hello"));
     }
 
     @Override
-    public void received(Connection its, ByteBuffer bytes) {
+    public void onData(Connection stream, ByteBuffer bytes) {
         router.onControllerMessage(loop.now());
-        tap.read(config.number(), streams, loop.now(), bytes.duplicate());
+        tap.read(config.number(), streamNumber, loop.now(), bytes.duplicate());
         try {
             while (bytes.hasRemaining() && connection.isOpen()) {
                 Frame frame = reader.next(bytes);
                 if (frame != null) {
-                    take(frame);
+                    handle(frame);
                 }
             }
         } catch (ChannelException e) {
             send(new Frame.Goodbye(Frame.Reason.PROTOCOL, e.getMessage()));
-            connection.end();
-            LOG.warn("proxy {}: the controller's stream is broken: {}", config.number(), e.getMessage());
+            connection.closeGracefully();
+            LOG.warn("proxy {}: protocol error on the controller stream: {}", config.number(),
+                    e.getMessage());
         }
     }
 
-    private void take(Frame frame) throws ChannelException {
+    private void handle(Frame frame) throws ChannelException {
         if (frame instanceof Frame.Snapshot snapshot) {
             router.apply(snapshot);
             if (!up) {
                 up = true;
                 hasBeenUp = true;
-                redial.up();
-                firstSnapshot.cancel();
-                lookHomeLater();
-                sendReports(); // what the last stream left without an answer
-                reportsChanged.run();
+                redial.onStreamUp();
+                snapshotTimer.cancel();
+                scheduleFirstControllerProbe();
+                sendPendingReports(); // those that the last stream left unacknowledged
+                onReportsChanged.run();
             }
-            tablesChanged.run();
+            onTablesChanged.run();
         } else if (frame instanceof Frame.Update update) {
-            take(update);
+            handle(update);
         } else if (frame instanceof Frame.Ping ping) {
             send(new Frame.Pong(ping.token()));
         } else if (frame instanceof Frame.ReportsTaken taken) {
-            take(taken);
+            handle(taken);
         } else if (frame instanceof Frame.Goodbye goodbye) {
             if (goodbye.reason() == Frame.Reason.VERSION) {
-                oldControllers.add(calling);
+                oldProtocolControllers.add(controllerIndex);
             }
-            LOG.info("proxy {}: the controller says goodbye: {} {}", config.number(), goodbye.reason(),
+            LOG.info("proxy {}: controller sent goodbye: {} {}", config.number(), goodbye.reason(),
                     goodbye.text());
-            connection.close(Close.LOCAL, "goodbye: " + goodbye.reason());
+            connection.close(CloseReason.LOCAL, "goodbye: " + goodbye.reason());
         } else if (!(frame instanceof Frame.Pong)) {
             throw new ChannelException("a frame that a controller may not send: "
                     + frame.getClass().getSimpleName());
         }
     }
 
-    private void take(Frame.ReportsTaken taken) throws ChannelException {
+    private void handle(Frame.ReportsTaken taken) throws ChannelException {
         if (!reports.acknowledge(taken.upTo())) {
-            throw new ChannelException("an acknowledgement of report " + taken.upTo() + ", which was not sent");
+            throw new ChannelException("an acknowledgement of report " + taken.upTo()
+                    + ", which was not sent");
         }
-        sendReports();
-        reportsChanged.run();
+        sendPendingReports();
+        onReportsChanged.run();
     }
 
-    private void lookHomeLater() {
-        if (config.policy().rehomeIntervalNs() > 0 && !redial.atHome() && !stopped) {
-            int its = streams;
-            loop.after(redial.lookAfter(config.policy().rehomeIntervalNs()), () -> {
-                if (up && its == streams) {
-                    lookHome();
+    private void scheduleFirstControllerProbe() {
+        if (config.policy().rehomeIntervalNs() > 0 && !redial.isAtFirstController() && !stopped) {
+            int probedStream = streamNumber;
+            loop.after(redial.jitteredProbeDelayNs(config.policy().rehomeIntervalNs()), () -> {
+                if (up && probedStream == streamNumber) {
+                    probeFirstController();
                 }
             });
         }
     }
 
-    /** Calls its first controller beside the stream that is up; that is left only for one that answers. */
-    private void lookHome() {
-        InetSocketAddress home = config.controllers().get(config.firstController()
+    /**
+     * Tries to connect to the first controller beside the stream that is up. That stream is closed only if
+     * the first controller accepts the connection.
+     */
+    private void probeFirstController() {
+        InetSocketAddress first = config.controllers().get(config.firstController()
                 % config.controllers().size());
-        int its = streams;
-        loop.connect(config.localAddress(), home, Connection.Options.usual().connectWithin(config.controllerTimeoutNs()),
-                new Handler() {
+        int probedStream = streamNumber;
+        loop.connect(config.localAddress(), first,
+                Connection.Options.defaults().connectWithin(config.controllerTimeoutNs()), new ConnectionHandler() {
                     @Override
-                    public void opened(Connection made) {
-                        made.close(Close.LOCAL, "it is there");
-                        if (up && its == streams && !stopped) {
-                            LOG.info("proxy {}: moves back to its first controller", config.number());
-                            redial.home();
+                    public void onOpen(Connection probe) {
+                        probe.close(CloseReason.LOCAL, "the first controller is reachable");
+                        if (up && probedStream == streamNumber && !stopped) {
+                            LOG.info("proxy {}: moving back to its first controller", config.number());
+                            redial.returnToFirstController();
                             send(new Frame.Goodbye(Frame.Reason.MOVING, "to its first controller"));
-                            connection.end();
+                            connection.closeGracefully();
                         }
                     }
 
                     @Override
-                    public void received(Connection made, ByteBuffer bytes) { }
+                    public void onData(Connection probe, ByteBuffer bytes) { }
 
                     @Override
-                    public void closed(Connection made, Close why, String detail) {
-                        if (why.neverMade() && up && its == streams) {
-                            lookHomeLater();
+                    public void onClose(Connection probe, CloseReason why, String detail) {
+                        if (why.neverConnected() && up && probedStream == streamNumber) {
+                            scheduleFirstControllerProbe();
                         }
                     }
                 });
     }
 
-    /** Asks for a snapshot; one that its own full queue refuses is asked for again with the next message. */
-    private void askAnew() {
-        unasked = !send(new Frame.Resync(router.epoch(), router.version()));
+    /** Requests a snapshot; if the full outbound queue refuses that, the next update requests it again. */
+    private void requestSnapshot() {
+        resyncPending = !send(new Frame.Resync(router.epoch(), router.version()));
     }
 
-    private void take(Frame.Update update) {
-        Router.UpdateResult heed = router.apply(update);
-        if (heed == Router.UpdateResult.GAP) {
-            LOG.warn("proxy {}: version {}/{} does not follow on {}/{}", config.number(), update.epoch(),
-                    update.version(), router.epoch(), router.version());
-            askAnew();
-        } else if (heed == Router.UpdateResult.SKIPPED && unasked) {
-            askAnew();
-        } else if (heed == Router.UpdateResult.APPLIED) {
+    private void handle(Frame.Update update) {
+        Router.UpdateResult result = router.apply(update);
+        if (result == Router.UpdateResult.GAP) {
+            LOG.warn("proxy {}: update {}/{} does not follow {}/{}; requesting a snapshot", config.number(),
+                    update.epoch(), update.version(), router.epoch(), router.version());
+            requestSnapshot();
+        } else if (result == Router.UpdateResult.SKIPPED && resyncPending) {
+            requestSnapshot();
+        } else if (result == Router.UpdateResult.APPLIED) {
             for (Frame.Order order : update.orders()) {
                 if (order instanceof Frame.Mark mark) {
                     send(new Frame.Applied(update.epoch(), update.version(), mark.number()));
                 }
             }
-            tablesChanged.run();
+            onTablesChanged.run();
         }
     }
 
     @Override
-    public void closed(Connection its, Close why, String detail) {
+    public void onClose(Connection stream, CloseReason why, String detail) {
         boolean wasUp = up;
         up = false;
         if (wasUp) {
-            oldControllers.remove(calling); // it may come back with another version
+            oldProtocolControllers.remove(controllerIndex); // it may restart with another version
         }
-        if (firstSnapshot != null) {
-            firstSnapshot.cancel();
+        if (snapshotTimer != null) {
+            snapshotTimer.cancel();
         }
-        if (!why.neverMade()) {
-            tap.closed(config.number(), streams, loop.now());
+        if (!why.neverConnected()) {
+            tap.closed(config.number(), streamNumber, loop.now());
         }
-        long wait = redial.failed(wasUp);
-        LOG.debug("proxy {}: stream ended, {} {}; calling again in {} ms", config.number(), why, detail,
-                wait / 1_000_000);
-        loop.after(wait, this::call);
+        long waitNs = redial.onStreamEnded(wasUp);
+        LOG.debug("proxy {}: stream ended, {} {}; reconnecting in {} ms", config.number(), why, detail,
+                waitNs / 1_000_000);
+        loop.after(waitNs, this::connect);
     }
 }
--- a/src/test/java/rowanmoor/discovery/ProberTest.java
+++ b/src/test/java/rowanmoor/discovery/ProberTest.java
@@ -15,7 +15,7 @@
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Probed;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 import rowanmoor.net.Loop;
 import rowanmoor.net.MemoryNet;
 
@@ -28,17 +28,17 @@
 
     private final List<Throwable> faults = new ArrayList<>();
     private final MemoryNet net = new MemoryNet(1, 3);
-    private final Loop proberLoop = net.loop(faults::add);
-    private final Loop backendLoop = net.loop(faults::add);
+    private final Loop proberLoop = net.newLoop(faults::add);
+    private final Loop backendLoop = net.newLoop(faults::add);
     private final Map<Backend, InetSocketAddress> addresses = new HashMap<>();
     private final List<Probed> probed = new ArrayList<>();
     private final List<Connection> requests = new ArrayList<>();
     private final Prober prober = new Prober(proberLoop, "/ping", 500 * MS, 2, addresses::get, r -> List.of(), probed::add);
 
     private InetSocketAddress listenAsBackend() throws IOException {
-        return backendLoop.listen(LOOPBACK, Connection.Options.usual(), c -> new Handler() {
+        return backendLoop.listen(LOOPBACK, Connection.Options.defaults(), c -> new ConnectionHandler() {
             @Override
-            public void received(Connection source, ByteBuffer bytes) {
+            public void onData(Connection source, ByteBuffer bytes) {
                 requests.add(source);
             }
         }).address();
@@ -54,10 +54,10 @@
         addresses.put(BACKEND, listenAsBackend());
         prober.probe(BACKEND);
         net.runFor(100 * MS);
-        net.freeze(proberLoop, true);
+        net.setFrozen(proberLoop, true);
         sendOk(0);
         net.runFor(600 * MS); // when the loop runs again, the response has arrived and the timeout has passed
-        net.freeze(proberLoop, false);
+        net.setFrozen(proberLoop, false);
         net.runFor(100 * MS);
         assertEquals(1, probed.size());
         prober.probe(BACKEND);
@@ -66,8 +66,8 @@
         net.runFor(100 * MS);
         assertEquals(2, probed.size());
         assertEquals(List.of(true, false), probed.stream().map(Probed::ok).toList());
-        assertEquals(0, net.timersOf(proberLoop));
-        assertEquals(0, net.connectionsOf(proberLoop));
+        assertEquals(0, net.liveTimerCount(proberLoop));
+        assertEquals(0, net.openConnectionCount(proberLoop));
         assertEquals(List.of(), faults);
     }
 
@@ -89,6 +89,6 @@
         prober.probe(BACKEND);
         net.runFor(100 * MS);
         assertEquals(2, probed.size(), "a backend without an address is unreachable");
-        assertEquals(0, net.connectionsOf(proberLoop));
+        assertEquals(0, net.openConnectionCount(proberLoop));
     }
 }
--- a/src/test/java/rowanmoor/lab/ExperimentTest.java
+++ b/src/test/java/rowanmoor/lab/ExperimentTest.java
@@ -9,14 +9,14 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rowanmoor.config.ConfigError;
+import rowanmoor.config.ConfigException;
 
 class ExperimentTest {
 
     @TempDir
     private Path dir;
 
-    private Path file(String rates) throws IOException, ConfigError {
+    private Path file(String rates) throws IOException, ConfigException {
         Path day = dir.resolve("day.kdl");
         Files.writeString(day, TestDays.text().substring(0, TestDays.text().indexOf("troubles {"))
                 .replace("length \"40s\"", "length \"8s\""));
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aRerunPlaysOnlyWhatIsNewAndAnswersTheSame() throws IOException, ConfigError {
+    void aRerunPlaysOnlyWhatIsNewAndAnswersTheSame() throws IOException, ConfigException {
         Path store = dir.resolve("r.mv");
         Experiment.Grid first = Experiment.read(file("\"50/s\" \"600/s\"")).run(store, line -> { });
         assertEquals(8, first.played());
@@ -36,7 +36,7 @@
         assertEquals(first.cells(), again.cells());
         Experiment.Grid more = Experiment.read(file("\"50/s\" \"100/s\" \"600/s\"")).run(store, line -> { });
         assertEquals(4, more.played());
-        assertEquals(8, more.kept());
+        assertEquals(8, more.cached());
         double calm = more.cells().get(0).interval(Experiment.Result::service).mean();
         double jammed = more.cells().get(2).interval(Experiment.Result::service).mean();
         double larger = more.cells().get(5).interval(Experiment.Result::service).mean();
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void aSearchFindsWhereEachVariantFailsAndARerunPlaysNothing() throws IOException, ConfigError {
+    void aSearchFindsWhereEachVariantFailsAndARerunPlaysNothing() throws IOException, ConfigException {
         file("\"50/s\"");
         Path file = dir.resolve("s.kdl");
         Files.writeString(file, """
@@ -62,7 +62,7 @@
                 """);
         Path store = dir.resolve("s.mv");
         Experiment.Grid grid = Experiment.read(file).run(store, line -> { });
-        double[] found = grid.found().values().stream().mapToDouble(v -> v).toArray();
+        double[] found = grid.failingRates().values().stream().mapToDouble(v -> v).toArray();
         assertEquals(2, found.length);
         assertTrue(found[0] > 200 && found[1] > 1.5 * found[0] && found[1] < 2000, Experiment.table(grid));
         assertEquals(0, Experiment.read(file).run(store, line -> { }).played());
@@ -70,12 +70,12 @@
         assertTrue(Files.readString(dir.resolve("out/experiment.csv")).contains("\"a, b\""));
         Files.writeString(file, "experiment \"s\" { fleet \"day.kdl\"; rates \"5/s\"; troubles \"some\"; "
                 + "search { from \"5/s\"; to \"5/s\"; service 1 } }");
-        ConfigError error = assertThrows(ConfigError.class, () -> Experiment.read(file));
+        ConfigException error = assertThrows(ConfigException.class, () -> Experiment.read(file));
         assertEquals(3, error.problems().size(), error.problems().toString());
     }
 
     @Test
-    void aFileThatIsNoStoreIsRefusedAndLeftAsItIs() throws IOException, ConfigError {
+    void aFileThatIsNoStoreIsRefusedAndLeftAsItIs() throws IOException, ConfigException {
         Path store = dir.resolve("r.mv");
         Files.writeString(store, "x".repeat(10_000));
         Experiment experiment = Experiment.read(file("\"50/s\""));
--- a/src/test/java/rowanmoor/platform/InMemoryPlatform.java
+++ b/src/test/java/rowanmoor/platform/InMemoryPlatform.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 import rowanmoor.net.Loop;
 import rowanmoor.net.MemoryNet;
 import rowanmoor.resp.RespException;
@@ -109,7 +109,7 @@
 
     InMemoryPlatform(long seed) {
         net = new MemoryNet(START_NS, seed);
-        loop = net.loop(faults::add);
+        loop = net.newLoop(faults::add);
         catalog = new FakeCatalog(LOOPBACK);
         for (int i = 0; i < 6; i++) {
             addInstance("s-" + i, i % 2 == 0 ? "north" : "south", "in_service", 0);
@@ -125,23 +125,23 @@
     }
 
     private InetSocketAddress listenAsBackend() {
-        return listen(connection -> new Handler() {
+        return listen(connection -> new ConnectionHandler() {
             @Override
-            public void received(Connection source, ByteBuffer bytes) {
+            public void onData(Connection source, ByteBuffer bytes) {
                 probesAnswered++;
                 source.send(asciiBytes("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nqueue=2,latency_ms=9"));
             }
         });
     }
 
-    InetSocketAddress listen(java.util.function.Function<Connection, Handler> accept) {
+    InetSocketAddress listen(java.util.function.Function<Connection, ConnectionHandler> accept) {
         return listen(LOOPBACK, accept);
     }
 
     private InetSocketAddress listen(InetSocketAddress at,
-            java.util.function.Function<Connection, Handler> accept) {
+            java.util.function.Function<Connection, ConnectionHandler> accept) {
         try {
-            return loop.listen(at, Connection.Options.usual(), accept).address();
+            return loop.listen(at, Connection.Options.defaults(), accept).address();
         } catch (java.io.IOException e) {
             throw new AssertionError(e);
         }
@@ -175,9 +175,9 @@
         String firstLine;
 
         FakeCatalog(InetSocketAddress at) {
-            address = listen(at, connection -> new Handler() {
+            address = listen(at, connection -> new ConnectionHandler() {
                 @Override
-                public void received(Connection source, ByteBuffer bytes) {
+                public void onData(Connection source, ByteBuffer bytes) {
                     if (watches.contains(source)) {
                         return; // the rest of a request received in pieces
                     }
@@ -192,7 +192,7 @@
                 }
 
                 @Override
-                public void closed(Connection source, Close why, String detail) {
+                public void onClose(Connection source, CloseReason why, String detail) {
                     watches.remove(source);
                 }
             });
@@ -220,14 +220,14 @@
     }
 
     /** One connection to the controller, which acknowledges pushes once it has joined. */
-    final class FakePeer implements Handler {
+    final class FakePeer implements ConnectionHandler {
         final List<List<String>> messages = new ArrayList<>();
         private final RespReader reader = new RespReader(RespReader.MAX_MESSAGE_BYTES, 64);
         final Connection connection;
-        Close closeReason;
+        CloseReason closeReason;
 
         FakePeer() {
-            connection = loop.connect(null, controller.address(), Connection.Options.usual(), this);
+            connection = loop.connect(null, controller.address(), Connection.Options.defaults(), this);
         }
 
         FakePeer send(String message) {
@@ -245,7 +245,7 @@
         }
 
         @Override
-        public void received(Connection source, ByteBuffer bytes) {
+        public void onData(Connection source, ByteBuffer bytes) {
             try {
                 for (List<String> m = reader.next(bytes); m != null; m = reader.next(bytes)) {
                     messages.add(m);
@@ -267,7 +267,7 @@
         }
 
         @Override
-        public void closed(Connection source, Close why, String detail) {
+        public void onClose(Connection source, CloseReason why, String detail) {
             closeReason = why;
         }
 
--- a/src/test/java/rowanmoor/platform/PlatformControllerTest.java
+++ b/src/test/java/rowanmoor/platform/PlatformControllerTest.java
@@ -110,7 +110,7 @@
 
     @Test
     void objectsSplitAtAnyByteAreRead() {
-        platform.net.faults(new rowanmoor.net.MemoryNet.Faults(1, 1000, 1000, 0, 0));
+        platform.net.setFaults(new rowanmoor.net.MemoryNet.Faults(1, 1000, 1000, 0, 0));
         platform.start();
         FakePeer proxy = joined(1);
         runFor(2 * SECOND);
@@ -325,11 +325,11 @@
     @Test
     void acceptingPausesWithoutDescriptorsAndResumes() {
         platform.start();
-        platform.net.descriptors(0);
+        platform.net.limitDescriptors(0);
         FakePeer waiting = platform.connectPeer();
         waiting.join(5, "south", 1);
         runFor(500 * MS);
-        platform.net.descriptors(100);
+        platform.net.limitDescriptors(100);
         runFor(500 * MS);
         FakePeer later = joined(6);
         runFor(300 * MS);
--- a/src/test/java/rowanmoor/platform/RandomDisconnectTest.java
+++ b/src/test/java/rowanmoor/platform/RandomDisconnectTest.java
@@ -43,7 +43,7 @@
         Run(long seed) {
             random = new SplittableRandom(seed);
             platform = new InMemoryPlatform(seed);
-            platform.net.faults(new MemoryNet.Faults(1 + random.nextInt(200), MS / 10, random.nextInt(1, 30) * MS, 0,
+            platform.net.setFaults(new MemoryNet.Faults(1 + random.nextInt(200), MS / 10, random.nextInt(1, 30) * MS, 0,
                     0));
             platform.start(64 + 8 * random.nextInt(4), catalogObject(1, true, List.copyOf(platform.instances.values())));
             catalogs.add(platform.catalog);
@@ -91,7 +91,7 @@
             if (reset) {
                 peer.connection.reset("the test");
             } else {
-                peer.connection.end();
+                peer.connection.closeGracefully();
             }
             ended.add(peer);
         }
@@ -156,10 +156,10 @@
             assertEquals(List.of(), platform.faults, name + ": a leave reported twice, or a join of a joined proxy, throws");
             // Connections: both ends of the watch, probes in progress. Timers: the watch's silence, two keep-alives,
             // statistics, the next tick, probes.
-            assertTrue(platform.net.connectionsOf(platform.loop) <= 2 + 2 * 8, name + ": "
-                    + platform.net.connectionsOf(platform.loop) + " connections");
-            assertTrue(platform.net.timersOf(platform.loop) <= 5 + 2 * 8, name + ": "
-                    + platform.net.timersOf(platform.loop) + " timers");
+            assertTrue(platform.net.openConnectionCount(platform.loop) <= 2 + 2 * 8, name + ": "
+                    + platform.net.openConnectionCount(platform.loop) + " connections");
+            assertTrue(platform.net.liveTimerCount(platform.loop) <= 5 + 2 * 8, name + ": "
+                    + platform.net.liveTimerCount(platform.loop) + " timers");
         }
     }
 
--- a/src/test/java/rowanmoor/proxy/ProxyFixture.java
+++ b/src/test/java/rowanmoor/proxy/ProxyFixture.java
@@ -9,87 +9,88 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.UnaryOperator;
-import rowanmoor.config.ConfigError;
+import rowanmoor.config.ConfigException;
 import rowanmoor.config.Section;
 import rowanmoor.config.Site;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 import rowanmoor.net.Loop;
 import rowanmoor.net.MemoryNet;
 
-/** A proxy between clients and backends that are written out byte by byte, on a network in memory. */
+/** A proxy between scripted clients and backends that send literal bytes, on an in-memory network. */
 abstract class ProxyFixture {
 
     static final long MS = 1_000_000;
     static final long SECOND = 1000 * MS;
     static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     final MemoryNet net = new MemoryNet(SECOND, 5);
-    final Loop loop = net.loop(e -> {
+    final Loop loop = net.newLoop(e -> {
         throw new AssertionError(e);
     });
-    final List<BackendEnd> reached = new ArrayList<>();
+    final List<BackendConnection> backendConnections = new ArrayList<>();
 
-    /** One connection that a backend has taken. */
-    final class BackendEnd implements Handler {
+    /** The backend's end of one accepted connection. */
+    final class BackendConnection implements ConnectionHandler {
         private final int backend;
-        final StringBuilder heard = new StringBuilder();
+        final StringBuilder received = new StringBuilder();
         Connection connection;
-        boolean over;
+        boolean closed;
 
-        BackendEnd(int backend, Connection connection) {
+        BackendConnection(int backend, Connection connection) {
             this.backend = backend;
             this.connection = connection;
-            reached.add(this);
+            backendConnections.add(this);
         }
 
         @Override
-        public void received(Connection its, ByteBuffer bytes) {
-            heard.append(StandardCharsets.ISO_8859_1.decode(bytes));
+        public void onData(Connection from, ByteBuffer bytes) {
+            received.append(StandardCharsets.ISO_8859_1.decode(bytes));
         }
 
         @Override
-        public void closed(Connection its, Close why, String detail) {
-            over = true;
+        public void onClose(Connection from, CloseReason why, String detail) {
+            closed = true;
         }
 
-        void say(String text) {
+        void send(String text) {
             connection.send(bytes(text));
             net.runFor(20 * MS);
         }
     }
 
-    /** One client. */
-    final class ClientEnd implements Handler {
-        final StringBuilder heard = new StringBuilder();
+    /** One client with its connection to the proxy. */
+    final class ClientConnection implements ConnectionHandler {
+        final StringBuilder received = new StringBuilder();
         final Connection connection;
-        boolean over;
+        boolean closed;
 
-        ClientEnd(Proxy proxy) {
-            connection = loop.connect(null, proxy.address(), Connection.Options.usual(), this);
+        ClientConnection(Proxy proxy) {
+            connection = loop.connect(null, proxy.address(), Connection.Options.defaults(), this);
         }
 
         @Override
-        public void received(Connection its, ByteBuffer bytes) {
-            heard.append(StandardCharsets.ISO_8859_1.decode(bytes));
+        public void onData(Connection from, ByteBuffer bytes) {
+            received.append(StandardCharsets.ISO_8859_1.decode(bytes));
         }
 
         @Override
-        public void closed(Connection its, Close why, String detail) {
-            over = true;
+        public void onClose(Connection from, CloseReason why, String detail) {
+            closed = true;
         }
 
         /**
-         * What it heard but for a last word that its connection ends: one 408 that says that nothing ran, after which
-         * nothing may come.
+         * The received responses without a final 408 that only announces the close of the connection, with the
+         * field that says that nothing ran. Nothing may follow it.
          */
-        String answers() {
-            String all = heard.toString();
+        String responsesBeforeTimeout() {
+            String all = received.toString();
             int last = all.lastIndexOf("HTTP/1.1 408 ");
-            return over && last > 0 && all.substring(last).toLowerCase().contains(Proxy.NEVER_RAN_FIELD) ? all.substring(0, last) : all;
+            return closed && last > 0 && all.substring(last).toLowerCase().contains(Proxy.NEVER_RAN_FIELD)
+                    ? all.substring(0, last) : all;
         }
 
-        ClientEnd say(String text) {
+        ClientConnection send(String text) {
             connection.send(bytes(text));
             net.runFor(20 * MS);
             return this;
@@ -100,17 +101,19 @@
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    InetSocketAddress backend(int number) throws IOException {
-        return loop.listen(ANY, Connection.Options.usual(), c -> new BackendEnd(number, c)).address();
+    /** Starts a backend and returns its address. */
+    InetSocketAddress startBackend(int number) throws IOException {
+        return loop.listen(ANY, Connection.Options.defaults(), c -> new BackendConnection(number, c)).address();
     }
 
-    InetSocketAddress refusing() throws IOException {
-        Loop.Listener listener = loop.listen(ANY, Connection.Options.usual(), c -> null);
+    /** An address that refuses connections. */
+    InetSocketAddress refusingAddress() throws IOException {
+        Loop.Listener listener = loop.listen(ANY, Connection.Options.defaults(), c -> null);
         listener.close();
         return listener.address();
     }
 
-    static Site site() throws ConfigError {
+    static Site site() throws ConfigException {
         return Site.of(Section.parse("test.kdl", """
                 site {
                     zones "a"
@@ -130,18 +133,18 @@
                 """));
     }
 
-    Proxy proxy(UnaryOperator<ForwardingPolicy> conduct, InetSocketAddress... standing)
-            throws IOException, ConfigError {
-        return Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(refusing()), 0,
+    Proxy startProxy(UnaryOperator<ForwardingPolicy> policy, InetSocketAddress... standing)
+            throws IOException, ConfigException {
+        return Proxy.start(new ProxyConfig(site(), 0, "p0", 0, 10, ANY, null, List.of(refusingAddress()), 0,
                 300 * MS, 3 * SECOND, List.of(standing), 15 * SECOND, 250 * MS, 1000,
-                conduct.apply(ForwardingPolicy.defaults())), loop, new SplittableRandom(1), Tap.NONE);
+                policy.apply(ForwardingPolicy.defaults())), loop, new SplittableRandom(1), Tap.NONE);
     }
 
-    Proxy proxy(InetSocketAddress... standing) throws IOException, ConfigError {
-        return proxy(c -> c, standing);
+    Proxy startProxy(InetSocketAddress... standing) throws IOException, ConfigException {
+        return startProxy(c -> c, standing);
     }
 
-    static String get(String target, String... fields) {
+    static String getRequest(String target, String... fields) {
         return "GET " + target + " HTTP/1.1\r\nHost: h\r\n" + String.join("", fields) + "\r\n";
     }
 
