--- a/src/main/java/rowanmoor/platform/CatalogView.java
+++ b/src/main/java/rowanmoor/platform/CatalogView.java
@@ -17,186 +17,198 @@
 import rowanmoor.settings.SettingsReader.NamedSettings;
 
 /**
- * What the catalog's objects mean to the module: whole lists and changes, versions, starts in this
- * instance's clock. An entry that cannot be read does not remove what is known of its instance. An object of
- * an older version than the newest one seen does not undo a drain, and a whole list that is empty is believed
- * once it has been for a while. No I/O; its callers pass both clocks.
+ * Translates the catalog's objects into member lists for the decision module: full lists and changes,
+ * versions, and start times converted to this controller's clock. No I/O; callers pass both clocks.
+ *
+ * <ul>
+ * <li>An unreadable entry leaves the known state of its instance unchanged.
+ * <li>An object older than the newest version seen does not undo a drain.
+ * <li>An empty full list is accepted only after the catalog has reported it for {@code EMPTY_LIST_HOLD_NS}.
+ * </ul>
  */
 final class CatalogView {
 
-    private static final long MILLI = 1_000_000L;
+    private static final long NS_PER_MS = 1_000_000L;
     private static final Map<String, Availability> LIFECYCLES = Map.of("in_service", Availability.READY,
             "terminating", Availability.DRAINING, "terminated", Availability.GONE);
-    private static final int PROBLEMS_TOLD = 3;
-    /** How long a list must have been empty to be believed: as long as what is told may take to arrive. */
-    private static final long EMPTY_HOLD = 6_000 * MILLI;
+    private static final int MAX_PROBLEMS = 3;
+    /** How long an empty list must persist to be accepted: the longest delay of the catalog's updates. */
+    private static final long EMPTY_LIST_HOLD_NS = 6_000 * NS_PER_MS;
 
-    private record Stamp(long startedAtMs, long startedAt) { }
+    /** A start as the catalog states it, and the same start in this controller's clock in ns. */
+    private record StartTime(long startedAtMs, long startedAt) { }
 
-    private final NamedSettings told;
-    private final Names names;
-    private final TreeMap<Backend, Member> held = new TreeMap<>();
-    private final Map<Backend, Stamp> stamps = new HashMap<>();
+    private final NamedSettings namedSettings;
+    private final InstanceRegistry instances;
+    private final TreeMap<Backend, Member> members = new TreeMap<>();
+    private final Map<Backend, StartTime> startTimes = new HashMap<>();
     private long generation;
-    private long newest; // the highest version taken in
-    private long emptySince = -1;
+    private long newestVersion; // the highest version applied
+    private long emptySince = -1; // -1 while the list is not empty
 
-    CatalogView(NamedSettings told, Names names) {
-        this.told = told;
-        this.names = names;
+    CatalogView(NamedSettings namedSettings, InstanceRegistry instances) {
+        this.namedSettings = namedSettings;
+        this.instances = instances;
     }
 
-    /** The version to follow from. */
+    /** The catalog version from which a new watch continues. */
     long generation() {
         return generation;
     }
 
     /**
-     * Takes one object in.
+     * Applies one catalog object.
      *
-     * @param known whether it is the list as this controller last had it, which may be old
-     * @param wall milliseconds since 1970, by which the catalog states starts
-     * @param problems gets a line for each entry that cannot be read
-     * @return what to tell the module, or null if nothing
+     * @param now this controller's clock in nanoseconds
+     * @param wallMs milliseconds since 1970, the clock in which the catalog states start times
+     * @param known whether this is the list from the configuration, which may be outdated
+     * @param problems receives a line for each unreadable entry, at most {@code MAX_PROBLEMS}
+     * @return the event for the decision module, or null if nothing changed
+     * @throws IOException if the object is malformed or is not accepted
      */
-    Members take(long now, long wall, Map<String, Object> object, boolean known, List<String> problems)
+    Members apply(long now, long wallMs, Map<String, Object> object, boolean known, List<String> problems)
             throws IOException {
         if (!(object.get("generation") instanceof Long version) || version < 0) {
-            throw new IOException("generation is missing or no version");
+            throw new IOException("generation is missing or not a version number");
         }
-        if (!(object.get("instances") instanceof List<?> instances)) {
-            throw new IOException("instances is missing or no list");
+        if (!(object.get("instances") instanceof List<?> rawEntries)) {
+            throw new IOException("instances is missing or not a list");
         }
-        boolean whole = known || Boolean.TRUE.equals(object.get("reset"));
-        if (!whole && version < generation) {
+        boolean full = known || Boolean.TRUE.equals(object.get("reset"));
+        if (!full && version < generation) {
             throw new IOException("changes up to " + version + " after version " + generation);
         }
-        boolean empty = whole && !known && instances.isEmpty()
-                && held.values().stream().anyMatch(m -> m.availability() != Availability.GONE);
+        boolean empty = full && !known && rawEntries.isEmpty()
+                && members.values().stream().anyMatch(m -> m.availability() != Availability.GONE);
         emptySince = !empty ? -1 : emptySince < 0 ? now : emptySince;
-        if (empty && now - emptySince < EMPTY_HOLD) { // one that has just begun may know of none yet
-            throw new IOException("an empty list after one of " + held.size() + " instances");
+        if (empty && now - emptySince < EMPTY_LIST_HOLD_NS) { // a catalog that just started may know none yet
+            throw new IOException(
+                    "empty list after a list of " + members.size() + " instances, not accepted yet");
         }
-        boolean late = version < newest;
-        boolean unnamed = false;
+        boolean outdated = version < newestVersion;
+        boolean hasUnidentified = false;
         List<Member> entries = new ArrayList<>();
         Set<Backend> mentioned = new HashSet<>();
-        for (Object instance : instances) {
-            String id = id(instance);
+        for (Object rawEntry : rawEntries) {
+            String id = validInstanceId(rawEntry);
             if (id == null) {
-                problem(problems, "an entry without a usable instanceId");
-                unnamed = true;
+                addProblem(problems, "an entry has no valid instanceId");
+                hasUnidentified = true;
                 continue;
             }
-            Member member = member(now, wall, id, (Map<?, ?>) instance, problems);
+            Member member = member(now, wallMs, id, (Map<?, ?>) rawEntry, problems);
             if (member != null && mentioned.add(member.backend())) {
-                entries.add(late ? notUndone(member) : member);
+                entries.add(outdated ? keepNewerState(member) : member);
             }
         }
         generation = version;
-        newest = Math.max(newest, version);
-        if (whole) {
-            return whole(known, entries, mentioned, unnamed);
+        newestVersion = Math.max(newestVersion, version);
+        if (full) {
+            return applyFullList(known, entries, mentioned, hasUnidentified);
         }
-        entries.removeIf(m -> m.equals(held.put(m.backend(), m)));
+        entries.removeIf(m -> m.equals(members.put(m.backend(), m)));
         return entries.isEmpty() ? null : new Members(CatalogUpdateKind.DELTA, version, List.copyOf(entries));
     }
 
-    /** What was draining or gone at a newer version is so still, unless it has started anew. */
-    private Member notUndone(Member member) {
-        Member old = held.get(member.backend());
-        boolean undone = old != null && old.availability() != Availability.READY && member.availability() == Availability.READY
-                && old.startedAt() == member.startedAt();
+    /** Keeps an instance draining or gone as in a newer version, unless it has been restarted since. */
+    private Member keepNewerState(Member member) {
+        Member old = members.get(member.backend());
+        boolean undone = old != null && old.availability() != Availability.READY
+                && member.availability() == Availability.READY && old.startedAt() == member.startedAt();
         return undone ? old : member;
     }
 
     /**
-     * A whole list that says what is held already is not told again. With an entry that names nobody, nobody
-     * is gone for not being mentioned: it may be the one.
+     * Applies a full list; returns null if it equals the current one. If the list has an entry without a
+     * valid ID, that entry may stand for any instance, so missing instances are kept.
      */
-    private Members whole(boolean known, List<Member> entries, Set<Backend> mentioned, boolean unnamed) {
+    private Members applyFullList(boolean known, List<Member> entries, Set<Backend> mentioned,
+            boolean hasUnidentified) {
         boolean same = !known;
         for (Member member : entries) {
-            same &= member.equals(held.put(member.backend(), member));
+            same &= member.equals(members.put(member.backend(), member));
         }
-        for (Member old : List.copyOf(held.values())) {
+        for (Member old : List.copyOf(members.values())) {
             if (!mentioned.contains(old.backend()) && old.availability() != Availability.GONE) {
-                if (unnamed) {
+                if (hasUnidentified) {
                     entries.add(old);
                 } else {
-                    held.put(old.backend(), old.asGone());
+                    members.put(old.backend(), old.asGone());
                     same = false;
                 }
             }
         }
-        return same ? null : new Members(known ? CatalogUpdateKind.CACHED : CatalogUpdateKind.FULL, generation,
-                List.copyOf(entries));
+        return same ? null : new Members(known ? CatalogUpdateKind.CACHED : CatalogUpdateKind.FULL,
+                generation, List.copyOf(entries));
     }
 
-    private static String id(Object instance) {
+    private static String validInstanceId(Object instance) {
         return instance instanceof Map<?, ?> entry && entry.get("instanceId") instanceof String id
                 && id.matches("[!-~&&[^,:]]{1,200}") ? id : null;
     }
 
-    private Member member(long now, long wall, String id, Map<?, ?> entry, List<String> problems) {
-        Backend backend = names.listed(id);
-        Member old = held.get(backend);
+    private Member member(long now, long wallMs, String id, Map<?, ?> entry, List<String> problems) {
+        Backend backend = instances.register(id);
+        Member old = members.get(backend);
         Availability listed = LIFECYCLES.get(entry.get("lifecycle"));
-        int zone = told.zones().indexOf(entry.get("zone"));
-        int kind = told.kinds().indexOf(entry.get("machineType"));
+        int zone = namedSettings.zones().indexOf(entry.get("zone"));
+        int kind = namedSettings.kinds().indexOf(entry.get("machineType"));
         double weight = entry.get("weight") instanceof Number n ? n.doubleValue() : 1;
         double cell = entry.get("cell") instanceof Number n ? n.doubleValue() : 0;
         double started = entry.get("startedAtMs") instanceof Number n ? n.doubleValue() : 0;
         if (entry.get("hostPort") instanceof String text && Section.parseAddress(text) != null) {
-            names.reach(backend, Section.parseAddress(text));
+            instances.setAddress(backend, Section.parseAddress(text));
         }
         if (listed == Availability.GONE && old != null) {
-            return old.asGone(); // one that is gone need not say more
+            return old.asGone(); // the other fields may be missing
         }
         if (listed == null || zone < 0 || kind < 0 || !(weight >= 0 && weight <= 1e9)
                 || !(cell >= 0 && cell <= 65535) || !(started >= 0 && started <= 1e15)) {
-            problem(problems, "instance " + id + ": lifecycle, zone, machineType, cell, weight or startedAtMs"
+            addProblem(problems, "instance " + id
+                    + ": lifecycle, zone, machineType, cell, weight or startedAtMs"
                     + " is missing, unknown or out of range");
             return old;
         }
         return new Member(backend, zone, kind, (int) cell, listed, weight,
-                startedAt(now, wall, backend, (long) started));
+                toControllerClock(now, wallMs, backend, (long) started));
     }
 
-    private static void problem(List<String> problems, String what) {
-        if (problems.size() < PROBLEMS_TOLD) {
-            problems.add(what);
+    private static void addProblem(List<String> problems, String problem) {
+        if (problems.size() < MAX_PROBLEMS) {
+            problems.add(problem);
         }
     }
 
     /**
-     * A start in this instance's clock; the same stamp always becomes the same time, even if the wall clock
-     * has been set since. Above 0, since 0 means long ago.
+     * Converts a start time to this controller's clock. The same stated time always yields the same result,
+     * even if the wall clock has been adjusted since. At least 1, since 0 means "long ago".
      */
-    private long startedAt(long now, long wall, Backend backend, long startedAtMs) {
+    private long toControllerClock(long now, long wallMs, Backend backend, long startedAtMs) {
         if (startedAtMs == 0) {
-            stamps.remove(backend);
+            startTimes.remove(backend);
             return 0;
         }
-        Stamp stamp = stamps.get(backend);
-        if (stamp == null || stamp.startedAtMs() != startedAtMs) {
-            stamp = new Stamp(startedAtMs, Math.max(1, now - Math.max(0, wall - startedAtMs) * MILLI));
-            stamps.put(backend, stamp);
+        StartTime start = startTimes.get(backend);
+        if (start == null || start.startedAtMs() != startedAtMs) {
+            start = new StartTime(startedAtMs,
+                    Math.max(1, now - Math.max(0, wallMs - startedAtMs) * NS_PER_MS));
+            startTimes.put(backend, start);
         }
-        return stamp.startedAt();
+        return start.startedAt();
     }
 
-    /** Lets go of one that the module has let go. */
+    /** Removes an instance that the decision module has removed, unless it is listed again. */
     void forget(Backend backend) {
-        Member member = held.get(backend);
+        Member member = members.get(backend);
         if (member == null || member.availability() == Availability.GONE) {
-            held.remove(backend);
-            stamps.remove(backend);
-            names.forget(backend);
+            members.remove(backend);
+            startTimes.remove(backend);
+            instances.forget(backend);
         }
     }
 
-    int remembered() {
-        return Math.max(held.size(), stamps.size());
+    /** Size of the larger of the internal maps, including instances that are gone. */
+    int trackedCount() {
+        return Math.max(members.size(), startTimes.size());
     }
 }
--- a/src/main/java/rowanmoor/platform/PlatformConfig.java
+++ b/src/main/java/rowanmoor/platform/PlatformConfig.java
@@ -11,24 +11,32 @@
 import rowanmoor.settings.SettingsReader.NamedSettings;
 
 /**
- * What the platform tells one controller, by variables and a JSON file.
+ * Configuration of one controller of the platform, from environment variables and a JSON file.
  *
- * @param known the list of backends as this controller last had it, in the catalog's form; may be empty
- * @param sockets the most descriptors that the process may hold
+ * @param name the controller's name, for the log
+ * @param listenAddress where peers connect
+ * @param catalogAddress the instance catalog
+ * @param maxSockets maximum number of descriptors of the process
+ * @param knownInstances the last known list of instances, in the catalog's format; may be empty
  */
-record PlatformConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
-        int sockets, Map<String, Object> known, NamedSettings told) {
+record PlatformConfig(String name, InetSocketAddress listenAddress, InetSocketAddress catalogAddress,
+        long seed, int maxSockets, Map<String, Object> knownInstances, NamedSettings namedSettings) {
 
-    private static final int SOCKETS_LEAST = 64;
-    private static final int HEX = 16;
+    private static final int MIN_SOCKETS = 64;
+    private static final int HEX_RADIX = 16;
 
-    /** Reads all of it; what is wrong is told in one line that names variable, or file and key. */
+    /**
+     * Reads the variables and the file.
+     *
+     * @throws IOException if anything is missing or invalid; its one-line text names the variable, or file
+     * and key
+     */
     static PlatformConfig read(Map<String, String> env) throws IOException {
         String file = variable(env, "GW_CONFIG");
         Map<String, Object> root;
         try {
             byte[] bytes = Files.readAllBytes(Path.of(file));
-            root = Json.object(bytes, 0, bytes.length);
+            root = Json.parseObject(bytes, 0, bytes.length);
         } catch (IOException e) {
             String why = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
             throw new IOException("GW_CONFIG " + file + ": cannot be read: " + why);
@@ -56,7 +64,7 @@
         if (root.get(key) instanceof String text && !text.isEmpty()) {
             return text;
         }
-        throw new InvalidSettingsException(key + " is missing or no text");
+        throw new InvalidSettingsException(key + " is missing or not a string");
     }
 
     @SuppressWarnings("unchecked")
@@ -64,29 +72,32 @@
         if (root.get(key) instanceof Map<?, ?> map) {
             return (Map<String, Object>) map;
         }
-        throw new InvalidSettingsException(key + " is missing or no object");
+        throw new InvalidSettingsException(key + " is missing or not an object");
     }
 
     private static InetSocketAddress address(String key, String text) {
         InetSocketAddress address = Section.parseAddress(text);
         if (address == null) {
-            throw new InvalidSettingsException(key + " is no IPv4 address and port: " + Messages.cut(text));
+            throw new InvalidSettingsException(
+                    key + " is not an IPv4 address and port: " + Messages.sanitize(text));
         }
         return address;
     }
 
     private static long seed(String text) {
         try {
-            return Long.parseUnsignedLong(text, HEX);
+            return Long.parseUnsignedLong(text, HEX_RADIX);
         } catch (NumberFormatException e) {
-            throw new InvalidSettingsException("seed is no hexadecimal number: " + Messages.cut(text));
+            throw new InvalidSettingsException(
+                    "seed is not a hexadecimal number: " + Messages.sanitize(text));
         }
     }
 
     private static int sockets(Object value) {
-        if (value instanceof Number n && n.doubleValue() >= SOCKETS_LEAST && n.doubleValue() <= 1e6) {
+        if (value instanceof Number n && n.doubleValue() >= MIN_SOCKETS && n.doubleValue() <= 1e6) {
             return n.intValue();
         }
-        throw new InvalidSettingsException("limits.sockets is missing or below " + SOCKETS_LEAST);
+        throw new InvalidSettingsException(
+                "limits.sockets is missing or not within " + MIN_SOCKETS + " to 1000000");
     }
 }
