--- a/src/main/java/rowanmoor/platform/Rehearsal.java
+++ b/src/main/java/rowanmoor/platform/Rehearsal.java
@@ -15,17 +15,18 @@
 import rowanmoor.settings.SettingsReader;
 
 /**
- * A controller that serves a few invented peers of its own, on loopback, for a moment, and ends. The build
- * runs it to record which classes a start needs (class-data archive): {@code run} then starts in half the
- * time. Nothing of it runs under {@code serve} itself.
+ * Training run for the class-data archive: a controller serves a few scripted peers on loopback for 2.5 s and
+ * ends. The build runs it to record which classes a start loads; with the archive, {@code run} starts in half
+ * the time. Not used by {@code serve}.
  */
 final class Rehearsal {
 
-    private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    private static final long MILLI = 1_000_000L;
-    private static final long LENGTH = 2_500 * MILLI;
-    private static final int PROXIES = 8;
-    private static final String SCRIPT = "/rowanmoor/rehearsal.json";
+    private static final InetSocketAddress LOOPBACK =
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    private static final long NS_PER_MS = 1_000_000L;
+    private static final long DURATION_NS = 2_500 * NS_PER_MS;
+    private static final int PROXY_COUNT = 8;
+    private static final String SCRIPT_RESOURCE = "/rowanmoor/rehearsal.json";
 
     private final Loop loop;
     private final Map<String, Object> script;
@@ -35,36 +36,38 @@
         this.script = script;
     }
 
-    static void run(LineLog log) throws IOException {
+    /** Runs for {@code DURATION_NS}; throws if the script is unreadable or a port cannot be opened. */
+    static void run(AsyncLineLog log) throws IOException {
         byte[] bytes;
-        try (InputStream in = Rehearsal.class.getResourceAsStream(SCRIPT)) {
+        try (InputStream in = Rehearsal.class.getResourceAsStream(SCRIPT_RESOURCE)) {
             bytes = in.readAllBytes();
         }
-        Loop loop = Loop.onSockets(cause -> log.line("fault: " + cause));
-        new Rehearsal(loop, Json.object(bytes, 0, bytes.length)).begin(log);
-        loop.after(LENGTH, loop::stop);
+        Loop loop = Loop.onSockets(cause -> log.log("fault: " + cause));
+        new Rehearsal(loop, Json.parseObject(bytes, 0, bytes.length)).start(log);
+        loop.after(DURATION_NS, loop::stop);
         loop.run();
     }
 
     @SuppressWarnings("unchecked")
-    private void begin(LineLog log) throws IOException {
-        InetSocketAddress catalog = loop.listen(ANY, Connection.Options.defaults(), c -> answer(
+    private void start(AsyncLineLog log) throws IOException {
+        InetSocketAddress catalog = loop.listen(LOOPBACK, Connection.Options.defaults(), c -> respondWith(
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")).address();
-        InetSocketAddress backend = loop.listen(ANY, Connection.Options.defaults(), c -> answer(
+        InetSocketAddress backend = loop.listen(LOOPBACK, Connection.Options.defaults(), c -> respondWith(
                 "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nqueue=2,latency_ms=9")).address();
         Map<String, Object> known = (Map<String, Object>) script.get("known");
         for (Object entry : (List<Object>) known.get("instances")) {
             ((Map<String, Object>) entry).put("hostPort", "127.0.0.1:" + backend.getPort());
         }
-        PlatformConfig config = new PlatformConfig("rehearsal", ANY, catalog, 1, 256, known,
+        PlatformConfig config = new PlatformConfig("rehearsal", LOOPBACK, catalog, 1, 256, known,
                 SettingsReader.fromTree((Map<String, Object>) script.get("settings")));
-        Service service = new Service(config, loop, System::currentTimeMillis, log::line, () -> { });
-        for (int proxy = 0; proxy < PROXIES; proxy++) {
-            new Guest(service.address(), proxy);
+        PlatformController controller = new PlatformController(config, loop, System::currentTimeMillis,
+                log::log, () -> { });
+        for (int proxy = 0; proxy < PROXY_COUNT; proxy++) {
+            new ScriptedProxy(controller.address(), proxy);
         }
     }
 
-    private static ConnectionHandler answer(String text) {
+    private static ConnectionHandler respondWith(String text) {
         return new ConnectionHandler() {
             @Override
             public void onData(Connection connection, ByteBuffer bytes) {
@@ -73,39 +76,39 @@
         };
     }
 
-    /** A proxy that says what the script has for it, over and over. */
-    private final class Guest implements ConnectionHandler {
+    /** A proxy that joins and sends the script's reports every 100 ms. */
+    private final class ScriptedProxy implements ConnectionHandler {
         private final int number;
         private Connection connection;
 
-        Guest(InetSocketAddress at, int number) {
+        ScriptedProxy(InetSocketAddress address, int number) {
             this.number = number;
-            loop.connect(null, at, Connection.Options.defaults(), this);
+            loop.connect(null, address, Connection.Options.defaults(), this);
         }
 
         @Override
-        public void onOpen(Connection its) {
-            connection = its;
-            say("probe");
+        public void onOpen(Connection source) {
+            connection = source;
+            send("probe");
             String zone = number % 2 == 0 ? "north" : "south";
-            say("hello node " + number + " locality " + zone + " w 5.5 cold 1");
-            speak();
+            send("hello node " + number + " locality " + zone + " w 5.5 cold 1");
+            sendReports();
         }
 
-        private void speak() {
+        private void sendReports() {
             for (Object line : (List<?>) script.get("says")) {
-                say(line.toString().replace("NODE", Integer.toString(number)));
+                send(line.toString().replace("NODE", Integer.toString(number)));
             }
-            loop.after(100 * MILLI, this::speak);
+            loop.after(100 * NS_PER_MS, this::sendReports);
         }
 
-        private void say(String words) {
+        private void send(String words) {
             connection.send(RespWriter.encode(List.of(words.split(" "))));
         }
 
         @Override
-        public void onData(Connection its, ByteBuffer bytes) {
-            // orders are not followed here
+        public void onData(Connection source, ByteBuffer bytes) {
+            // pushes are ignored
         }
     }
 }
