--- a/src/main/java/rowanmoor/net/Connection.java
+++ b/src/main/java/rowanmoor/net/Connection.java
@@ -6,183 +6,197 @@
 import java.util.ArrayDeque;
 
 /**
- * One connection of a {@link Loop}: reads as its handler lets it, writes from a bounded queue, and is
- * closed exactly once. States: connecting, open, ending (its last bytes are being written), closed.
+ * One connection of a {@link Loop}: reads unless its handler has paused it, writes from a bounded queue, and
+ * is closed exactly once. States: connecting, open, closing (the last bytes are being written), closed.
  */
 public final class Connection {
 
-    private enum State { CONNECTING, OPEN, ENDING, CLOSED }
+    private enum State { CONNECTING, OPEN, CLOSING, CLOSED }
 
-    /** Reads of one readiness before other connections have their turn. */
-    private static final int READS_A_TURN = 4;
+    /** Reads per readiness event, so that one busy connection does not starve the others. */
+    private static final int MAX_READS_PER_TURN = 4;
 
     private final Loop loop;
-    private final Wire wire;
+    private final ByteStream stream;
     private final ConnectionHandler handler;
-    private final WriteLimit bound;
+    private final WriteLimit writeLimit;
     private final ArrayDeque<ByteBuffer> queue = new ArrayDeque<>();
-    private final long idleAfter;
+    private final long idleTimeoutNs;
     private State state;
     private long queuedBytes;
-    private long mostQueuedBytes;
+    private long peakQueuedBytes;
     private long writtenBytes;
     private boolean paused;
-    private boolean peerEnded;
+    private boolean inputEnded;
     private boolean outputEnded;
-    private boolean dirty;
-    private long heardAt;
-    private Timer idle;
-    private Timer connecting;
+    private boolean flushScheduled;
+    private long lastReadAt;
+    private Timer idleTimer;
+    private Timer connectTimer;
 
-    Connection(Loop loop, Wire wire, ConnectionHandler handler, Options options, boolean made) {
+    Connection(Loop loop, ByteStream stream, ConnectionHandler handler, Options options,
+            boolean established) {
         this.loop = loop;
-        this.wire = wire;
+        this.stream = stream;
         this.handler = handler;
-        this.bound = options.writeLimit();
-        this.idleAfter = options.idleTimeoutNs();
-        this.state = made ? State.OPEN : State.CONNECTING;
-        this.heardAt = loop.now();
-        wire.attach(this::ready);
-        if (!made) {
-            connecting = loop.after(options.connectTimeoutNs(), () ->
-                    close(CloseReason.CONNECT_TIMEOUT, "no answer from " + wire.remote()));
+        this.writeLimit = options.writeLimit();
+        this.idleTimeoutNs = options.idleTimeoutNs();
+        this.state = established ? State.OPEN : State.CONNECTING;
+        this.lastReadAt = loop.now();
+        stream.setListener(this::onReady);
+        if (!established) {
+            connectTimer = loop.after(options.connectTimeoutNs(), () ->
+                    close(CloseReason.CONNECT_TIMEOUT, "no answer from " + stream.remote()));
         }
     }
 
-    /** Options of one connection; times in nanoseconds, 0 for never. */
+    /**
+     * Options of one connection.
+     *
+     * @param writeLimit limit of the write queue
+     * @param connectTimeoutNs the longest connection attempt, ns
+     * @param idleTimeoutNs closes the connection if nothing is read for so long, ns; 0 for never
+     */
     public record Options(WriteLimit writeLimit, long connectTimeoutNs, long idleTimeoutNs) {
 
-        private static final long SECOND = 1_000_000_000L;
+        private static final long SECOND_NS = 1_000_000_000L;
 
-        /** A mebibyte and a thousand frames may wait, refused beyond; 1 s to connect; never idle. */
+        /** At most 1 MiB and 1024 frames queued, further ones refused; 1 s to connect; no idle time-out. */
         public static Options defaults() {
-            return new Options(new WriteLimit(1 << 20, 1024, WriteLimit.OverflowPolicy.REFUSE), SECOND, 0);
+            return new Options(new WriteLimit(1 << 20, 1024, WriteLimit.OverflowPolicy.REFUSE), SECOND_NS, 0);
         }
 
-        public Options idleAfter(long nanos) {
-            return new Options(writeLimit, connectTimeoutNs, nanos);
+        /** A copy with another idle time-out, ns. */
+        public Options idleAfter(long timeoutNs) {
+            return new Options(writeLimit, connectTimeoutNs, timeoutNs);
         }
 
-        public Options connectWithin(long nanos) {
-            return new Options(writeLimit, nanos, idleTimeoutNs);
+        /** A copy with another connect time-out, ns. */
+        public Options connectWithin(long timeoutNs) {
+            return new Options(writeLimit, timeoutNs, idleTimeoutNs);
         }
 
-        public Options bound(WriteLimit other) {
-            return new Options(other, connectTimeoutNs, idleTimeoutNs);
+        /** A copy with another write limit. */
+        public Options bound(WriteLimit newLimit) {
+            return new Options(newLimit, connectTimeoutNs, idleTimeoutNs);
         }
     }
 
-    void begin() {
-        guard(() -> {
+    void open() {
+        runGuarded(() -> {
             handler.onOpen(this);
-            watchIdle();
-            wants();
+            startIdleTimer();
+            updateInterest();
         });
     }
 
-    /** Queues a frame; it is written at the end of the loop's turn. False if it was not taken. */
+    /** Queues a frame, to be written at the end of the loop's turn. False if it was not accepted. */
     public boolean send(ByteBuffer frame) {
-        if (state == State.CLOSED || state == State.ENDING) {
+        if (state == State.CLOSED || state == State.CLOSING) {
             return false;
         }
         if (!fits(frame)) {
-            if (bound.overflowPolicy() == WriteLimit.OverflowPolicy.CLOSE) {
-                close(CloseReason.OVERFLOW, queue.size() + " frames of " + queuedBytes + " bytes wait");
+            if (writeLimit.overflowPolicy() == WriteLimit.OverflowPolicy.CLOSE) {
+                close(CloseReason.OVERFLOW, "write queue is full: " + queue.size() + " frames, "
+                        + queuedBytes + " bytes");
             }
             return false;
         }
         queue.add(frame);
         queuedBytes += frame.remaining();
-        mostQueuedBytes = Math.max(mostQueuedBytes, queuedBytes);
-        markDirty();
+        peakQueuedBytes = Math.max(peakQueuedBytes, queuedBytes);
+        scheduleFlush();
         return true;
     }
 
     private boolean fits(ByteBuffer frame) {
-        return queue.size() < bound.maxFrames() && queuedBytes + frame.remaining() <= bound.maxBytes();
+        return queue.size() < writeLimit.maxFrames()
+                && queuedBytes + frame.remaining() <= writeLimit.maxBytes();
     }
 
-    private void markDirty() {
-        if (!dirty && state != State.CONNECTING) {
-            dirty = true;
+    private void scheduleFlush() {
+        if (!flushScheduled && state != State.CONNECTING) {
+            flushScheduled = true;
             loop.flushLater(this);
         }
     }
 
     /**
-     * Reads what has come by now, out of its turn: before a connection is closed for what its peer has not
-     * said, since that may wait unread. Not from within a handler of this connection.
+     * Reads what has arrived, without waiting for readiness to be reported. Call it before closing a
+     * connection because its peer is silent: data may have arrived and not been read yet. Must not be called
+     * from within a handler of this connection.
      */
     public void readPending() {
         if (state == State.OPEN) {
-            guard(this::readSome);
+            runGuarded(this::readAvailable);
         }
     }
 
     /**
-     * Whether it is open and nothing waits to be read, neither bytes nor the peer's end. A byte that does
-     * may be lost by asking: this is for connections that are closed if so.
+     * Whether the connection is open and nothing is waiting to be read, neither bytes nor the peer's end of
+     * stream. The probe may consume a byte that is waiting, so the caller must close the connection on false.
      */
     public boolean probeReusable() {
         try {
-            return state == State.OPEN && !peerEnded && wire.read(loop.probe()) == 0;
+            return state == State.OPEN && !inputEnded && stream.read(loop.probeBuffer()) == 0;
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** Reads nothing until {@link #resume}: what the peer sends waits with it. */
+    /** Stops reading until {@link #resume}, so that flow control holds the peer back. */
     public void pause() {
         paused = true;
-        wants();
+        updateInterest();
     }
 
+    /** Reads again after {@link #pause}; the idle time-out starts anew. */
     public void resume() {
         paused = false;
-        heardAt = loop.now();
-        wants();
+        lastReadAt = loop.now();
+        updateInterest();
     }
 
     /**
-     * Writes what waits, then ends this side's bytes and, once the peer ends too, the connection. What the
-     * peer sends meanwhile is read and dropped: unread bytes would make the close a reset, and the last
-     * ones written could be lost by it. A peer that neither reads nor ends is waited for a second at a
-     * time, and no longer.
+     * Writes the queue, shuts down the output and closes the connection once the peer closes its side too.
+     * What the peer sends meanwhile is read and discarded: closing with unread bytes would send a reset, by
+     * which the peer could lose the last bytes written. The connection is closed when for a second the peer
+     * has neither taken bytes nor closed its side.
      */
     public void closeGracefully() {
         if (state == State.OPEN) {
-            beginEnding();
-            markDirty();
+            startClosing();
+            scheduleFlush();
         } else if (state == State.CONNECTING) {
-            close(CloseReason.LOCAL, "ended before it was made");
+            close(CloseReason.LOCAL, "closed before it was established");
         }
     }
 
-    /** Closes at once; what waits is dropped. */
-    public void close(CloseReason why, String detail) {
-        close(why, detail, false);
+    /** Closes at once; queued frames are dropped. */
+    public void close(CloseReason reason, String detail) {
+        close(reason, detail, false);
     }
 
-    /** Closes at once and resets: the peer sees the connection break. */
+    /** Closes at once with a reset, which the peer sees as an aborted connection. */
     public void reset(String detail) {
         close(CloseReason.LOCAL, detail, true);
     }
 
-    private void close(CloseReason why, String detail, boolean reset) {
+    private void close(CloseReason reason, String detail, boolean reset) {
         if (state == State.CLOSED) {
             return;
         }
         state = State.CLOSED;
         queue.clear();
         queuedBytes = 0;
-        cancel(idle);
-        cancel(connecting);
-        wire.close(reset);
+        cancel(idleTimer);
+        cancel(connectTimer);
+        stream.close(reset);
         loop.forget(this);
         try {
-            handler.onClose(this, why, detail);
+            handler.onClose(this, reason, detail);
         } catch (RuntimeException e) {
-            loop.fault(e);
+            loop.reportFault(e);
         }
     }
 
@@ -208,36 +222,36 @@
         return queue.size();
     }
 
-    /** The most bytes that ever waited at once. */
+    /** The most bytes ever queued at once. */
     public long peakQueuedBytes() {
-        return mostQueuedBytes;
+        return peakQueuedBytes;
     }
 
-    /** Bytes that the stream has taken so far; none of those that wait. */
+    /** Bytes that the stream has accepted so far; queued bytes are not counted. */
     public long writtenBytes() {
         return writtenBytes;
     }
 
     public InetSocketAddress remote() {
-        return wire.remote();
+        return stream.remote();
     }
 
     public InetSocketAddress local() {
-        return wire.local();
+        return stream.local();
     }
 
-    /** Time of the last bytes read, by the loop's clock. */
+    /** Time of the last read, by the loop's clock. */
     public long lastReadAt() {
-        return heardAt;
+        return lastReadAt;
     }
 
-    private void ready(boolean read, boolean write) {
+    private void onReady(boolean read, boolean write) {
         if (state == State.CONNECTING) {
             finishConnecting();
             return;
         }
         if (read) {
-            guard(this::readSome);
+            runGuarded(this::readAvailable);
         }
         if (write && state != State.CLOSED) {
             flush();
@@ -246,28 +260,28 @@
 
     private void finishConnecting() {
         try {
-            if (!wire.finishConnect()) {
+            if (!stream.finishConnect()) {
                 return;
             }
         } catch (IOException e) {
             close(CloseReason.REFUSED, e.getMessage());
             return;
         }
-        cancel(connecting);
+        cancel(connectTimer);
         state = State.OPEN;
-        heardAt = loop.now();
-        begin();
+        lastReadAt = loop.now();
+        open();
         if (state != State.CLOSED && !queue.isEmpty()) {
-            markDirty();
+            scheduleFlush();
         }
     }
 
-    private void readSome() {
-        for (int i = 0; i < READS_A_TURN && state != State.CLOSED && !paused && !peerEnded; i++) {
-            ByteBuffer into = loop.scratch();
+    private void readAvailable() {
+        for (int i = 0; i < MAX_READS_PER_TURN && state != State.CLOSED && !paused && !inputEnded; i++) {
+            ByteBuffer into = loop.readBuffer();
             int count;
             try {
-                count = wire.read(into);
+                count = stream.read(into);
             } catch (IOException e) {
                 close(CloseReason.RESET, e.getMessage());
                 return;
@@ -275,9 +289,9 @@
             if (count == 0) {
                 return;
             }
-            heardAt = loop.now();
+            lastReadAt = loop.now();
             if (count < 0) {
-                hearEnd();
+                handleInputEnd();
                 return;
             }
             into.flip();
@@ -287,31 +301,31 @@
         }
     }
 
-    private void hearEnd() {
-        peerEnded = true;
-        boolean goesOn = state == State.OPEN && handler.onInputEnd(this);
-        if (!goesOn && state != State.CLOSED) {
+    private void handleInputEnd() {
+        inputEnded = true;
+        boolean staysOpen = state == State.OPEN && handler.onInputEnd(this);
+        if (!staysOpen && state != State.CLOSED) {
             if (queue.isEmpty()) {
                 close(CloseReason.ENDED, "the peer ended");
             } else {
-                beginEnding();
+                startClosing();
             }
         }
-        wants();
+        updateInterest();
     }
 
-    /** Writes what the stream takes. */
+    /** Writes as much of the queue as the stream accepts. */
     void flush() {
-        dirty = false;
+        flushScheduled = false;
         if (state == State.CLOSED || state == State.CONNECTING) {
             return;
         }
-        boolean had = !queue.isEmpty();
+        boolean hadFrames = !queue.isEmpty();
         try {
             while (!queue.isEmpty()) {
                 ByteBuffer head = queue.peek();
                 int before = head.remaining();
-                wire.write(head);
+                stream.write(head);
                 queuedBytes -= before - head.remaining();
                 writtenBytes += before - head.remaining();
                 if (head.hasRemaining()) {
@@ -319,73 +333,73 @@
                 }
                 queue.poll();
             }
-            if (queue.isEmpty() && state == State.ENDING) {
-                finishEnding();
+            if (queue.isEmpty() && state == State.CLOSING) {
+                finishClosing();
             }
         } catch (IOException e) {
             close(CloseReason.RESET, e.getMessage());
             return;
         }
-        wants();
-        if (had && queue.isEmpty() && state == State.OPEN) {
-            guard(() -> handler.onDrained(this));
+        updateInterest();
+        if (hadFrames && queue.isEmpty() && state == State.OPEN) {
+            runGuarded(() -> handler.onDrained(this));
         }
     }
 
-    private void finishEnding() throws IOException {
-        if (peerEnded) {
-            close(CloseReason.ENDED, "both sides ended");
+    private void finishClosing() throws IOException {
+        if (inputEnded) {
+            close(CloseReason.ENDED, "both sides closed");
         } else if (!outputEnded) {
             outputEnded = true;
-            wire.endOutput();
-            heardAt = loop.now();
-            watchEnding();
+            stream.endOutput();
+            lastReadAt = loop.now();
+            startLingerTimer();
         }
     }
 
-    private void beginEnding() {
-        state = State.ENDING;
+    private void startClosing() {
+        state = State.CLOSING;
         paused = false;
-        watchEnding();
+        startLingerTimer();
     }
 
-    /** A peer that never reads what waits, or never ends its side, must not hold the connection for good. */
-    private void watchEnding() {
-        cancel(idle);
+    /** Bounds the wait for a peer that does not read the last bytes or does not close its side. */
+    private void startLingerTimer() {
+        cancel(idleTimer);
         long before = writtenBytes;
-        idle = loop.after(loop.lingerFor(), () -> {
+        idleTimer = loop.after(loop.lingerTimeoutNs(), () -> {
             if (writtenBytes > before) {
-                watchEnding();
+                startLingerTimer();
             } else {
-                close(CloseReason.LOCAL, outputEnded ? "the peer did not end its side"
+                close(CloseReason.LOCAL, outputEnded ? "the peer did not close its side"
                         : "the peer took none of the last " + queuedBytes + " bytes");
             }
         });
     }
 
-    private void wants() {
-        if (state == State.OPEN || state == State.ENDING) {
-            wire.want(!paused && !peerEnded, !queue.isEmpty());
+    private void updateInterest() {
+        if (state == State.OPEN || state == State.CLOSING) {
+            stream.setInterest(!paused && !inputEnded, !queue.isEmpty());
         }
     }
 
-    private void watchIdle() {
-        if (idleAfter > 0 && state == State.OPEN) {
-            long left = heardAt + idleAfter - loop.now();
+    private void startIdleTimer() {
+        if (idleTimeoutNs > 0 && state == State.OPEN) {
+            long left = lastReadAt + idleTimeoutNs - loop.now();
             if (left <= 0 && !paused) {
-                close(CloseReason.IDLE, "nothing heard for " + idleAfter / 1_000_000 + " ms");
+                close(CloseReason.IDLE, "nothing received for " + idleTimeoutNs / 1_000_000 + " ms");
             } else {
-                idle = loop.after(left <= 0 ? idleAfter : left, this::watchIdle);
+                idleTimer = loop.after(left <= 0 ? idleTimeoutNs : left, this::startIdleTimer);
             }
         }
     }
 
-    /** A handler that throws costs its own connection and no other. */
-    private void guard(Runnable step) {
+    /** Runs a handler call; if it throws, only this connection is closed. */
+    private void runGuarded(Runnable step) {
         try {
             step.run();
         } catch (RuntimeException e) {
-            loop.fault(e);
+            loop.reportFault(e);
             close(CloseReason.FAULT, e.toString());
         }
     }
