--- a/src/main/java/rowanmoor/controller/Controller.java
+++ b/src/main/java/rowanmoor/controller/Controller.java
@@ -72,19 +72,20 @@
                 new LoadRecord.Start(loop.now(), wallClockMs.getAsLong(), config.rank(), epoch,
                         config.site().zones(), config.site().kinds(), config.site().classNames()),
                 text -> LOG.error("capture {}", kv("what", text)));
-        this.ticks = new TickScheduler(loop, config.minTickNs(), now -> driver().tick(now), () -> driver().nextTickAt());
+        this.ticks = new TickScheduler(loop, config.minTickNs(), now -> driver().tick(now),
+                () -> driver().nextTickAt());
         this.driver = new Driver(settings, seed, epoch, loop.now(), this, System::nanoTime);
-        this.roster = new RosterClient(loop, config.rosterAddress(), config.serviceName(), "rowanmoor-" + config.rank(),
-                config.rosterWaitNs(), config.emptyRosterHoldNs(), config.site().zones(), config.site().kinds(),
-                wallClockMs, members -> {
+        this.roster = new RosterClient(loop, config.rosterAddress(), config.serviceName(),
+                "rowanmoor-" + config.rank(), config.rosterWaitNs(), config.emptyRosterHoldNs(),
+                config.site().zones(), config.site().kinds(), wallClockMs, members -> {
                     driver.onMembers(members);
                     members.entries().forEach(this::captureMember);
                     ticks.requestTick();
                 }, text -> LOG.warn("roster {}", kv("what", text)));
         LoadColumns columns = new LoadColumns(config.site().loadColumns());
-        this.prober = new Prober(loop, config.probePath(), config.probeTimeoutNs(), config.maxConcurrentProbes(),
-                Addresses::toSocketAddress, answer -> columns.parse(answer.fields().get(OrcaLoadReport.HEADER_NAME)),
-                probed -> {
+        this.prober = new Prober(loop, config.probePath(), config.probeTimeoutNs(),
+                config.maxConcurrentProbes(), Addresses::toSocketAddress,
+                answer -> columns.parse(answer.fields().get(OrcaLoadReport.HEADER_NAME)), probed -> {
                     driver.onProbeResult(probed);
                     ticks.requestTick();
                 });
@@ -99,7 +100,8 @@
     private Connection.Options connectionOptions() {
         // A proxy that does not read is disconnected: when it joins again, one message restores its state.
         return Connection.Options.defaults().idleAfter(config.proxyTimeoutNs())
-                .bound(new WriteLimit(config.maxQueuedBytes(), MAX_QUEUED_FRAMES, WriteLimit.OverflowPolicy.CLOSE));
+                .bound(new WriteLimit(config.maxQueuedBytes(), MAX_QUEUED_FRAMES,
+                        WriteLimit.OverflowPolicy.CLOSE));
     }
 
     /** Returns the address on which proxies connect. */
--- a/src/main/java/rowanmoor/discovery/RosterClient.java
+++ b/src/main/java/rowanmoor/discovery/RosterClient.java
@@ -100,7 +100,8 @@
         queryPending = true;
         if (connection == null || !connection.isAvailable()) {
             connection = ClientConnection.open(loop, null, address, Connection.Options.defaults()
-                    .connectWithin(CONNECT_TIMEOUT_NS), MessageLimits.defaults().body(MAX_RESPONSE_BYTES), c -> { });
+                    .connectWithin(CONNECT_TIMEOUT_NS), MessageLimits.defaults().body(MAX_RESPONSE_BYTES),
+                    c -> { });
         }
         String query = index == 0 ? "" : "?index=" + index + "&wait=" + waitNs / 1_000_000 + "ms";
         // A roster may hold a query for a sixteenth longer than requested (Consul, Blocking Queries).
--- a/src/main/java/rowanmoor/platform/PlatformController.java
+++ b/src/main/java/rowanmoor/platform/PlatformController.java
@@ -109,10 +109,12 @@
         this.catalogView = new CatalogView(config.namedSettings(), instances);
         this.fanout = new Fanout(settings.classes().size());
         this.tickRunner = new TickRunner(settings, config.seed(), System::nanoTime);
-        this.ticks = new TickScheduler(loop, config.namedSettings().tick(), this::runTick, tickRunner::nextTickAt);
+        this.ticks = new TickScheduler(loop, config.namedSettings().tick(), this::runTick,
+                tickRunner::nextTickAt);
         this.translator = new Translator(config.namedSettings().classes(), instances, fanout);
         this.listener = loop.listen(config.listenAddress(), Connection.Options.defaults()
-                .bound(new WriteLimit(MAX_QUEUED_BYTES, MAX_QUEUED_MESSAGES, WriteLimit.OverflowPolicy.CLOSE)), c -> accept());
+                .bound(new WriteLimit(MAX_QUEUED_BYTES, MAX_QUEUED_MESSAGES, WriteLimit.OverflowPolicy.CLOSE)),
+                c -> accept());
         this.catalog = new CatalogClient(loop, config.catalogAddress(), config.seed(), this);
         this.prober = new Prober(loop, config.namedSettings().columns().isEmpty() ? "/ping" : "/_load",
                 PROBE_TIMEOUT_NS, MAX_CONCURRENT_PROBES, instances::address,
--- a/src/main/java/rowanmoor/proxy/ChannelClient.java
+++ b/src/main/java/rowanmoor/proxy/ChannelClient.java
@@ -216,7 +216,8 @@
                 % config.controllers().size());
         int probedStream = streamNumber;
         loop.connect(config.localAddress(), first,
-                Connection.Options.defaults().connectWithin(config.controllerTimeoutNs()), new ConnectionHandler() {
+                Connection.Options.defaults().connectWithin(config.controllerTimeoutNs()),
+                new ConnectionHandler() {
                     @Override
                     public void onOpen(Connection probe) {
                         probe.close(CloseReason.LOCAL, "the first controller is reachable");
--- a/src/main/java/rowanmoor/proxy/Proxy.java
+++ b/src/main/java/rowanmoor/proxy/Proxy.java
@@ -281,7 +281,8 @@
     }
 
     /** The head to send to a backend; {@code remainingNs} is the time to the deadline. */
-    MessagePart.RequestHead backendRequestHead(MessagePart.RequestHead head, Backend backend, long remainingNs) {
+    MessagePart.RequestHead backendRequestHead(MessagePart.RequestHead head, Backend backend,
+            long remainingNs) {
         HttpFields fields = endToEndFields(head.fields());
         fields.set("Host", backend.toString());
         fields.set(PROXY_NUMBER_FIELD, Integer.toString(config.number()));
@@ -400,8 +401,8 @@
     }
 
     private void refuse(ServerStream.Exchange exchange, String why) {
-        exchange.respond(policy().refusalStatus(), why + "\n", REASON_FIELD, why, "Content-Type", "text/plain",
-                "Retry-After", Integer.toString(policy().retryAfterSeconds()));
+        exchange.respond(policy().refusalStatus(), why + "\n", REASON_FIELD, why,
+                "Content-Type", "text/plain", "Retry-After", Integer.toString(policy().retryAfterSeconds()));
     }
 
     @Override
