--- a/src/main/java/rowanmoor/controller/Controller.java
+++ b/src/main/java/rowanmoor/controller/Controller.java
@@ -27,10 +27,10 @@
 import rowanmoor.discovery.Prober;
 import rowanmoor.discovery.RosterClient;
 import rowanmoor.http.OrcaLoadReport;
-import rowanmoor.net.WriteLimit;
 import rowanmoor.net.Connection;
 import rowanmoor.net.Loop;
 import rowanmoor.net.TickScheduler;
+import rowanmoor.net.WriteLimit;
 
 /** The controller process: a {@link Driver} on an event loop, with the proxy streams, roster and prober. */
 public final class Controller implements Driver.Environment, ProxyStream.Owner {
--- a/src/main/java/rowanmoor/discovery/RosterResponse.java
+++ b/src/main/java/rowanmoor/discovery/RosterResponse.java
@@ -6,8 +6,8 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Availability;
+import rowanmoor.ControlApi.Backend;
 import rowanmoor.config.Section;
 
 /**
--- a/src/main/java/rowanmoor/discovery/RosterView.java
+++ b/src/main/java/rowanmoor/discovery/RosterView.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.CatalogUpdateKind;
-import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
 
--- a/src/main/java/rowanmoor/http/ServerStream.java
+++ b/src/main/java/rowanmoor/http/ServerStream.java
@@ -1,12 +1,12 @@
 package rowanmoor.http;
 
 import java.nio.ByteBuffer;
-import rowanmoor.net.WriteLimit;
 import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
 import rowanmoor.net.ConnectionHandler;
 import rowanmoor.net.Loop;
 import rowanmoor.net.Timer;
+import rowanmoor.net.WriteLimit;
 
 /**
  * Streaming HTTP server on one connection: requests are delivered and responses written part by part.
--- a/src/main/java/rowanmoor/platform/PlatformController.java
+++ b/src/main/java/rowanmoor/platform/PlatformController.java
@@ -14,9 +14,9 @@
 import java.util.function.LongSupplier;
 import rowanmoor.ControlApi.Action;
 import rowanmoor.ControlApi.Applied;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.CatalogUpdateKind;
-import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Log;
 import rowanmoor.ControlApi.Members;
 import rowanmoor.ControlApi.Probe;
@@ -31,10 +31,10 @@
 import rowanmoor.discovery.Prober;
 import rowanmoor.host.Fanout;
 import rowanmoor.host.TickRunner;
-import rowanmoor.net.WriteLimit;
 import rowanmoor.net.Connection;
 import rowanmoor.net.Loop;
 import rowanmoor.net.TickScheduler;
+import rowanmoor.net.WriteLimit;
 
 /**
  * One controller of the platform: the decision module on one event loop, with its peers, its catalog client
@@ -113,7 +113,8 @@
                 tickRunner::nextTickAt);
         this.translator = new Translator(config.namedSettings().classes(), instances, fanout);
         this.listener = loop.listen(config.listenAddress(), Connection.Options.defaults()
-                .bound(new WriteLimit(MAX_QUEUED_BYTES, MAX_QUEUED_MESSAGES, WriteLimit.OverflowPolicy.CLOSE)),
+                .bound(new WriteLimit(MAX_QUEUED_BYTES, MAX_QUEUED_MESSAGES,
+                        WriteLimit.OverflowPolicy.CLOSE)),
                 c -> accept());
         this.catalog = new CatalogClient(loop, config.catalogAddress(), config.seed(), this);
         this.prober = new Prober(loop, config.namedSettings().columns().isEmpty() ? "/ping" : "/_load",
--- a/src/main/java/rowanmoor/proxy/ProxyConfig.java
+++ b/src/main/java/rowanmoor/proxy/ProxyConfig.java
@@ -35,7 +35,7 @@
     /**
      * Reads all {@code proxy} blocks of a file; one process may run several proxies.
      *
-     * @throws ConfigError with all problems of the file
+     * @throws ConfigException with all problems of the file
      */
     public static List<ProxyConfig> read(Path file) throws ConfigException {
         Section root = Section.read(file);
--- a/src/test/java/rowanmoor/ArchitectureTest.java
+++ b/src/test/java/rowanmoor/ArchitectureTest.java
@@ -1,9 +1,9 @@
 package rowanmoor;
 
-import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.fields;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
 
 import com.tngtech.archunit.base.DescribedPredicate;
 import com.tngtech.archunit.core.domain.JavaClasses;
--- a/src/test/java/rowanmoor/discovery/RosterViewTest.java
+++ b/src/test/java/rowanmoor/discovery/RosterViewTest.java
@@ -10,9 +10,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.CatalogUpdateKind;
-import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Members;
 
 /** Lists, changes, empty lists, restarted rosters, start times and unreadable entries. */
--- a/src/test/java/rowanmoor/platform/CatalogViewTest.java
+++ b/src/test/java/rowanmoor/platform/CatalogViewTest.java
@@ -7,17 +7,17 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static rowanmoor.platform.InMemoryPlatform.START_NS;
 import static rowanmoor.platform.InMemoryPlatform.WALL_MS;
-import static rowanmoor.platform.InMemoryPlatform.instance;
 import static rowanmoor.platform.InMemoryPlatform.catalogObject;
+import static rowanmoor.platform.InMemoryPlatform.instance;
 
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.CatalogUpdateKind;
-import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
 
--- a/src/test/java/rowanmoor/platform/PlatformControllerTest.java
+++ b/src/test/java/rowanmoor/platform/PlatformControllerTest.java
@@ -7,8 +7,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static rowanmoor.platform.InMemoryPlatform.MS;
 import static rowanmoor.platform.InMemoryPlatform.WALL_MS;
-import static rowanmoor.platform.InMemoryPlatform.instance;
 import static rowanmoor.platform.InMemoryPlatform.catalogObject;
+import static rowanmoor.platform.InMemoryPlatform.instance;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
--- a/src/test/java/rowanmoor/platform/RandomDisconnectTest.java
+++ b/src/test/java/rowanmoor/platform/RandomDisconnectTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static rowanmoor.platform.InMemoryPlatform.MS;
-import static rowanmoor.platform.InMemoryPlatform.instance;
 import static rowanmoor.platform.InMemoryPlatform.catalogObject;
+import static rowanmoor.platform.InMemoryPlatform.instance;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
