--- a/src/main/java/rowanmoor/controller/Controller.java
+++ b/src/main/java/rowanmoor/controller/Controller.java
@@ -67,7 +67,7 @@
         this.loop = loop;
         Settings settings = config.site().settings(config.instances());
         this.trace = config.traceFile() == null ? null : new Trace(config.traceFile(), settings, seed,
-                why -> LOG.error("trace ended {}", kv("why", why)));
+                reason -> LOG.error("trace ended {}", kv("why", reason)));
         this.capture = config.capture() == null ? null : new CaptureWriter(config.capture(),
                 new LoadRecord.Start(loop.now(), wallClockMs.getAsLong(), config.rank(), epoch,
                         config.site().zones(), config.site().kinds(), config.site().classNames()),
--- a/src/main/java/rowanmoor/controller/Driver.java
+++ b/src/main/java/rowanmoor/controller/Driver.java
@@ -24,9 +24,9 @@
 import rowanmoor.host.TickRunner;
 
 /**
- * Drives one {@link rowanmoor.RoutingPolicy} without doing any I/O. It feeds the policy its events in a fixed order,
- * turns its actions into one message per affected proxy, and paces the messages at the channel's line rate.
- * The caller passes in the time, in nanoseconds, and implements {@link Environment}.
+ * Drives one {@link rowanmoor.RoutingPolicy} without doing any I/O. It feeds the policy its events in a fixed
+ * order, turns its actions into one message per affected proxy, and paces the messages at the channel's line
+ * rate. The caller passes in the time, in nanoseconds, and implements {@link Environment}.
  *
  * <p>{@link TickRunner} defines the order of events within a tick.
  */
--- a/src/main/java/rowanmoor/controller/ProxyStream.java
+++ b/src/main/java/rowanmoor/controller/ProxyStream.java
@@ -146,8 +146,8 @@
     }
 
     @Override
-    public void onClose(Connection closedConnection, CloseReason cause, String detail) {
-        notifyEnded(cause + ": " + detail);
+    public void onClose(Connection closedConnection, CloseReason reason, String detail) {
+        notifyEnded(reason + ": " + detail);
         owner.onStreamClosed(this);
     }
 
--- a/src/main/java/rowanmoor/discovery/Prober.java
+++ b/src/main/java/rowanmoor/discovery/Prober.java
@@ -105,9 +105,9 @@
                     }
 
                     @Override
-                    public void onFailure(boolean neverRan, CloseReason why, String detail) {
+                    public void onFailure(boolean neverRan, CloseReason reason, String detail) {
                         timeout.cancel();
-                        int status = why == CloseReason.CONNECT_TIMEOUT ? STATUS_TIMEOUT
+                        int status = reason == CloseReason.CONNECT_TIMEOUT ? STATUS_TIMEOUT
                                 : neverRan ? STATUS_UNREACHABLE : STATUS_CONNECTION_LOST;
                         finish(address,
                                 new Probed(backend, false, status, loop.now() - startedAt, List.of()));
--- a/src/main/java/rowanmoor/discovery/RosterClient.java
+++ b/src/main/java/rowanmoor/discovery/RosterClient.java
@@ -33,7 +33,7 @@
     private final List<String> zones;
     private final List<String> kinds;
     private final RosterView view;
-    private final LongSupplier wallClock;
+    private final LongSupplier wallClockMs;
     private final Consumer<Members> onMembers;
     private final Consumer<String> log;
     private ClientConnection connection;
@@ -49,11 +49,11 @@
      * @param userAgent value of the User-Agent field
      * @param waitNs how long the roster may hold a blocking query
      * @param emptyListHoldNs how long an empty list must persist to be accepted
-     * @param wallClock milliseconds since 1970
+     * @param wallClockMs milliseconds since 1970
      * @param onMembers receives lists, changes and failures
      */
     public RosterClient(Loop loop, InetSocketAddress address, String service, String userAgent, long waitNs,
-            long emptyListHoldNs, List<String> zones, List<String> kinds, LongSupplier wallClock,
+            long emptyListHoldNs, List<String> zones, List<String> kinds, LongSupplier wallClockMs,
             Consumer<Members> onMembers, Consumer<String> log) {
         this.loop = loop;
         this.address = address;
@@ -63,7 +63,7 @@
         this.zones = zones;
         this.kinds = kinds;
         this.view = new RosterView(emptyListHoldNs);
-        this.wallClock = wallClock;
+        this.wallClockMs = wallClockMs;
         this.onMembers = onMembers;
         this.log = log;
     }
@@ -121,18 +121,18 @@
                     }
 
                     @Override
-                    public void onFailure(boolean neverRan, CloseReason why, String detail) {
+                    public void onFailure(boolean neverRan, CloseReason reason, String detail) {
                         responseTimer.cancel();
-                        fail(why + ": " + detail);
+                        fail(reason + ": " + detail);
                     }
                 });
     }
 
-    private void fail(String why) {
+    private void fail(String reason) {
         queryPending = false;
         connection = null;
         watching = false;
-        log.accept("roster: " + why);
+        log.accept("roster: " + reason);
         onMembers.accept(view.failed());
     }
 
@@ -152,7 +152,7 @@
             return;
         }
         parsed.problems().forEach(p -> log.accept("roster: " + p));
-        RosterView.Result result = view.apply(loop.now(), wallClock.getAsLong(), newIndex, parsed);
+        RosterView.Result result = view.apply(loop.now(), wallClockMs.getAsLong(), newIndex, parsed);
         if (!result.accepted()) {
             fail("empty list, not accepted yet");
             return;
--- a/src/main/java/rowanmoor/discovery/RosterResponse.java
+++ b/src/main/java/rowanmoor/discovery/RosterResponse.java
@@ -25,7 +25,7 @@
      * @param startedAtMs 0 if not stated
      * @param complete false if a field is missing or invalid; then only the address is usable
      */
-    record Entry(Backend backend, int zone, int kind, int cell, Availability listed, double weight,
+    record Entry(Backend backend, int zone, int kind, int cell, Availability availability, double weight,
             long startedAtMs, boolean complete) { }
 
     private static final ObjectMapper JSON = new ObjectMapper();
--- a/src/main/java/rowanmoor/discovery/RosterView.java
+++ b/src/main/java/rowanmoor/discovery/RosterView.java
@@ -150,7 +150,7 @@
         if (old != null && previousStart != null && previousStart == entry.startedAtMs()) {
             startedAt = old.startedAt();
         }
-        return new Member(entry.backend(), entry.zone(), entry.kind(), entry.cell(), entry.listed(),
+        return new Member(entry.backend(), entry.zone(), entry.kind(), entry.cell(), entry.availability(),
                 entry.weight(), startedAt);
     }
 }
--- a/src/main/java/rowanmoor/host/TickRunner.java
+++ b/src/main/java/rowanmoor/host/TickRunner.java
@@ -103,13 +103,13 @@
         long before = stopwatch.getAsLong();
         events.forEach(event -> policy.handle(now, event));
         List<Action> actions = policy.decide(now);
-        long took = stopwatch.getAsLong() - before;
+        long decisionTime = stopwatch.getAsLong() - before;
         for (Action action : actions) {
             if (action instanceof TimerAt a) {
                 timers.add(new PendingTimer(a.time(), nextTimerNumber++, a.token()));
             }
         }
-        return new TickResult(events, actions, took);
+        return new TickResult(events, actions, decisionTime);
     }
 
     private List<Event> gather(long now) {
--- a/src/main/java/rowanmoor/platform/CatalogClient.java
+++ b/src/main/java/rowanmoor/platform/CatalogClient.java
@@ -36,7 +36,7 @@
         void onObject(Map<String, Object> object) throws IOException;
 
         /** Called when no watch is left; returns whether to open another one without a further request. */
-        boolean onWatchLost(String why);
+        boolean onWatchLost(String reason);
     }
 
     private static final long NS_PER_MS = 1_000_000L;
@@ -93,17 +93,17 @@
         pendingWatch.open();
     }
 
-    private void watchEnded(Watch watch, String why) {
+    private void watchEnded(Watch watch, String reason) {
         watch.stop();
         if (watch == pendingWatch) {
             pendingWatch = null;
-            if (activeWatch != null || listener.onWatchLost(why)) {
+            if (activeWatch != null || listener.onWatchLost(reason)) {
                 scheduleRedial();
             }
         } else if (watch == activeWatch) {
             activeWatch = null;
             // A pending watch or scheduled redial takes over; its own result is reported instead.
-            if (pendingWatch == null && redialTimer == null && listener.onWatchLost(why)) {
+            if (pendingWatch == null && redialTimer == null && listener.onWatchLost(reason)) {
                 scheduleRedial();
             }
         }
@@ -210,8 +210,8 @@
             }
         }
 
-        private void endUnreadable(String why) {
-            watchEnded(this, "unreadable: " + why);
+        private void endUnreadable(String reason) {
+            watchEnded(this, "unreadable: " + reason);
         }
 
         @Override
@@ -220,8 +220,8 @@
         }
 
         @Override
-        public void onFailure(boolean neverRan, CloseReason why, String detail) {
-            watchEnded(this, why + ": " + detail);
+        public void onFailure(boolean neverRan, CloseReason reason, String detail) {
+            watchEnded(this, reason + ": " + detail);
         }
     }
 }
--- a/src/main/java/rowanmoor/platform/CatalogView.java
+++ b/src/main/java/rowanmoor/platform/CatalogView.java
@@ -150,7 +150,7 @@
     private Member member(long now, long wallMs, String id, Map<?, ?> entry, List<String> problems) {
         Backend backend = instances.register(id);
         Member old = members.get(backend);
-        Availability listed = LIFECYCLES.get(entry.get("lifecycle"));
+        Availability availability = LIFECYCLES.get(entry.get("lifecycle"));
         int zone = namedSettings.zones().indexOf(entry.get("zone"));
         int kind = namedSettings.kinds().indexOf(entry.get("machineType"));
         double weight = entry.get("weight") instanceof Number n ? n.doubleValue() : 1;
@@ -159,17 +159,17 @@
         if (entry.get("hostPort") instanceof String text && Section.parseAddress(text) != null) {
             instances.setAddress(backend, Section.parseAddress(text));
         }
-        if (listed == Availability.GONE && old != null) {
+        if (availability == Availability.GONE && old != null) {
             return old.asGone(); // the other fields may be missing
         }
-        if (listed == null || zone < 0 || kind < 0 || !(weight >= 0 && weight <= 1e9)
+        if (availability == null || zone < 0 || kind < 0 || !(weight >= 0 && weight <= 1e9)
                 || !(cell >= 0 && cell <= 65535) || !(started >= 0 && started <= 1e15)) {
             addProblem(problems, "instance " + id
                     + ": lifecycle, zone, machineType, cell, weight or startedAtMs"
                     + " is missing, unknown or out of range");
             return old;
         }
-        return new Member(backend, zone, kind, (int) cell, listed, weight,
+        return new Member(backend, zone, kind, (int) cell, availability, weight,
                 toControllerClock(now, wallMs, backend, (long) started));
     }
 
--- a/src/main/java/rowanmoor/platform/Peer.java
+++ b/src/main/java/rowanmoor/platform/Peer.java
@@ -25,10 +25,10 @@
         void onMessage(Peer peer, List<String> parts) throws MalformedMessageException;
 
         /** A proxy or collector sent a malformed message, which was dropped; the connection stays open. */
-        void onMalformed(Peer peer, MalformedMessageException why);
+        void onMalformed(Peer peer, MalformedMessageException exception);
 
         /** The peer has ended: no further message of it follows. Called once. */
-        void onEnded(Peer peer, String why);
+        void onEnded(Peer peer, String reason);
 
         /** The descriptor is free: at once, or after the final message was written. */
         void onClosed(Peer peer);
@@ -132,13 +132,13 @@
     }
 
     /** Sends the reason, except to a collector, and ends the connection. */
-    void endWithError(String why) {
+    void endWithError(String reason) {
         if (connection.isOpen()) {
             if (role != Role.COLLECTOR) {
-                send(List.of("error", "reason", why));
+                send(List.of("error", "reason", reason));
             }
             connection.closeGracefully();
-            notifyEnded(why);
+            notifyEnded(reason);
             startFinalWriteTimer();
         }
     }
@@ -164,22 +164,22 @@
     }
 
     /** Closes the connection at once. */
-    void abort(String why) {
-        connection.close(CloseReason.LOCAL, why);
+    void abort(String reason) {
+        connection.close(CloseReason.LOCAL, reason);
     }
 
     @Override
-    public void onClose(Connection source, CloseReason why, String detail) {
-        notifyEnded(why + ": " + detail);
+    public void onClose(Connection source, CloseReason reason, String detail) {
+        notifyEnded(reason + ": " + detail);
         deadlineTimer.cancel();
         listener.onClosed(this);
     }
 
-    private void notifyEnded(String why) {
+    private void notifyEnded(String reason) {
         if (!ended) {
             ended = true;
             deadlineTimer.cancel();
-            listener.onEnded(this, why);
+            listener.onEnded(this, reason);
         }
     }
 }
--- a/src/main/java/rowanmoor/platform/PlatformConfig.java
+++ b/src/main/java/rowanmoor/platform/PlatformConfig.java
@@ -38,8 +38,8 @@
             byte[] bytes = Files.readAllBytes(Path.of(file));
             root = Json.parseObject(bytes, 0, bytes.length);
         } catch (IOException e) {
-            String why = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
-            throw new IOException("GW_CONFIG " + file + ": cannot be read: " + why);
+            String reason = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
+            throw new IOException("GW_CONFIG " + file + ": cannot be read: " + reason);
         }
         try {
             Map<String, Object> limits = map(root, "limits");
--- a/src/main/java/rowanmoor/platform/PlatformController.java
+++ b/src/main/java/rowanmoor/platform/PlatformController.java
@@ -62,7 +62,7 @@
 
     private final PlatformConfig config;
     private final Loop loop;
-    private final LongSupplier wallClock;
+    private final LongSupplier wallClockMs;
     private final Consumer<String> log;
     private final Runnable checkConfigFile;
     private final Settings settings;
@@ -93,15 +93,15 @@
     /**
      * Starts to listen; connections are served once the loop runs.
      *
-     * @param wallClock milliseconds since 1970
+     * @param wallClockMs milliseconds since 1970
      * @param checkConfigFile starts a check for a changed configuration; returns at once
      * @throws IOException if the listen address cannot be bound
      */
-    PlatformController(PlatformConfig config, Loop loop, LongSupplier wallClock, Consumer<String> log,
+    PlatformController(PlatformConfig config, Loop loop, LongSupplier wallClockMs, Consumer<String> log,
             Runnable checkConfigFile) throws IOException {
         this.config = config;
         this.loop = loop;
-        this.wallClock = wallClock;
+        this.wallClockMs = wallClockMs;
         this.log = log;
         this.checkConfigFile = checkConfigFile;
         this.settings = config.namedSettings().settings();
@@ -281,9 +281,9 @@
     }
 
     @Override
-    public void onMalformed(Peer peer, MalformedMessageException why) {
+    public void onMalformed(Peer peer, MalformedMessageException exception) {
         malformedCount++;
-        logProblem("dropped: " + why.getMessage());
+        logProblem("dropped: " + exception.getMessage());
     }
 
     @Override
@@ -292,14 +292,14 @@
     }
 
     @Override
-    public void onEnded(Peer peer, String why) {
+    public void onEnded(Peer peer, String reason) {
         switch (peer.role()) {
             case UNJOINED -> unjoined.remove(peer);
             case COLLECTOR -> collectors.get(peer.number()).remove(peer);
             case PROXY -> removeProxy(peer);
         }
         if (peer.role() != Peer.Role.UNJOINED) {
-            logProblem(peer.role() + " " + peer.number() + " left: " + why);
+            logProblem(peer.role() + " " + peer.number() + " left: " + reason);
         }
     }
 
@@ -325,7 +325,7 @@
 
     private void applyCatalogObject(Map<String, Object> object, boolean known) throws IOException {
         List<String> problems = new ArrayList<>();
-        Members members = catalogView.apply(loop.now(), wallClock.getAsLong(), object, known, problems);
+        Members members = catalogView.apply(loop.now(), wallClockMs.getAsLong(), object, known, problems);
         problems.forEach(p -> logProblem("catalog: " + p));
         if (members != null) {
             log.accept("catalog: " + members.kind() + " " + members.version() + ": " + countByState(members));
@@ -343,8 +343,8 @@
     }
 
     @Override
-    public boolean onWatchLost(String why) {
-        logProblem("catalog: watch over: " + why);
+    public boolean onWatchLost(String reason) {
+        logProblem("catalog: watch over: " + reason);
         checkConfigFile.run(); // the catalog may have moved
         if (settings.catalogOnRequest()) {
             tickRunner.onCatalog(new Members(CatalogUpdateKind.FAILED, catalogView.generation(), List.of()));
--- a/src/main/java/rowanmoor/platform/Translator.java
+++ b/src/main/java/rowanmoor/platform/Translator.java
@@ -197,10 +197,10 @@
     }
 
     private void addInstanceIds(List<String> message, String field, Map<Backend, Boolean> ejections,
-            boolean out) {
+            boolean ejected) {
         LinkedHashSet<String> ids = new LinkedHashSet<>();
-        ejections.forEach((backend, isOut) -> {
-            if (isOut == out && instances.id(backend) != null) {
+        ejections.forEach((backend, isEjected) -> {
+            if (isEjected == ejected && instances.id(backend) != null) {
                 ids.add(instances.id(backend));
             }
         });
--- a/src/main/java/rowanmoor/proxy/ChannelClient.java
+++ b/src/main/java/rowanmoor/proxy/ChannelClient.java
@@ -233,8 +233,8 @@
                     public void onData(Connection probe, ByteBuffer bytes) { }
 
                     @Override
-                    public void onClose(Connection probe, CloseReason why, String detail) {
-                        if (why.neverConnected() && up && probedStream == streamNumber) {
+                    public void onClose(Connection probe, CloseReason reason, String detail) {
+                        if (reason.neverConnected() && up && probedStream == streamNumber) {
                             scheduleFirstControllerProbe();
                         }
                     }
@@ -265,7 +265,7 @@
     }
 
     @Override
-    public void onClose(Connection stream, CloseReason why, String detail) {
+    public void onClose(Connection stream, CloseReason reason, String detail) {
         boolean wasUp = up;
         up = false;
         if (wasUp) {
@@ -274,11 +274,11 @@
         if (snapshotTimer != null) {
             snapshotTimer.cancel();
         }
-        if (!why.neverConnected()) {
+        if (!reason.neverConnected()) {
             tap.closed(config.number(), streamNumber, loop.now());
         }
         long waitNs = redial.onStreamEnded(wasUp);
-        LOG.debug("proxy {}: stream ended, {} {}; reconnecting in {} ms", config.number(), why, detail,
+        LOG.debug("proxy {}: stream ended, {} {}; reconnecting in {} ms", config.number(), reason, detail,
                 waitNs / 1_000_000);
         loop.after(waitNs, this::connect);
     }
--- a/src/main/java/rowanmoor/proxy/ForwardedRequest.java
+++ b/src/main/java/rowanmoor/proxy/ForwardedRequest.java
@@ -119,14 +119,14 @@
                 && proxy.router().mayRetry(cls, tried.size(), neverRan, deadlineNs - proxy.now());
     }
 
-    private void retryOrFail(boolean neverRan, String why) {
+    private void retryOrFail(boolean neverRan, String reason) {
         if (finished) {
             return;
         }
         if (mayRetry(neverRan)) {
             startTry();
         } else {
-            fail(502, "the last try failed: " + why);
+            fail(502, "the last try failed: " + reason);
         }
     }
 
@@ -152,14 +152,14 @@
     }
 
     /** Ends the request with an error answer of the proxy, or breaks off a response that has begun. */
-    private void fail(int status, String why) {
+    private void fail(int status, String reason) {
         if (!finished) {
             markFinished();
             proxy.tallies().onUnanswered(cls);
             if (exchange.hasResponseBegun()) {
                 exchange.abort();
             } else {
-                proxy.answerDirectly(exchange, status, why);
+                proxy.answerDirectly(exchange, status, reason);
             }
         }
     }
@@ -299,7 +299,7 @@
             }
 
             @Override
-            public void onFailure(boolean neverRan, CloseReason why, String detail) { }
+            public void onFailure(boolean neverRan, CloseReason reason, String detail) { }
         });
     }
 
@@ -328,7 +328,7 @@
     }
 
     @Override
-    public void onFailure(boolean neverRan, CloseReason why, String detail) {
+    public void onFailure(boolean neverRan, CloseReason reason, String detail) {
         if (stream == null) {
             return;
         }
@@ -337,7 +337,7 @@
         if (responseBegun) {
             fail(502, "the answer broke off");
         } else {
-            retryOrFail(neverRan, why + ": " + detail);
+            retryOrFail(neverRan, reason + ": " + detail);
         }
     }
 
--- a/src/main/java/rowanmoor/proxy/Proxy.java
+++ b/src/main/java/rowanmoor/proxy/Proxy.java
@@ -276,8 +276,8 @@
     }
 
     /** Answers a request without a backend. */
-    void answerDirectly(ServerStream.Exchange exchange, int status, String why) {
-        exchange.respond(status, why + "\n", REASON_FIELD, why, "Content-Type", "text/plain");
+    void answerDirectly(ServerStream.Exchange exchange, int status, String reason) {
+        exchange.respond(status, reason + "\n", REASON_FIELD, reason, "Content-Type", "text/plain");
     }
 
     /** The head to send to a backend; {@code remainingNs} is the time to the deadline. */
@@ -330,10 +330,10 @@
                 CLIENT_IDLE_FACTOR * config.backendIdleTimeoutNs());
         ServerStream stream = new ServerStream(loop, limits, timeouts, this) {
             @Override
-            public void onClose(Connection itsConnection, CloseReason why, String detail) {
+            public void onClose(Connection itsConnection, CloseReason reason, String detail) {
                 clients.remove(this);
                 connectionsByAddress.computeIfPresent(from, (a, n) -> n == 1 ? null : n - 1);
-                super.onClose(itsConnection, why, detail);
+                super.onClose(itsConnection, reason, detail);
                 finishStopIfDone();
             }
         };
@@ -359,7 +359,7 @@
         public void onData(Connection connection, ByteBuffer bytes) { }
 
         @Override
-        public void onClose(Connection connection, CloseReason why, String detail) {
+        public void onClose(Connection connection, CloseReason reason, String detail) {
             rejectedConnections--;
         }
     }
@@ -400,8 +400,8 @@
         return text.matches("[0-9]{1,9}") ? Long.parseLong(text) : -1;
     }
 
-    private void refuse(ServerStream.Exchange exchange, String why) {
-        exchange.respond(policy().refusalStatus(), why + "\n", REASON_FIELD, why,
+    private void refuse(ServerStream.Exchange exchange, String reason) {
+        exchange.respond(policy().refusalStatus(), reason + "\n", REASON_FIELD, reason,
                 "Content-Type", "text/plain", "Retry-After", Integer.toString(policy().retryAfterSeconds()));
     }
 
--- a/src/main/java/rowanmoor/proxy/Router.java
+++ b/src/main/java/rowanmoor/proxy/Router.java
@@ -227,8 +227,8 @@
         }
     }
 
-    private void setWithdrawn(Backend backend, boolean out) {
-        if (out) {
+    private void setWithdrawn(Backend backend, boolean isWithdrawn) {
+        if (isWithdrawn) {
             withdrawn.add(backend);
         } else {
             withdrawn.remove(backend);
@@ -534,9 +534,9 @@
     public boolean mayRetry(int cls, int tries, boolean neverRan, long remainingNs) {
         Frame.Level level = boundTables[cls].levels[cls] == null ? overallLevels[cls]
                 : boundTables[cls].levels[cls];
-        RetryPolicy order = level == null ? site.retryPolicy() : level.retry();
+        RetryPolicy retryPolicy = level == null ? site.retryPolicy() : level.retry();
         boolean safe = neverRan || isSafeToRepeat(cls);
-        boolean ordered = switch (order) {
+        boolean ordered = switch (retryPolicy) {
             case NEVER -> false;
             case ONCE_UNRUN -> tries == 1 && neverRan;
             case ONCE -> tries == 1;
@@ -568,8 +568,9 @@
     public long tryTimeoutNs(int cls) {
         Frame.Level level = boundTables[cls].levels[cls] == null ? overallLevels[cls]
                 : boundTables[cls].levels[cls];
-        RetryPolicy order = level == null ? site.retryPolicy() : level.retry();
-        boolean bounded = (order == RetryPolicy.ONCE || order == RetryPolicy.TWICE) && isSafeToRepeat(cls);
+        RetryPolicy retryPolicy = level == null ? site.retryPolicy() : level.retry();
+        boolean bounded = (retryPolicy == RetryPolicy.ONCE || retryPolicy == RetryPolicy.TWICE)
+                && isSafeToRepeat(cls);
         return bounded ? (long) (site.tryTimeoutAims() * site.classes().get(cls).aim()) : 0;
     }
 
--- a/src/test/java/rowanmoor/MultiPoolFleetTest.java
+++ b/src/test/java/rowanmoor/MultiPoolFleetTest.java
@@ -283,7 +283,7 @@
         }
         fleet.handle(new Members(CatalogUpdateKind.FULL, 3, draining));
         fleet.advance20Seconds();
-        assertEquals(40, fleet.withdrawn.values().stream().filter(out -> out).count());
+        assertEquals(40, fleet.withdrawn.values().stream().filter(withdrawn -> withdrawn).count());
         for (Action action : fleet.allActions) {
             if (action instanceof SetLine line) {
                 assertTrue(line.weight() >= 0 && Double.isFinite(line.weight()), line.toString());
--- a/src/test/java/rowanmoor/TestSettings.java
+++ b/src/test/java/rowanmoor/TestSettings.java
@@ -19,9 +19,9 @@
 
     private TestSettings() { }
 
-    static ClassSpec spec(Idempotency effect, double worth, Set<Integer> onlyZones) {
-        return new ClassSpec(SECOND, 3 * SECOND, worth, 0.2, effect, DedupScope.ZONE, 2 * SECOND,
-                effect != Idempotency.SAFE, false, onlyZones, Set.of());
+    static ClassSpec spec(Idempotency idempotency, double worth, Set<Integer> onlyZones) {
+        return new ClassSpec(SECOND, 3 * SECOND, worth, 0.2, idempotency, DedupScope.ZONE, 2 * SECOND,
+                idempotency != Idempotency.SAFE, false, onlyZones, Set.of());
     }
 
     /**
--- a/src/test/java/rowanmoor/controller/DriverPartsTest.java
+++ b/src/test/java/rowanmoor/controller/DriverPartsTest.java
@@ -162,7 +162,7 @@
             throws IOException, ConfigException {
         Path file = dir.resolve("t.trace");
         Settings settings = ControllerConfig.read(Path.of("conf/controller.kdl")).site().settings(1);
-        try (Trace trace = new Trace(file, settings, 3, why -> { })) {
+        try (Trace trace = new Trace(file, settings, 3, reason -> { })) {
             runScenario(3, trace);
         }
         Trace.ReplayResult replay = Trace.replay(file);
--- a/src/test/java/rowanmoor/discovery/RosterViewTest.java
+++ b/src/test/java/rowanmoor/discovery/RosterViewTest.java
@@ -22,8 +22,8 @@
     private static final long NOW = 1000 * SECOND;
     private final RosterView view = new RosterView(3 * SECOND);
 
-    private static RosterResponse.Entry entry(int i, Availability listed, long started) {
-        return new RosterResponse.Entry(new Backend(i), 0, 0, 0, listed, 1, started, true);
+    private static RosterResponse.Entry entry(int i, Availability availability, long started) {
+        return new RosterResponse.Entry(new Backend(i), 0, 0, 0, availability, 1, started, true);
     }
 
     private static RosterResponse response(RosterResponse.Entry... entries) {
@@ -70,9 +70,9 @@
     @Test
     void indexThatGoesBackwardsMakesTheListStaleAndRestartsFromNoIndex() {
         eventFor(NOW, 50, response(entry(1, Availability.READY, 0)));
-        RosterView.Result step = view.apply(NOW, 0, 3, response(entry(1, Availability.READY, 0)));
-        assertEquals(0, step.index());
-        assertEquals(CatalogUpdateKind.CACHED, step.event().kind());
+        RosterView.Result result = view.apply(NOW, 0, 3, response(entry(1, Availability.READY, 0)));
+        assertEquals(0, result.index());
+        assertEquals(CatalogUpdateKind.CACHED, result.event().kind());
         assertEquals(3, view.apply(NOW, 0, 3, response(entry(1, Availability.READY, 0))).index());
     }
 
--- a/src/test/java/rowanmoor/platform/InMemoryPlatform.java
+++ b/src/test/java/rowanmoor/platform/InMemoryPlatform.java
@@ -192,7 +192,7 @@
                 }
 
                 @Override
-                public void onClose(Connection source, CloseReason why, String detail) {
+                public void onClose(Connection source, CloseReason reason, String detail) {
                     watches.remove(source);
                 }
             });
@@ -267,8 +267,8 @@
         }
 
         @Override
-        public void onClose(Connection source, CloseReason why, String detail) {
-            closeReason = why;
+        public void onClose(Connection source, CloseReason reason, String detail) {
+            closeReason = reason;
         }
 
         /** The pushes received, as field maps. */
--- a/src/test/java/rowanmoor/proxy/ProxyFixture.java
+++ b/src/test/java/rowanmoor/proxy/ProxyFixture.java
@@ -49,7 +49,7 @@
         }
 
         @Override
-        public void onClose(Connection from, CloseReason why, String detail) {
+        public void onClose(Connection from, CloseReason reason, String detail) {
             closed = true;
         }
 
@@ -75,7 +75,7 @@
         }
 
         @Override
-        public void onClose(Connection from, CloseReason why, String detail) {
+        public void onClose(Connection from, CloseReason reason, String detail) {
             closed = true;
         }
 
