--- a/src/main/java/rowanmoor/lab/BenchDayConverter.java
+++ b/src/main/java/rowanmoor/lab/BenchDayConverter.java
@@ -22,7 +22,7 @@
     public record Conversion(String text, List<String> skippedTroubles) { }
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final double MICROS = 1e6;
+    private static final double US_PER_SECOND = 1e6;
 
     private final JsonNode day;
     private final double scale;
@@ -170,7 +170,7 @@
         double work = 0;
         for (JsonNode c : day.get("classes")) {
             shares += c.get("share").asDouble();
-            work += c.get("share").asDouble() * c.get("work").asDouble() / MICROS;
+            work += c.get("share").asDouble() * c.get("work").asDouble() / US_PER_SECOND;
         }
         double rate = day.get("traffic").get("load").asDouble() * capacity / (work / shares);
         line("load {%n    rate \"%.1f/s\"%n    swing 0.1", rate);
--- a/src/main/java/rowanmoor/lab/Charts.java
+++ b/src/main/java/rowanmoor/lab/Charts.java
@@ -23,9 +23,9 @@
 /** A played day's charts, a second to a point: load, service, table versions, levels, lines waiting. */
 final class Charts {
 
-    private static final double SECOND = 1e9;
+    private static final double NS_PER_SECOND = 1e9;
     /** Levels at or above this let everything in and are not drawn. */
-    private static final double OPEN = 1e5;
+    private static final double UNLIMITED_LEVEL = 1e5;
 
     private final DayResult played;
     private final Path directory;
@@ -34,19 +34,19 @@
     Charts(DayResult played, Path directory) {
         this.played = played;
         this.directory = directory;
-        this.seconds = (int) Math.ceil(played.day().length() / SECOND);
+        this.seconds = (int) Math.ceil(played.day().length() / NS_PER_SECOND);
     }
 
     void write() throws IOException {
         outcomes("load", "requests a second", o -> true);
         outcomes("served", "answered within the aim, a second", o -> o.answered()
                 && o.latencyNs() <= played.day().site().classes().get(o.cls()).aim());
-        orders();
+        updates();
         waiting();
     }
 
     private int second(long at) {
-        return (int) Math.floorDiv(at - played.evidence().start(), (long) SECOND);
+        return (int) Math.floorDiv(at - played.evidence().start(), (long) NS_PER_SECOND);
     }
 
     private void outcomes(String name, String axis, Predicate<Clients.RequestOutcome> counts) throws IOException {
@@ -62,11 +62,11 @@
     }
 
     /** Versions and levels as proxies read them. */
-    private void orders() throws IOException {
+    private void updates() throws IOException {
         double[] versions = new double[seconds];
         Map<String, double[]> levels = new TreeMap<>();
         Map<String, FrameReader> readers = new HashMap<>();
-        for (Evidence.Tapped tap : played.evidence().taps()) {
+        for (Evidence.TapEvent tap : played.evidence().tapEvents()) {
             FrameReader reader = readers.computeIfAbsent(tap.proxy() + "/" + tap.stream(),
                     k -> new FrameReader(ChannelLimits.defaults()));
             ByteBuffer bytes = ByteBuffer.wrap(tap.bytes());
@@ -92,7 +92,7 @@
                 : order instanceof Frame.Bind b ? b.table().levels() : List.of();
         for (Frame.Level level : all) {
             for (int c = 0; c < played.classTotals().size(); c++) {
-                if ((level.classMask() >> c & 1) == 1 && level.level() < OPEN) {
+                if ((level.classMask() >> c & 1) == 1 && level.level() < UNLIMITED_LEVEL) {
                     double[] its = levels.computeIfAbsent(played.day().site().classNames().get(c),
                             k -> new double[seconds]);
                     its[second] = its[second] == 0 ? level.level() : Math.min(its[second], level.level());
--- a/src/main/java/rowanmoor/lab/Child.java
+++ b/src/main/java/rowanmoor/lab/ChildProcess.java
@@ -16,19 +16,19 @@
  * One process of this program, started by its own command line. What it prints on both outputs is kept in a
  * file and told line by line, on a thread of its own. Only processes started here are ever signalled.
  */
-final class Child {
+final class ChildProcess {
 
-    private static final long END_SECONDS = 5;
+    private static final long EXIT_TIMEOUT_SECONDS = 5;
 
     private final Process process;
     private final Thread reader;
 
-    private Child(Process process, Thread reader) {
+    private ChildProcess(Process process, Thread reader) {
         this.process = process;
         this.reader = reader;
     }
 
-    static Child start(String name, String heap, Path log, Consumer<String> line, String... arguments)
+    static ChildProcess start(String name, String heap, Path log, Consumer<String> line, String... arguments)
             throws IOException {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx" + heap, "-cp",
@@ -38,7 +38,7 @@
         Thread reader = new Thread(() -> read(process, log, line), name);
         reader.setDaemon(true);
         reader.start();
-        return new Child(process, reader);
+        return new ChildProcess(process, reader);
     }
 
     private static void read(Process process, Path log, Consumer<String> each) {
@@ -64,28 +64,28 @@
     }
 
     /** Makes it stand still, or go on. */
-    void stall(boolean on) throws IOException {
+    void setPaused(boolean on) throws IOException {
         if (process.isAlive()) {
             new ProcessBuilder("kill", on ? "-STOP" : "-CONT", Long.toString(process.pid())).start();
         }
     }
 
-    /** Asks it to end; {@link #awaitEnd} waits for that. */
-    void end() {
+    /** Asks it to end; {@link #awaitExit} waits for that. */
+    void terminate() {
         process.destroy();
     }
 
     /** Waits for its end; false if it is still there after so many milliseconds. */
-    boolean endsWithin(long millis) throws InterruptedException {
+    boolean exitsWithin(long millis) throws InterruptedException {
         return process.waitFor(millis, TimeUnit.MILLISECONDS);
     }
 
-    void awaitEnd() {
+    void awaitExit() {
         try {
-            if (!process.waitFor(END_SECONDS, TimeUnit.SECONDS)) {
+            if (!process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 process.destroyForcibly();
             }
-            reader.join(END_SECONDS * 1000);
+            reader.join(EXIT_TIMEOUT_SECONDS * 1000);
         } catch (InterruptedException e) {
             process.destroyForcibly();
             Thread.currentThread().interrupt();
--- a/src/main/java/rowanmoor/lab/ControllerLoops.java
+++ b/src/main/java/rowanmoor/lab/ControllerLoops.java
@@ -17,13 +17,13 @@
 /** Controllers on loops of a network in memory: the daemon's own code, on a manual clock. */
 final class ControllerLoops implements Controllers {
 
-    private static final long MILLI = 1_000_000L;
+    private static final long NS_PER_MS = 1_000_000L;
 
     private final MemoryNet net;
     private final DayFile day;
     private final Consumer<Throwable> onFault;
     private final Map<Integer, Loop> running = new TreeMap<>();
-    private final Map<Integer, Controller> newest = new TreeMap<>();
+    private final Map<Integer, Controller> latestByRank = new TreeMap<>();
     private long starts;
 
     ControllerLoops(MemoryNet net, DayFile day, Consumer<Throwable> onFault) {
@@ -33,19 +33,19 @@
     }
 
     @Override
-    public void start(int rank, InetSocketAddress roster, Up up) throws IOException {
+    public void start(int rank, InetSocketAddress roster, StartListener up) throws IOException {
         Loop loop = net.newLoop(onFault);
         running.put(rank, loop);
         long epoch = ++starts;
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         ControllerConfig config = new ControllerConfig(day.site(), rank, day.controllerZones().size(),
-                day.controllerZones().get(rank), any, 5 * MILLI, 5000 * MILLI, 3000 * MILLI, 65535, 1 << 20,
-                roster, "backends", day.rosterWait(), day.emptyHold(), "/load", 250 * MILLI, 16, null, null,
-                1000 * MILLI);
+                day.controllerZones().get(rank), any, 5 * NS_PER_MS, 5000 * NS_PER_MS, 3000 * NS_PER_MS, 65535, 1 << 20,
+                roster, "backends", day.rosterWait(), day.emptyHold(), "/load", 250 * NS_PER_MS, 16, null, null,
+                1000 * NS_PER_MS);
         Controller controller = new Controller(config, loop, day.seed() * 31 + epoch, epoch,
-                () -> net.now() / MILLI);
-        newest.put(rank, controller);
-        up.up(rank, controller.address(), epoch);
+                () -> net.now() / NS_PER_MS);
+        latestByRank.put(rank, controller);
+        up.started(rank, controller.address(), epoch);
     }
 
     @Override
@@ -57,19 +57,19 @@
     }
 
     @Override
-    public void stall(int rank, boolean on) {
+    public void setPaused(int rank, boolean on) {
         if (running.containsKey(rank)) {
             net.setFrozen(running.get(rank), on);
         }
     }
 
     @Override
-    public List<Outcome.ControllerStats> met() {
+    public List<Outcome.ControllerStats> totals() {
         List<Outcome.ControllerStats> all = new ArrayList<>();
         for (int rank = 0; rank < day.controllerZones().size(); rank++) {
             Outcome.ControllerStats met = new Outcome.ControllerStats();
-            if (newest.containsKey(rank)) {
-                var driver = newest.get(rank).driver();
+            if (latestByRank.containsKey(rank)) {
+                var driver = latestByRank.get(rank).driver();
                 met.totalQueuedLines = driver.totalQueuedLines();
                 met.maxQueuedLines = driver.maxQueuedLines();
                 met.maxPendingReportLines = driver.maxPendingReportLines();
--- a/src/main/java/rowanmoor/lab/ControllerProcesses.java
+++ b/src/main/java/rowanmoor/lab/ControllerProcesses.java
@@ -26,8 +26,8 @@
     private final DayFile day;
     private final Path dayFile;
     private final Path directory;
-    private final Map<Integer, Child> running = new ConcurrentHashMap<>();
-    private final List<Child> all = Collections.synchronizedList(new ArrayList<>());
+    private final Map<Integer, ChildProcess> running = new ConcurrentHashMap<>();
+    private final List<ChildProcess> all = Collections.synchronizedList(new ArrayList<>());
     private final List<JsonNode> stats = Collections.synchronizedList(new ArrayList<>());
     private int starts;
 
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public void start(int rank, InetSocketAddress roster, Up up) throws IOException {
+    public void start(int rank, InetSocketAddress roster, StartListener up) throws IOException {
         int start = ++starts;
         String name = "controller-" + rank + "-" + start;
         Path config = directory.resolve(name + ".kdl");
@@ -60,7 +60,7 @@
                 quoted(directory.resolve(name + ".trace").toAbsolutePath()),
                 quoted(directory.resolve("capture").toAbsolutePath()), roster.getHostString(),
                 roster.getPort(), day.rosterWait() / 1_000_000, day.emptyHold() / 1_000_000));
-        Child child = Child.start(name, "1g", directory.resolve(name + ".log"), line -> hear(rank, line, up),
+        ChildProcess child = ChildProcess.start(name, "1g", directory.resolve(name + ".log"), line -> handleLogLine(rank, line, up),
                 "controller", "--config", config.toString(), "--seed",
                         Long.toString(day.seed() * 31 + start));
         running.put(rank, child);
@@ -71,7 +71,7 @@
         return path.toString().replace("\\", "\\\\").replace("\"", "\\\"");
     }
 
-    private void hear(int rank, String text, Up up) {
+    private void handleLogLine(int rank, String text, StartListener up) {
         if (!text.startsWith("{")) {
             return;
         }
@@ -84,7 +84,7 @@
         if (line.has("at") && line.has("epoch")) {
             String at = line.get("at").asText();
             InetSocketAddress address = Section.parseAddress(at.replace("localhost", "127.0.0.1"));
-            up.up(rank, address, line.get("epoch").asLong());
+            up.started(rank, address, line.get("epoch").asLong());
         } else if (line.has("decideP99us")) {
             ((ObjectNode) line).put("rank", rank);
             stats.add(line);
@@ -97,7 +97,7 @@
     }
 
     @Override
-    public List<Outcome.ControllerStats> met() {
+    public List<Outcome.ControllerStats> totals() {
         List<Outcome.ControllerStats> all = new ArrayList<>();
         for (int rank = 0; rank < day.controllerZones().size(); rank++) {
             all.add(new Outcome.ControllerStats());
@@ -113,25 +113,25 @@
 
     @Override
     public void kill(int rank) {
-        Child child = running.remove(rank);
+        ChildProcess child = running.remove(rank);
         if (child != null) {
             child.kill();
         }
     }
 
     @Override
-    public void stall(int rank, boolean on) throws IOException {
-        Child child = running.get(rank);
+    public void setPaused(int rank, boolean on) throws IOException {
+        ChildProcess child = running.get(rank);
         if (child != null) {
-            child.stall(on);
+            child.setPaused(on);
         }
     }
 
     @Override
     public void close() {
-        running.values().forEach(Child::end);
+        running.values().forEach(ChildProcess::terminate);
         running.clear();
-        all.forEach(Child::awaitEnd);
+        all.forEach(ChildProcess::awaitExit);
         all.clear();
     }
 }
--- a/src/main/java/rowanmoor/lab/Controllers.java
+++ b/src/main/java/rowanmoor/lab/Controllers.java
@@ -9,21 +9,21 @@
 interface Controllers {
 
     /** Hears that a controller has come up: where it listens, and its epoch. From any thread. */
-    interface Up {
-        void up(int rank, InetSocketAddress at, long epoch);
+    interface StartListener {
+        void started(int rank, InetSocketAddress at, long epoch);
     }
 
     /** Starts a controller that follows this roster. */
-    void start(int rank, InetSocketAddress roster, Up up) throws IOException;
+    void start(int rank, InetSocketAddress roster, StartListener up) throws IOException;
 
     /** Kills it outright. */
     void kill(int rank);
 
     /** Makes it stand still, or go on. */
-    void stall(int rank, boolean on) throws IOException;
+    void setPaused(int rank, boolean on) throws IOException;
 
     /** What each came to, by rank, so far as it has told. */
-    List<Outcome.ControllerStats> met();
+    List<Outcome.ControllerStats> totals();
 
     /** Ends all. */
     void close();
--- a/src/main/java/rowanmoor/lab/DayFile.java
+++ b/src/main/java/rowanmoor/lab/DayFile.java
@@ -37,7 +37,7 @@
     public record BackendGroup(int kind, int zone, int count, double weight, int connections,
             BackendModel.Spec spec) { }
 
-    private static final String WHOLE = "service";
+    private static final String SERVICE_KEY = "service";
 
     public static DayFile read(Path file) throws ConfigException {
         return read(Section.read(file));
@@ -125,10 +125,10 @@
         List<Trouble> troubles = new ArrayList<>();
         for (Section block : root.sections("troubles")) {
             for (Section t : block.children()) {
-                Trouble.Kind kind = Trouble.Kind.words().get(t.nodeName());
+                Trouble.Kind kind = Trouble.Kind.byConfigName().get(t.nodeName());
                 if (kind == null) {
                     block.addProblem(t.nodeName(), "is not a kind of trouble; there are "
-                            + String.join(", ", Trouble.Kind.words().keySet()));
+                            + String.join(", ", Trouble.Kind.byConfigName().keySet()));
                     continue;
                 }
                 int zone = -1;
@@ -152,18 +152,18 @@
     private static Map<String, Double> expectations(Section root, Site site) {
         Map<String, Double> least = new TreeMap<>();
         for (Section e : root.sections("expect")) {
-            if (e.has(WHOLE)) {
-                least.put("", e.number(WHOLE, 0, 1));
+            if (e.has(SERVICE_KEY)) {
+                least.put("", e.number(SERVICE_KEY, 0, 1));
             }
             for (Section c : e.sections("class")) {
                 if (!site.classNames().contains(c.label())) {
                     c.addProblem("", "is not a class of the site");
                 }
-                least.put(c.label(), c.number(WHOLE, 0, 1));
+                least.put(c.label(), c.number(SERVICE_KEY, 0, 1));
                 c.rejectUnknownKeys();
             }
-            if (!e.has(WHOLE) && least.isEmpty()) {
-                e.addProblem(WHOLE, "is missing");
+            if (!e.has(SERVICE_KEY) && least.isEmpty()) {
+                e.addProblem(SERVICE_KEY, "is missing");
             }
             e.rejectUnknownKeys();
         }
@@ -189,13 +189,13 @@
     public DayFile withVariant(double otherRate, long otherLength, double[] otherShares, int backends,
             boolean withTroubles) {
         return new DayFile(name, seed, otherLength, settle, site, controllerZones, proxies, proxySkew,
-                sized(backends), notice, rosterWait, emptyHold, otherRate, rise, swing, swingOver,
+                scaledGroups(backends), notice, rosterWait, emptyHold, otherRate, rise, swing, swingOver,
                         otherShares,
                 work, habits, withTroubles ? troubles : List.of(), Map.of());
     }
 
     /** So many backends, dealt to groups in proportion: what rounding leaves goes to the largest rests. */
-    private List<BackendGroup> sized(int backends) {
+    private List<BackendGroup> scaledGroups(int backends) {
         int now = backendCount();
         if (backends == now) {
             return groups;
--- a/src/main/java/rowanmoor/lab/DayReport.java
+++ b/src/main/java/rowanmoor/lab/DayReport.java
@@ -16,7 +16,7 @@
 public final class DayReport {
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final double SECOND = 1e9;
+    private static final double NS_PER_SECOND = 1e9;
 
     private DayReport() { }
 
@@ -26,7 +26,7 @@
         DayFile day = played.day();
         line(text, "%s, seed %d: %d controllers, %d proxies, %d backends, %.0f requests a second, %.0f s",
                 day.name(), day.seed(), day.controllerZones().size(), day.proxies(), day.backendCount(),
-                day.rate(), day.length() / SECOND);
+                day.rate(), day.length() / NS_PER_SECOND);
         line(text, "%n%-32s %10s %10s  %s", "rule", "limit", "worst", "");
         for (RuleChecker.Verdict v : played.verdicts()) {
             line(text, "%-32s %10.3f %10.3f  %s%s", v.rule(), v.limit(), v.worst(),
--- a/src/main/java/rowanmoor/lab/DayRunner.java
+++ b/src/main/java/rowanmoor/lab/DayRunner.java
@@ -17,10 +17,10 @@
 /** Plays days: on sockets with controllers in processes of their own, or simulated. */
 public final class DayRunner {
 
-    private static final long MILLI = 1_000_000L;
-    private static final long SECOND = 1000 * MILLI;
-    private static final long AFTERWARDS = 2 * SECOND;
-    private static final long SIMULATED_START = 1_000_000 * SECOND;
+    private static final long NS_PER_MS = 1_000_000L;
+    private static final long NS_PER_SECOND = 1000 * NS_PER_MS;
+    private static final long DRAIN_TIME_NS = 2 * NS_PER_SECOND;
+    private static final long SIMULATED_START_NS = 1_000_000 * NS_PER_SECOND;
 
     private DayRunner() { }
 
@@ -32,10 +32,10 @@
      * What a mutant changes.
      *
      * @param controllersDay the day by which controllers are set up
-     * @param between what stands between controllers and proxies
+     * @param controllerWrapper what stands between controllers and proxies
      */
     record Mutant(DayFile controllersDay, Function<ProxyLoops.RouterParts, Router> routers,
-            BiFunction<Loop, Controllers, Controllers> between) {
+            BiFunction<Loop, Controllers, Controllers> controllerWrapper) {
 
         static Mutant none(DayFile day) {
             return new Mutant(day, DayRunner::router, (loop, controllers) -> controllers);
@@ -49,19 +49,19 @@
 
     static DayResult simulate(DayFile day, Mutant mutant) throws IOException {
         List<String> faults = new ArrayList<>();
-        MemoryNet net = new MemoryNet(SIMULATED_START, day.seed());
+        MemoryNet net = new MemoryNet(SIMULATED_START_NS, day.seed());
         Loop stage = net.newLoop(e -> faults.add(e.toString()));
-        Controllers controllers = mutant.between().apply(stage, new ControllerLoops(net,
+        Controllers controllers = mutant.controllerWrapper().apply(stage, new ControllerLoops(net,
                 mutant.controllersDay(), e -> faults.add(e.toString())));
-        Ground ground = new Ground(day, stage, stage, new ProxyLoops(stage, mutant.routers()), controllers,
-                () -> net.now() / MILLI);
+        TestBed ground = new TestBed(day, stage, stage, new ProxyLoops(stage, mutant.routers()), controllers,
+                () -> net.now() / NS_PER_MS);
         long end = ground.start() + day.length();
         net.runUntil(end, () -> false);
-        net.runUntil(end + 60 * SECOND, ground::done);
-        net.runFor(AFTERWARDS);
-        List<Outcome.ControllerStats> met = controllers.met();
+        net.runUntil(end + 60 * NS_PER_SECOND, ground::isDone);
+        net.runFor(DRAIN_TIME_NS);
+        List<Outcome.ControllerStats> met = controllers.totals();
         controllers.close();
-        return played(day, ground, net.now(), List.of(), met, faults);
+        return result(day, ground, net.now(), List.of(), met, faults);
     }
 
     /** Plays a day on loopback sockets in real time. */
@@ -73,7 +73,7 @@
         ProxyProcesses proxies = new ProxyProcesses(file, directory);
         ControllerProcesses controllers = new ControllerProcesses(day, file, directory);
         try {
-            Ground ground = new Ground(day, stage, clientLoop, proxies, controllers,
+            TestBed ground = new TestBed(day, stage, clientLoop, proxies, controllers,
                     System::currentTimeMillis);
             List<Loop> loops = List.of(stage, clientLoop);
             List<Thread> threads = new ArrayList<>();
@@ -90,31 +90,31 @@
                 thread.join();
             }
             controllers.close();
-            return played(day, ground, end, controllers.stats(), controllers.met(), faults);
+            return result(day, ground, end, controllers.stats(), controllers.totals(), faults);
         } finally {
             proxies.close();
             controllers.close();
         }
     }
 
-    private static void awaitEnd(DayFile day, Ground ground, Loop clientLoop) throws InterruptedException {
-        long latest = ground.start() + day.length() + 60 * SECOND;
+    private static void awaitEnd(DayFile day, TestBed ground, Loop clientLoop) throws InterruptedException {
+        long latest = ground.start() + day.length() + 60 * NS_PER_SECOND;
         AtomicBoolean done = new AtomicBoolean();
         while (!done.get() && clientLoop.now() < latest) {
             Thread.sleep(100);
-            clientLoop.post(() -> done.set(ground.done()));
+            clientLoop.post(() -> done.set(ground.isDone()));
         }
-        Thread.sleep(AFTERWARDS / MILLI);
+        Thread.sleep(DRAIN_TIME_NS / NS_PER_MS);
     }
 
     /** The run in the emulator's terms, from what clients, backends and controllers counted. */
-    private static Outcome seen(DayFile day, Ground ground, List<Outcome.ControllerStats> controllers) {
-        int seconds = (int) (day.length() / SECOND) + 1;
+    private static Outcome outcome(DayFile day, TestBed ground, List<Outcome.ControllerStats> controllers) {
+        int seconds = (int) (day.length() / NS_PER_SECOND) + 1;
         double[] good = new double[seconds];
         double[] asked = new double[seconds];
         for (Clients.RequestOutcome o : ground.clients().outcomes()) {
             var spec = day.site().classes().get(o.cls());
-            int second = (int) Math.max(0, Math.min(seconds - 1, (o.arrivedAt() - ground.start()) / SECOND));
+            int second = (int) Math.max(0, Math.min(seconds - 1, (o.arrivedAt() - ground.start()) / NS_PER_SECOND));
             asked[second] += spec.worth();
             good[second] += !o.answered() ? 0 : o.latencyNs() <= spec.aim() ? spec.worth()
                     : spec.worth() * spec.lateWorth();
@@ -129,17 +129,17 @@
             its.tries = met.tries;
             classes.add(its);
         }
-        return new Outcome(classes, ground.backendsMet(), controllers, good, asked, 0, 0);
+        return new Outcome(classes, ground.backendTotals(), controllers, good, asked, 0, 0);
     }
 
-    private static DayResult played(DayFile day, Ground ground, long end,
+    private static DayResult result(DayFile day, TestBed ground, long end,
             List<com.fasterxml.jackson.databind.JsonNode> stats, List<Outcome.ControllerStats> controllers,
             List<String> faults) throws IOException {
         Evidence evidence = ground.evidence(end);
         RuleChecker judge = new RuleChecker(evidence);
         return new DayResult(day, evidence, judge.verdicts(), ground.clients().classStats(),
                 ground.clients().outcomes(),
-                judge.changeToAppliedMillis(), ground.worstPush(), stats, List.copyOf(faults),
-                seen(day, ground, controllers));
+                judge.changeLatenciesMs(), ground.worstColdOverload(), stats, List.copyOf(faults),
+                outcome(day, ground, controllers));
     }
 }
--- a/src/main/java/rowanmoor/lab/EmulatorModels.java
+++ b/src/main/java/rowanmoor/lab/EmulatorModels.java
@@ -10,7 +10,7 @@
 /** A day file as a model for the emulator; what the emulator cannot play is named. */
 public final class EmulatorModels {
 
-    private static final long MILLI = 1_000_000L;
+    private static final long NS_PER_MS = 1_000_000L;
 
     private EmulatorModels() { }
 
@@ -43,7 +43,7 @@
         for (Trouble t : day.troubles()) {
             Model.Fault its = trouble(t, machines, proxyZones, victims);
             if (its == null) {
-                leftOut.add(t.kind().word() + ": the emulator does not play it");
+                leftOut.add(t.kind().configName() + ": the emulator does not play it");
             } else {
                 troubles.add(its);
             }
@@ -51,7 +51,7 @@
         return new Conversion(new Model(day.site(), day.settle(), day.length(), day.rise(),
                 day.controllerZones(),
                 proxyZones,
-                weights, List.copyOf(machines), day.notice(), MILLI / 5, MILLI, day.rate(), day.shares(),
+                weights, List.copyOf(machines), day.notice(), NS_PER_MS / 5, NS_PER_MS, day.rate(), day.shares(),
                 day.work(), cv, day.habits().maxRetries(), day.habits().backoffNs(), day.habits().tryTimeoutFraction(),
                 List.copyOf(troubles)), List.copyOf(leftOut));
     }
--- a/src/main/java/rowanmoor/lab/Experiment.java
+++ b/src/main/java/rowanmoor/lab/Experiment.java
@@ -65,7 +65,7 @@
 
     private record Run(Variant variant, double rate, long seed, String key) { }
 
-    private static final int WINDOW = 10;
+    private static final int WORST_WINDOW_SECONDS = 10;
 
     private final String name;
     private final List<Fleet> fleets = new ArrayList<>();
@@ -154,12 +154,12 @@
 
     /** Plays what the store does not hold, in the emulator on all cores. */
     public Grid run(Path storeFile, Consumer<String> progress) throws IOException {
-        return new Playing(null, progress).run(storeFile);
+        return new Execution(null, progress).run(storeFile);
     }
 
     /** The same on sockets, one run after the other; what runs leave goes into the directory. */
     public Grid runLive(Path storeFile, Path directory, Consumer<String> progress) throws IOException {
-        return new Playing(directory, progress).run(storeFile);
+        return new Execution(directory, progress).run(storeFile);
     }
 
     private List<Variant> variants() {
@@ -187,15 +187,15 @@
     }
 
     /** One time through: what is known, what is played. */
-    private final class Playing {
-        private final Path live;
+    private final class Execution {
+        private final Path liveDirectory;
         private final Consumer<String> progress;
         private final AtomicInteger played = new AtomicInteger();
-        private final AtomicInteger kept = new AtomicInteger();
+        private final AtomicInteger cached = new AtomicInteger();
         private ResultStore store;
 
-        Playing(Path live, Consumer<String> progress) {
-            this.live = live;
+        Execution(Path live, Consumer<String> progress) {
+            this.liveDirectory = live;
             this.progress = progress;
         }
 
@@ -211,7 +211,7 @@
                         found.put(variant, search(variant, cells));
                     }
                 }
-                return new Grid(name, List.copyOf(cells), found, played.get(), kept.get());
+                return new Grid(name, List.copyOf(cells), found, played.get(), cached.get());
             } catch (UncheckedIOException e) {
                 throw e.getCause();
             }
@@ -241,7 +241,7 @@
 
         private List<Run> runs(Variant v, double rate) {
             Fleet fleet = fleet(v);
-            String text = (live == null ? "" : "live/") + rate + "/" + v.backends() + "/" + v.troubles() + "/"
+            String text = (liveDirectory == null ? "" : "live/") + rate + "/" + v.backends() + "/" + v.troubles() + "/"
                     + length + "/" + Arrays.toString(mixes.get(v.mix()));
             return IntStream.rangeClosed(1, seeds).mapToObj(seed -> new Run(v, rate, seed,
                     store.key(fleet.bytes(), text, seed))).toList();
@@ -258,11 +258,11 @@
                     results.put(run.key(), known);
                 }
             }
-            kept.addAndGet(results.size());
+            cached.addAndGet(results.size());
             AtomicInteger done = new AtomicInteger();
-            var stream = live == null ? open.parallelStream() : open.stream();
+            var stream = liveDirectory == null ? open.parallelStream() : open.stream();
             List<Result> fresh = stream.map(run -> {
-                Result result = live == null ? emulated(run) : live(run);
+                Result result = liveDirectory == null ? emulated(run) : live(run);
                 try {
                     store.put(run.key(), result);
                 } catch (IOException e) {
@@ -285,7 +285,7 @@
 
         private Result live(Run run) {
             try {
-                Path own = Files.createTempDirectory(live, "run");
+                Path own = Files.createTempDirectory(liveDirectory, "run");
                 DayResult run1 = DayRunner.runOnSockets(day(run.variant(), run.rate()).seed(run.seed()),
                         fleet(run.variant()).file(), own);
                 if (!run1.faults().isEmpty()) {
@@ -302,7 +302,7 @@
     }
 
     private static Result result(Outcome o) {
-        return new Result(o.service(), o.worstService(WINDOW),
+        return new Result(o.service(), o.worstService(WORST_WINDOW_SECONDS),
                 o.backends().stream().mapToDouble(b -> b.utilization).max().orElse(0),
                 o.controllers().stream().mapToDouble(c -> c.maxQueuedLines).max().orElse(0),
                 o.classes().stream().mapToLong(c -> c.offered).sum(),
--- a/src/main/java/rowanmoor/lab/ForecastVerifier.java
+++ b/src/main/java/rowanmoor/lab/ForecastVerifier.java
@@ -37,12 +37,12 @@
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int FORECAST_SEEDS = 3;
-    private static final int LISTED = 3;
+    private static final int MAX_FINDINGS = 3;
 
     private final Goal goal;
-    private final RunMode ways;
+    private final RunMode mode;
     private final long length;
-    private final int abreast;
+    private final int parallelism;
     private final Path directory;
     private final Consumer<String> progress;
 
@@ -54,9 +54,9 @@
     public ForecastVerifier(Goal goal, RunMode ways, long length, int abreast, Path directory,
             Consumer<String> progress) {
         this.goal = goal;
-        this.ways = ways;
+        this.mode = ways;
         this.length = length;
-        this.abreast = abreast;
+        this.parallelism = abreast;
         this.directory = directory;
         this.progress = progress;
     }
@@ -73,17 +73,17 @@
         List<Trial> trials = new ArrayList<>();
         for (Fleet fleet : fleets) {
             trials.add(new Trial(forecast(fleet.day()), goal, fleet.day().rate()));
-            progress.accept("forecast: " + words(trials.get(trials.size() - 1).forecast()));
+            progress.accept("forecast: " + describe(trials.get(trials.size() - 1).forecast()));
         }
         Files.writeString(directory.resolve("forecasts.json"), forecasts(fleets, trials));
-        ExecutorService players = Executors.newFixedThreadPool(abreast);
+        ExecutorService players = Executors.newFixedThreadPool(parallelism);
         try {
             List<Future<?>> all = new ArrayList<>();
             for (int f = 0; f < fleets.size(); f++) {
                 Fleet fleet = fleets.get(f);
                 Trial trial = trials.get(f);
                 all.add(players.submit(() -> {
-                    steps(fleet, trial);
+                    playSteps(fleet, trial);
                     return null;
                 }));
             }
@@ -110,12 +110,12 @@
         return new Trial.Forecast(day.name(), breaks.rate(), breaks.findings());
     }
 
-    private void steps(Fleet fleet, Trial trial) throws IOException, InterruptedException {
+    private void playSteps(Fleet fleet, Trial trial) throws IOException, InterruptedException {
         int number = 0;
         for (double rate = trial.nextRate(); rate > 0; rate = trial.nextRate()) {
             DayFile day = fleet.day().withoutTroubles(rate, length).seed(fleet.day().seed() + number);
             DayResult played;
-            if (ways == RunMode.SIMULATED) {
+            if (mode == RunMode.SIMULATED) {
                 played = DayRunner.simulate(day);
             } else {
                 Path own = directory.resolve(fleet.day().name().replace(' ', '-') + "-" + number);
@@ -130,7 +130,7 @@
                     Diagnosis.of(model(day, rate), played.outcome()));
             trial.recordStep(step);
             progress.accept(String.format(Locale.ROOT, "%s: %.1f/s, service %.3f, %s", fleet.day().name(),
-                    rate, step.service(), words(step.findings())));
+                    rate, step.service(), describe(step.findings())));
         }
     }
 
@@ -149,7 +149,7 @@
     private static void put(ObjectNode one, Trial.Forecast forecast) {
         one.put("fleet", forecast.fleet()).put("rate", forecast.rate().mean())
                 .put("low", forecast.rate().low()).put("high", forecast.rate().high());
-        forecast.findings().stream().limit(LISTED).forEach(one.withArray("findings")::addPOJO);
+        forecast.findings().stream().limit(MAX_FINDINGS).forEach(one.withArray("findings")::addPOJO);
     }
 
     private static String hash(byte[] bytes) {
@@ -168,20 +168,20 @@
             for (Trial.Step step : trial.steps()) {
                 ObjectNode its = one.withArray("steps").addObject().put("rate", step.rate())
                         .put("service", step.service()).put("kept", step.goalMet());
-                step.findings().stream().limit(LISTED).forEach(its.withArray("findings")::addPOJO);
+                step.findings().stream().limit(MAX_FINDINGS).forEach(its.withArray("findings")::addPOJO);
             }
             one.putPOJO("verdict", trial.verdict());
         }
         return JSON.writerWithDefaultPrettyPrinter().writeValueAsString(all) + "\n";
     }
 
-    private static String words(Trial.Forecast forecast) {
+    private static String describe(Trial.Forecast forecast) {
         return String.format(Locale.ROOT, "%s breaks at %.1f/s (%.1f to %.1f): %s", forecast.fleet(),
                 forecast.rate().mean(), forecast.rate().low(), forecast.rate().high(),
-                words(forecast.findings()));
+                describe(forecast.findings()));
     }
 
-    private static String words(List<Finding> findings) {
+    private static String describe(List<Finding> findings) {
         return findings.isEmpty() ? "nothing" : findings.get(0).resource() + ", " + findings.get(0).location()
                 + " (" + findings.get(0).evidence() + ")";
     }
--- a/src/main/java/rowanmoor/lab/Fuzzer.java
+++ b/src/main/java/rowanmoor/lab/Fuzzer.java
@@ -44,16 +44,16 @@
 
     private static final ChannelLimits CHANNEL_LIMITS = new ChannelLimits(1 << 16, 512, 64);
     private static final MessageLimits HTTP_LIMITS = new MessageLimits(256, 1024, 16, 2048);
-    private static final int INPUT_MOST = 4096;
-    private static final int KINDS_KEPT = 40;
+    private static final int MAX_INPUT_BYTES = 4096;
+    private static final int MAX_REJECTION_KINDS = 40;
     /** Bytes that reading one input may allocate: generous beside the limits, tiny beside a stated 4 GiB. */
-    private static final long ALLOCATION_MOST = 8L << 20;
+    private static final long MAX_ALLOCATED_BYTES = 8L << 20;
 
     private final Target target;
     private final SplittableRandom random;
     private final List<byte[]> corpus;
-    private final Map<String, Long> refusals = new TreeMap<>();
-    private long refused;
+    private final Map<String, Long> rejections = new TreeMap<>();
+    private long rejected;
 
     public Fuzzer(Target target, long seed) {
         this.target = target;
@@ -73,27 +73,27 @@
             long before = threads.getCurrentThreadAllocatedBytes();
             String whole;
             try {
-                whole = story(input, input.length);
+                whole = parseResult(input, input.length);
             } catch (RuntimeException | StackOverflowError e) {
-                return new Result(tried, refused, refusals, most, e + " on " + hex(input));
+                return new Result(tried, rejected, rejections, most, e + " on " + hex(input));
             }
             long allocated = threads.getCurrentThreadAllocatedBytes() - before;
             most = Math.max(most, allocated);
-            if (allocated > ALLOCATION_MOST) {
-                return new Result(tried, refused, refusals, most, allocated + " bytes on " + hex(input));
+            if (allocated > MAX_ALLOCATED_BYTES) {
+                return new Result(tried, rejected, rejections, most, allocated + " bytes on " + hex(input));
             }
-            if (target != Target.KDL && !whole.equals(story(input, 1 + random.nextInt(16)))) {
-                return new Result(tried, refused, refusals, most, "pieces differ on " + hex(input));
+            if (target != Target.KDL && !whole.equals(parseResult(input, 1 + random.nextInt(16)))) {
+                return new Result(tried, rejected, rejections, most, "pieces differ on " + hex(input));
             }
         }
-        return new Result(tried, refused, refusals, most, null);
+        return new Result(tried, rejected, rejections, most, null);
     }
 
     private static String hex(byte[] input) {
         return java.util.HexFormat.of().formatHex(input);
     }
 
-    private String story(byte[] input, int most) {
+    private String parseResult(byte[] input, int most) {
         List<String> story = new ArrayList<>();
         try {
             switch (target) {
@@ -105,11 +105,11 @@
         } catch (ChannelException | HttpError | KdlException e) {
             story.add(e.getMessage());
             if (most == input.length) {
-                refused++;
+                rejected++;
                 String kind = e.getMessage().replaceAll("[0-9]+", "N");
                 kind = kind.length() > 60 ? kind.substring(0, 60) : kind;
-                if (refusals.containsKey(kind) || refusals.size() < KINDS_KEPT) {
-                    refusals.merge(kind, 1L, Long::sum);
+                if (rejections.containsKey(kind) || rejections.size() < MAX_REJECTION_KINDS) {
+                    rejections.merge(kind, 1L, Long::sum);
                 }
             }
         }
@@ -158,12 +158,12 @@
         byte[] bytes = corpus.get(random.nextInt(corpus.size())).clone();
         int changes = random.nextInt(6);
         for (int i = 0; i < changes; i++) {
-            bytes = change(bytes);
+            bytes = mutate(bytes);
         }
-        return bytes.length > INPUT_MOST ? java.util.Arrays.copyOf(bytes, INPUT_MOST) : bytes;
+        return bytes.length > MAX_INPUT_BYTES ? java.util.Arrays.copyOf(bytes, MAX_INPUT_BYTES) : bytes;
     }
 
-    private byte[] change(byte[] bytes) {
+    private byte[] mutate(byte[] bytes) {
         if (bytes.length == 0) {
             return new byte[] {(byte) random.nextInt(256)};
         }
--- a/src/main/java/rowanmoor/lab/ProxyBenchmark.java
+++ b/src/main/java/rowanmoor/lab/ProxyBenchmark.java
@@ -43,12 +43,12 @@
      * What one step came to. Latencies are microseconds from the time at which a request was due.
      *
      * @param cpuMicros of the proxy's thread, a request over it
-     * @param allocated bytes of the proxy's thread, a request over it
+     * @param allocatedBytes bytes of the proxy's thread, a request over it
      * @param seconds until the last answer
      */
-    public record Step(int lines, double rate, Histogram direct, Histogram over, long failed,
+    public record Step(int lines, double rate, Histogram direct, Histogram viaProxy, long failed,
             double cpuMicros,
-            double allocated, double seconds) {
+            double allocatedBytes, double seconds) {
 
         @Override
         public String toString() {
@@ -56,34 +56,34 @@
                     + "  over p50 %6d p99 %7d p99.9 %7d us  added p50 %6d p99 %7d us  good %9.1f/s"
                     + "  failed %d  CPU %.1f us (%.0f/s a core)  %.0f bytes a request",
                     lines, rate, direct.getValueAtPercentile(50), direct.getValueAtPercentile(99),
-                    direct.getValueAtPercentile(99.9), over.getValueAtPercentile(50),
-                    over.getValueAtPercentile(99), over.getValueAtPercentile(99.9),
-                    over.getValueAtPercentile(50) - direct.getValueAtPercentile(50),
-                    over.getValueAtPercentile(99) - direct.getValueAtPercentile(99),
-                    over.getTotalCount() / seconds, failed, cpuMicros, 1e6 / cpuMicros, allocated);
+                    direct.getValueAtPercentile(99.9), viaProxy.getValueAtPercentile(50),
+                    viaProxy.getValueAtPercentile(99), viaProxy.getValueAtPercentile(99.9),
+                    viaProxy.getValueAtPercentile(50) - direct.getValueAtPercentile(50),
+                    viaProxy.getValueAtPercentile(99) - direct.getValueAtPercentile(99),
+                    viaProxy.getTotalCount() / seconds, failed, cpuMicros, 1e6 / cpuMicros, allocatedBytes);
         }
 
     }
 
     private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    private static final long SECOND = 1_000_000_000L;
+    private static final long NS_PER_SECOND = 1_000_000_000L;
     private static final int BACKENDS = 4;
     /** Requests over the proxy that may be unanswered; those beyond it are lost and counted as failed. */
-    private static final int OUT_MOST = 2000;
-    private static final long MOST_MICROS = 60_000_000L;
+    private static final int MAX_IN_FLIGHT = 2000;
+    private static final long MAX_LATENCY_US = 60_000_000L;
 
     private final int lines;
     private final List<Throwable> faults = Collections.synchronizedList(new ArrayList<>());
-    private final Loop far = Loop.onSockets(faults::add);
-    private final Loop middle = Loop.onSockets(faults::add);
-    private final Loop near = Loop.onSockets(faults::add);
+    private final Loop backendLoop = Loop.onSockets(faults::add);
+    private final Loop proxyLoop = Loop.onSockets(faults::add);
+    private final Loop clientLoop = Loop.onSockets(faults::add);
     private final List<InetSocketAddress> backends = new ArrayList<>();
     private final List<Thread> threads = new ArrayList<>();
     private final Proxy proxy;
-    private final ArrayDeque<ClientConnection> straight = new ArrayDeque<>();
-    private final ArrayDeque<ClientConnection> over = new ArrayDeque<>();
-    private final boolean straightToo;
-    private int overOut;
+    private final ArrayDeque<ClientConnection> directConnections = new ArrayDeque<>();
+    private final ArrayDeque<ClientConnection> proxiedConnections = new ArrayDeque<>();
+    private final boolean alsoDirect;
+    private int proxiedInFlight;
 
     /**
      * @param lines of the proxy's table; those beyond the few real backends have next to no weight
@@ -91,9 +91,9 @@
      */
     public ProxyBenchmark(int lines, boolean straightToo) throws IOException, ConfigException {
         this.lines = lines;
-        this.straightToo = straightToo;
+        this.alsoDirect = straightToo;
         for (int b = 0; b < BACKENDS; b++) {
-            backends.add(far.listen(ANY, Connection.Options.defaults(),
+            backends.add(backendLoop.listen(ANY, Connection.Options.defaults(),
                     c -> new ServerConnection(MessageLimits.defaults(), (request, exchange) ->
                             exchange.respond(Message.Response.of(200, "ok")))).address());
         }
@@ -115,13 +115,13 @@
                 """));
         ProxyConfig config = new ProxyConfig(site, 0, "measured", 0, 10, ANY, null, List.of(backends.get(0)),
                 0,
-                60 * SECOND, 60 * SECOND, backends, 15 * SECOND, SECOND, 1 << 16, ForwardingPolicy.defaults());
+                60 * NS_PER_SECOND, 60 * NS_PER_SECOND, backends, 15 * NS_PER_SECOND, NS_PER_SECOND, 1 << 16, ForwardingPolicy.defaults());
         SplittableRandom random = new SplittableRandom(1);
-        Router router = new Router(site, List.of(), random, middle.now());
+        Router router = new Router(site, List.of(), random, proxyLoop.now());
         router.apply(new Frame.Snapshot(1, 0, 0, 0, List.of(new Frame.Table(0, table(), List.of())),
                 List.of(new Frame.Binding(0, 0)), List.of(), List.of()));
-        proxy = new Proxy(config, middle, router, random, Tap.NONE);
-        for (Loop loop : List.of(far, middle, near)) {
+        proxy = new Proxy(config, proxyLoop, router, random, Tap.NONE);
+        for (Loop loop : List.of(backendLoop, proxyLoop, clientLoop)) {
             Thread thread = new Thread(loop, "load-" + threads.size());
             threads.add(thread);
             thread.start();
@@ -139,8 +139,8 @@
 
     /** Plays a step; the first one of a process also compiles and should not be counted. */
     public Step step(double rate, double seconds) throws InterruptedException {
-        Histogram direct = new Histogram(MOST_MICROS, 3);
-        Histogram passed = new Histogram(MOST_MICROS, 3);
+        Histogram direct = new Histogram(MAX_LATENCY_US, 3);
+        Histogram passed = new Histogram(MAX_LATENCY_US, 3);
         long[] failed = new long[1];
         long count = (long) (rate * seconds);
         CountDownLatch done = new CountDownLatch((int) (2 * count));
@@ -148,63 +148,63 @@
         long id = threads.get(1).getId();
         long cpu = threadBean.getThreadCpuTime(id);
         long bytes = threadBean.getThreadAllocatedBytes(id);
-        long began = near.now();
-        near.post(() -> due(near.now(), 0, count, (long) (SECOND / rate), direct, passed, failed, done));
+        long began = clientLoop.now();
+        clientLoop.post(() -> sendDue(clientLoop.now(), 0, count, (long) (NS_PER_SECOND / rate), direct, passed, failed, done));
         done.await((long) (seconds + 60), TimeUnit.SECONDS);
         double used = (threadBean.getThreadCpuTime(id) - cpu) / 1000.0;
         double allocated = threadBean.getThreadAllocatedBytes(id) - bytes;
         return new Step(lines, rate, direct, passed, failed[0], used / count, allocated / count,
-                Math.max(seconds, (near.now() - began) / 1e9));
+                Math.max(seconds, (clientLoop.now() - began) / 1e9));
     }
 
-    private void due(long from, long number, long count, long gap, Histogram direct, Histogram passed,
+    private void sendDue(long from, long number, long count, long gap, Histogram direct, Histogram passed,
             long[] failed, CountDownLatch done) {
         long next = number;
-        for (; next < count && from + next * gap <= near.now(); next++) {
+        for (; next < count && from + next * gap <= clientLoop.now(); next++) {
             long at = from + next * gap;
-            if (straightToo) {
-                ask(straight, backends.get((int) (next % BACKENDS)), at, direct, failed, done);
+            if (alsoDirect) {
+                send(directConnections, backends.get((int) (next % BACKENDS)), at, direct, failed, done);
             } else {
                 done.countDown();
             }
-            ask(over, proxy.address(), at, passed, failed, done);
+            send(proxiedConnections, proxy.address(), at, passed, failed, done);
         }
         long on = next;
         if (on < count) {
-            near.at(from + on * gap, () -> due(from, on, count, gap, direct, passed, failed, done));
+            clientLoop.at(from + on * gap, () -> sendDue(from, on, count, gap, direct, passed, failed, done));
         }
     }
 
-    private void ask(ArrayDeque<ClientConnection> idle, InetSocketAddress to, long at, Histogram took,
+    private void send(ArrayDeque<ClientConnection> idle, InetSocketAddress to, long at, Histogram took,
             long[] failed, CountDownLatch done) {
-        if (idle == over && overOut >= OUT_MOST) {
+        if (idle == proxiedConnections && proxiedInFlight >= MAX_IN_FLIGHT) {
             failed[0]++; // its clients wait for nobody: what cannot be asked is lost
             done.countDown();
             return;
         }
-        overOut += idle == over ? 1 : 0;
+        proxiedInFlight += idle == proxiedConnections ? 1 : 0;
         ClientConnection kept = idle.pollLast();
         while (kept != null && !kept.isAvailable()) {
             kept = idle.pollLast();
         }
-        ClientConnection connection = kept != null ? kept : ClientConnection.open(near, null, to,
+        ClientConnection connection = kept != null ? kept : ClientConnection.open(clientLoop, null, to,
                 Connection.Options.defaults(), MessageLimits.defaults(), c -> { });
         connection.send(Message.Request.get("/x", "Host", "h"), new ClientConnection.ResponseHandler() {
             @Override
             public void onResponse(Message.Response response) {
                 if (response.status() == 200) {
-                    took.recordValue(Math.min(MOST_MICROS, Math.max(0, (near.now() - at) / 1000)));
+                    took.recordValue(Math.min(MAX_LATENCY_US, Math.max(0, (clientLoop.now() - at) / 1000)));
                 } else {
                     failed[0]++;
                 }
-                overOut -= idle == over ? 1 : 0;
+                proxiedInFlight -= idle == proxiedConnections ? 1 : 0;
                 idle.addLast(connection);
                 done.countDown();
             }
 
             @Override
             public void onFailure(boolean neverRan, CloseReason why, String detail) {
-                overOut -= idle == over ? 1 : 0;
+                proxiedInFlight -= idle == proxiedConnections ? 1 : 0;
                 failed[0]++;
                 done.countDown();
             }
@@ -217,7 +217,7 @@
     }
 
     public void close() throws InterruptedException {
-        List.of(far, middle, near).forEach(Loop::stop);
+        List.of(backendLoop, proxyLoop, clientLoop).forEach(Loop::stop);
         for (Thread thread : threads) {
             thread.join();
         }
--- a/src/main/java/rowanmoor/lab/ProxyHost.java
+++ b/src/main/java/rowanmoor/lab/ProxyHost.java
@@ -17,5 +17,5 @@
     void close();
 
     /** What they read of the channel; once they have ended. */
-    List<Evidence.Tapped> taps() throws IOException;
+    List<Evidence.TapEvent> tapEvents() throws IOException;
 }
--- a/src/main/java/rowanmoor/lab/ProxyLoops.java
+++ b/src/main/java/rowanmoor/lab/ProxyLoops.java
@@ -45,7 +45,7 @@
     public void close() { }
 
     @Override
-    public List<Evidence.Tapped> taps() {
-        return recorder.seen();
+    public List<Evidence.TapEvent> tapEvents() {
+        return recorder.events();
     }
 }
--- a/src/main/java/rowanmoor/lab/ProxyProcesses.java
+++ b/src/main/java/rowanmoor/lab/ProxyProcesses.java
@@ -21,13 +21,13 @@
 /** Proxies in processes of their own, so many to a process; each process keeps its taps in a file. */
 final class ProxyProcesses implements ProxyHost {
 
-    private static final Pattern LISTENS = Pattern.compile("proxy ([0-9]+) listens on [^/]*/(\\S+)");
-    private static final int TO_A_PROCESS = 48;
-    private static final long START_SECONDS = 60;
+    private static final Pattern LISTENING_LINE = Pattern.compile("proxy ([0-9]+) listens on [^/]*/(\\S+)");
+    private static final int PROXIES_PER_PROCESS = 48;
+    private static final long START_TIMEOUT_SECONDS = 60;
 
     private final Path dayFile;
     private final Path directory;
-    private final List<Child> children = new ArrayList<>();
+    private final List<ChildProcess> children = new ArrayList<>();
     private final List<Path> tapFiles = new ArrayList<>();
 
     ProxyProcesses(Path dayFile, Path directory) {
@@ -40,16 +40,16 @@
             throws IOException {
         Map<Integer, InetSocketAddress> listening = new ConcurrentHashMap<>();
         CountDownLatch all = new CountDownLatch(configs.size());
-        for (int from = 0; from < configs.size(); from += TO_A_PROCESS) {
-            List<ProxyConfig> its = configs.subList(from, Math.min(configs.size(), from + TO_A_PROCESS));
+        for (int from = 0; from < configs.size(); from += PROXIES_PER_PROCESS) {
+            List<ProxyConfig> its = configs.subList(from, Math.min(configs.size(), from + PROXIES_PER_PROCESS));
             String name = "proxies-" + from;
             Path config = directory.resolve(name + ".kdl");
             Path taps = directory.resolve(name + ".taps");
             Files.writeString(config, "site-from \"" + ControllerProcesses.quoted(dayFile.toAbsolutePath())
-                    + "\"\n" + its.stream().map(ProxyProcesses::block).collect(Collectors.joining()));
+                    + "\"\n" + its.stream().map(ProxyProcesses::configBlock).collect(Collectors.joining()));
             tapFiles.add(taps);
-            children.add(Child.start(name, "1g", directory.resolve(name + ".log"), line -> {
-                Matcher matcher = LISTENS.matcher(line);
+            children.add(ChildProcess.start(name, "1g", directory.resolve(name + ".log"), line -> {
+                Matcher matcher = LISTENING_LINE.matcher(line);
                 if (matcher.matches()) {
                     listening.put(Integer.parseInt(matcher.group(1)), Section.parseAddress(matcher.group(2)));
                     all.countDown();
@@ -57,13 +57,13 @@
             }, "proxy", "--config", config.toString(), "--tap", taps.toString(), "--seed",
                     Long.toString(seed + from)));
         }
-        await(all);
+        awaitListening(all);
         return configs.stream().map(c -> listening.get(c.number())).toList();
     }
 
-    private void await(CountDownLatch all) throws IOException {
+    private void awaitListening(CountDownLatch all) throws IOException {
         try {
-            if (!all.await(START_SECONDS, TimeUnit.SECONDS)) {
+            if (!all.await(START_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 close();
                 throw new IOException("proxies did not start; see " + directory);
             }
@@ -73,7 +73,7 @@
         }
     }
 
-    private static String block(ProxyConfig c) {
+    private static String configBlock(ProxyConfig c) {
         return """
                 proxy {
                     number %d
@@ -86,33 +86,33 @@
                     first-controller %d
                     standing %s
                 }
-                """.formatted(c.number(), c.name(), c.site().zones().get(c.zone()), c.requestsPerSecond(), text(c.localAddress()),
-                texts(c.controllers()), c.firstController(), texts(c.standingBackends()));
+                """.formatted(c.number(), c.name(), c.site().zones().get(c.zone()), c.requestsPerSecond(), quotedAddress(c.localAddress()),
+                quotedAddresses(c.controllers()), c.firstController(), quotedAddresses(c.standingBackends()));
     }
 
-    private static String text(InetSocketAddress at) {
+    private static String quotedAddress(InetSocketAddress at) {
         return "\"" + at.getAddress().getHostAddress() + ":" + at.getPort() + "\"";
     }
 
-    private static String texts(List<InetSocketAddress> all) {
-        return all.stream().map(ProxyProcesses::text).collect(Collectors.joining(" "));
+    private static String quotedAddresses(List<InetSocketAddress> all) {
+        return all.stream().map(ProxyProcesses::quotedAddress).collect(Collectors.joining(" "));
     }
 
     @Override
     public void close() {
-        children.forEach(Child::end);
-        children.forEach(Child::awaitEnd);
+        children.forEach(ChildProcess::terminate);
+        children.forEach(ChildProcess::awaitExit);
         children.clear();
     }
 
     @Override
-    public List<Evidence.Tapped> taps() throws IOException {
+    public List<Evidence.TapEvent> tapEvents() throws IOException {
         Evidence.Recorder recorder = new Evidence.Recorder();
         for (Path file : tapFiles) {
             if (!TapFile.read(file, recorder)) {
                 throw new IOException(file + ": its last record is cut off");
             }
         }
-        return recorder.seen();
+        return recorder.events();
     }
 }
--- a/src/main/java/rowanmoor/lab/ProxyStateModel.java
+++ b/src/main/java/rowanmoor/lab/ProxyStateModel.java
@@ -11,31 +11,31 @@
 /** What a proxy must hold, going by the bytes that it read: the judge's own reckoning of docs/channel.md. */
 final class ProxyStateModel {
 
-    private static final int STANDING = -1;
+    private static final int FALLBACK = -1;
 
-    private final int[] tableOf;
+    private final int[] tableByClass;
     private final Map<Integer, TreeMap<Backend, Double>> tables = new TreeMap<>();
-    private final Map<Integer, TreeMap<Backend, Double>> kept = new TreeMap<>();
+    private final Map<Integer, TreeMap<Backend, Double>> fallbackLines = new TreeMap<>();
     private final TreeSet<Backend> withdrawn = new TreeSet<>();
     private boolean bound;
     private long epoch;
     private long version = -1;
 
     ProxyStateModel(int classes, Collection<Backend> standing) {
-        tableOf = new int[classes];
-        Arrays.fill(tableOf, STANDING);
+        tableByClass = new int[classes];
+        Arrays.fill(tableByClass, FALLBACK);
         TreeMap<Backend, Double> lines = new TreeMap<>();
         standing.forEach(b -> lines.put(b, 1.0));
         for (int c = 0; c < classes; c++) {
-            kept.put(c, lines);
+            fallbackLines.put(c, lines);
         }
     }
 
     /** A stream opens: what is held stays, by class, until this stream binds the class. */
-    void opened() {
-        for (int c = 0; c < tableOf.length; c++) {
-            kept.put(c, new TreeMap<>(lines(c)));
-            tableOf[c] = STANDING;
+    void streamOpened() {
+        for (int c = 0; c < tableByClass.length; c++) {
+            fallbackLines.put(c, new TreeMap<>(lines(c)));
+            tableByClass[c] = FALLBACK;
         }
         tables.clear();
         bound = false;
@@ -43,7 +43,7 @@
     }
 
     private TreeMap<Backend, Double> lines(int cls) {
-        return tableOf[cls] == STANDING ? kept.get(cls) : table(tableOf[cls]);
+        return tableByClass[cls] == FALLBACK ? fallbackLines.get(cls) : table(tableByClass[cls]);
     }
 
     private TreeMap<Backend, Double> table(int number) {
@@ -51,7 +51,7 @@
     }
 
     /** Takes a frame; answers what is wrong with its numbering, or null. */
-    String take(Frame frame) {
+    String apply(Frame frame) {
         if (frame instanceof Frame.Snapshot s) {
             epoch = s.epoch();
             version = s.version();
@@ -71,12 +71,12 @@
                 return "version " + u.epoch() + "/" + u.version() + " after " + epoch + "/" + version;
             }
             version = u.version();
-            u.orders().forEach(this::take);
+            u.orders().forEach(this::apply);
         }
         return null;
     }
 
-    private void take(Frame.Order order) {
+    private void apply(Frame.Order order) {
         if (order instanceof Frame.SetLine o) {
             if (o.line().weight() > 0) {
                 table(o.table()).put(o.line().backend(), o.line().weight());
@@ -114,16 +114,16 @@
     }
 
     private void bind(int classes, int table) {
-        for (int c = 0; c < tableOf.length; c++) {
+        for (int c = 0; c < tableByClass.length; c++) {
             if (classes == 0 || (classes >> c & 1) == 1) {
-                tableOf[c] = table;
+                tableByClass[c] = table;
             }
         }
     }
 
     /** Lines to pick, by class. */
-    int[] open() {
-        int[] open = new int[tableOf.length];
+    int[] availableCounts() {
+        int[] open = new int[tableByClass.length];
         for (int c = 0; c < open.length; c++) {
             open[c] = (int) lines(c).keySet().stream().filter(b -> !withdrawn.contains(b)).count();
         }
@@ -131,13 +131,13 @@
     }
 
     /** In how many classes there are fewer lines to pick than there were. */
-    long fewerThan(int[] before) {
-        int[] now = open();
+    long countDecreases(int[] before) {
+        int[] now = availableCounts();
         return java.util.stream.IntStream.range(0, now.length).filter(c -> now[c] < before[c]).count();
     }
 
     /** Whether there is no line to pick for a class. */
-    boolean bare(int cls) {
+    boolean hasNoBackend(int cls) {
         return withdrawn.containsAll(lines(cls).keySet());
     }
 
--- a/src/main/java/rowanmoor/lab/ResultStore.java
+++ b/src/main/java/rowanmoor/lab/ResultStore.java
@@ -25,9 +25,10 @@
 
     private static final ObjectMapper JSON = new ObjectMapper();
     // The classes whose code a result follows from; others of their packages change with them.
-    private static final List<Class<?>> CODE = List.of(RoutingPolicy.class, Driver.class, Router.class,
+    private static final List<Class<?>> CODE_CLASSES = List.of(RoutingPolicy.class, Driver.class, Router.class,
             Emulator.class);
-    private static final List<String> MORE = List.of("/rowanmoor/FleetState.class", "/rowanmoor/FleetState$Path.class",
+    private static final List<String> CODE_RESOURCES = List.of(
+            "/rowanmoor/FleetState.class", "/rowanmoor/FleetState$PathStats.class",
             "/rowanmoor/controller/Intake.class", "/rowanmoor/controller/Outbox.class",
             "/rowanmoor/host/TableStore.class", "/rowanmoor/host/TickRunner.class",
             "/rowanmoor/host/Fanout.class", "/rowanmoor/emulator/Station.class",
@@ -35,7 +36,7 @@
 
     private final MVStore store;
     private final MVMap<String, String> results;
-    private final byte[] code;
+    private final byte[] codeHash;
 
     ResultStore(Path file) throws IOException {
         try {
@@ -44,15 +45,15 @@
             throw new IOException(file + ": is no store of results, or in use: " + e.getMessage(), e);
         }
         results = store.openMap("results");
-        code = code();
+        codeHash = computeCodeHash();
     }
 
-    private static byte[] code() throws IOException {
+    private static byte[] computeCodeHash() throws IOException {
         HashStream128 hash = Hashing.murmur3_128().hashStream();
-        for (Class<?> one : CODE) {
+        for (Class<?> one : CODE_CLASSES) {
             put(hash, "/" + one.getName().replace('.', '/') + ".class");
         }
-        for (String resource : MORE) {
+        for (String resource : CODE_RESOURCES) {
             put(hash, resource);
         }
         return hash.get().toByteArray();
@@ -69,7 +70,7 @@
 
     /** The key of a run. */
     String key(byte[] fleet, String variant, long seed) {
-        HashValue128 hash = Hashing.murmur3_128().hashStream().putByteArray(code).putByteArray(fleet)
+        HashValue128 hash = Hashing.murmur3_128().hashStream().putByteArray(codeHash).putByteArray(fleet)
                 .putString(variant).putLong(seed).get();
         return hash.toString();
     }
--- a/src/main/java/rowanmoor/lab/SoakClient.java
+++ b/src/main/java/rowanmoor/lab/SoakClient.java
@@ -27,10 +27,10 @@
         void unanswered(String id, long connectedAt, String why);
     }
 
-    private static final int ANSWER_WITHIN_MS = 15_000;
-    private static final int PAUSE_MOST_MS = 40;
-    private static final int REDIAL_MS = 20;
-    private static final int HEAD_MOST = 1 << 14;
+    private static final int RESPONSE_TIMEOUT_MS = 15_000;
+    private static final int MAX_PAUSE_MS = 40;
+    private static final int RECONNECT_DELAY_MS = 20;
+    private static final int MAX_HEAD_BYTES = 1 << 14;
     private static final Pattern STATUS = Pattern.compile("HTTP/1\\.1 (\\d{3}) ");
     private static final Pattern LENGTH = Pattern.compile("(?i)\r\ncontent-length: (\\d+)\r\n");
     private static final Pattern CLOSE = Pattern.compile("(?i)\r\nconnection: close\r\n");
@@ -39,7 +39,7 @@
     private final InetSocketAddress server;
     private final SplittableRandom random;
     private final Listener listener;
-    private final BooleanSupplier goesOn;
+    private final BooleanSupplier running;
     private SocketChannel channel;
     private long connectedAt;
 
@@ -49,17 +49,17 @@
         this.server = server;
         this.random = random;
         this.listener = listener;
-        this.goesOn = goesOn;
+        this.running = goesOn;
     }
 
     @Override
     public void run() {
-        for (int number = 0; goesOn.getAsBoolean(); number++) {
+        for (int number = 0; running.getAsBoolean(); number++) {
             if (connect()) {
-                pause(random.nextInt(PAUSE_MOST_MS));
-                askIfOpen(number);
+                pause(random.nextInt(MAX_PAUSE_MS));
+                sendIfOpen(number);
             } else {
-                pause(REDIAL_MS);
+                pause(RECONNECT_DELAY_MS);
             }
         }
         close();
@@ -71,7 +71,7 @@
         }
         try {
             channel = SocketChannel.open(server);
-            channel.socket().setSoTimeout(ANSWER_WITHIN_MS);
+            channel.socket().setSoTimeout(RESPONSE_TIMEOUT_MS);
             connectedAt = System.nanoTime();
             return true;
         } catch (IOException e) {
@@ -80,8 +80,8 @@
         }
     }
 
-    private void askIfOpen(int number) {
-        if (hasEnded()) {
+    private void sendIfOpen(int number) {
+        if (isClosedByServer()) {
             close();
             return;
         }
@@ -91,7 +91,7 @@
                 + "\r\n\r\n";
         try {
             channel.write(ByteBuffer.wrap(request.getBytes(StandardCharsets.ISO_8859_1)));
-            readAnswer(id);
+            readResponse(id);
         } catch (IOException e) {
             listener.unanswered(id, connectedAt, e.toString());
             close();
@@ -99,7 +99,7 @@
     }
 
     /** Whether the server has ended the connection or said something unasked: nothing is asked on it then. */
-    private boolean hasEnded() {
+    private boolean isClosedByServer() {
         try {
             channel.configureBlocking(false);
             int read = channel.read(ByteBuffer.allocate(1));
@@ -110,12 +110,12 @@
         }
     }
 
-    private void readAnswer(String id) throws IOException {
+    private void readResponse(String id) throws IOException {
         InputStream in = channel.socket().getInputStream();
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             head.append((char) readByte(in));
-            if (head.length() > HEAD_MOST) {
+            if (head.length() > MAX_HEAD_BYTES) {
                 throw new IOException("an endless head");
             }
         }
@@ -141,7 +141,7 @@
             }
             return value;
         } catch (SocketTimeoutException e) {
-            throw new IOException("nothing for " + ANSWER_WITHIN_MS + " ms", e);
+            throw new IOException("nothing for " + RESPONSE_TIMEOUT_MS + " ms", e);
         }
     }
 
--- a/src/main/java/rowanmoor/lab/SoakRun.java
+++ b/src/main/java/rowanmoor/lab/SoakRun.java
@@ -32,16 +32,16 @@
  */
 final class SoakRun implements SoakClient.Listener {
 
-    /** How a process is ended; {@link #KILL_TAKEN_FOR_STOP} is a mutant that the judge has to catch. */
-    enum Ending { STOP, STOP_THEN_KILL, KILL_TAKEN_FOR_STOP }
+    /** How a process is ended; {@link #KILL_INSTEAD_OF_STOP} is a mutant that the judge has to catch. */
+    enum StopMode { STOP, STOP_THEN_KILL, KILL_INSTEAD_OF_STOP }
 
     /**
      * What a seed came to.
      *
      * @param failures what broke a rule, one text each; none if the seed passed
-     * @param readyMillis from each start to the first connection taken, ms
+     * @param startupMillis from each start to the first connection taken, ms
      */
-    record Result(long seed, int answered, int refused, int excused, List<Long> readyMillis,
+    record Result(long seed, int answered, int refused, int excused, List<Long> startupMillis,
             List<String> failures) { }
 
     static final String SAFE_PATH = "/preview";
@@ -50,14 +50,14 @@
     private static final int BACKENDS = 3;
     private static final int CLIENTS = 24;
     private static final int ROUNDS = 3;
-    private static final int CROWD = 60;
-    private static final int STOP_WITHIN_SECONDS = 4;
-    private static final int ENDED_WITHIN_SECONDS = STOP_WITHIN_SECONDS + 2;
-    private static final int STARTED_WITHIN_SECONDS = 30;
+    private static final int IDLE_CONNECTIONS = 60;
+    private static final int STOP_TIMEOUT_SECONDS = 4;
+    private static final int EXIT_TIMEOUT_SECONDS = STOP_TIMEOUT_SECONDS + 2;
+    private static final int START_TIMEOUT_SECONDS = 30;
     private static final int KILL_AFTER_MS = 700;
-    private static final int CLIENTS_DONE_WITHIN_SECONDS = 30;
-    private static final int LISTED = 5;
-    private static final Pattern LISTENS = Pattern.compile("proxy 0 listens on [^/]*/[^:]*:(\\d+)");
+    private static final int CLIENT_TIMEOUT_SECONDS = 30;
+    private static final int MAX_LISTED = 5;
+    private static final Pattern LISTENING_LINE = Pattern.compile("proxy 0 listens on [^/]*/[^:]*:(\\d+)");
     private static final String SETTINGS = """
             site {
                 zones "a"
@@ -90,55 +90,55 @@
     private final long seed;
     private final SplittableRandom random;
     private final Path directory;
-    private final Ending stop;
+    private final StopMode stopMode;
     private final AtomicInteger answered = new AtomicInteger();
     private final AtomicInteger refused = new AtomicInteger();
     private final AtomicInteger excused = new AtomicInteger();
-    private final Map<String, Integer> effects = new ConcurrentHashMap<>();
-    private final ConcurrentLinkedQueue<String> lost = new ConcurrentLinkedQueue<>();
+    private final Map<String, Integer> executionsById = new ConcurrentHashMap<>();
+    private final ConcurrentLinkedQueue<String> lostRequests = new ConcurrentLinkedQueue<>();
     private final List<String> failures = new ArrayList<>();
-    private final List<Long> readyMillis = new ArrayList<>();
-    private final List<Socket> crowd = new ArrayList<>();
+    private final List<Long> startupMillis = new ArrayList<>();
+    private final List<Socket> idleSockets = new ArrayList<>();
     private volatile long killedAt = Long.MIN_VALUE;
-    private volatile boolean clientsGoOn = true;
+    private volatile boolean clientsRunning = true;
     private int port;
 
-    /** @param stop how a planned stop is done: {@link Ending#STOP} but for a mutant */
-    SoakRun(long seed, Path directory, Ending stop) {
+    /** @param stop how a planned stop is done: {@link StopMode#STOP} but for a mutant */
+    SoakRun(long seed, Path directory, StopMode stop) {
         this.seed = seed;
         this.random = new SplittableRandom(seed);
         this.directory = directory;
-        this.stop = stop;
+        this.stopMode = stop;
     }
 
     /** Plays the seed; nothing that it has started goes on after it. */
     Result play() throws IOException, InterruptedException {
-        Loop loop = Loop.onSockets(cause -> lost.add("a stand-in threw: " + cause));
+        Loop loop = Loop.onSockets(cause -> lostRequests.add("a stand-in threw: " + cause));
         List<InetSocketAddress> backends = new ArrayList<>();
         for (int i = 0; i < BACKENDS; i++) {
-            backends.add(backend(loop, random.split()));
+            backends.add(startBackend(loop, random.split()));
         }
         Thread standIns = new Thread(loop, "soak-backends-" + seed);
         standIns.start();
         try {
             playRounds(backends);
         } finally {
-            clientsGoOn = false;
+            clientsRunning = false;
             loop.stop();
             standIns.join();
-            for (Socket socket : crowd) {
+            for (Socket socket : idleSockets) {
                 socket.close();
             }
         }
-        judge();
-        return new Result(seed, answered.get(), refused.get(), excused.get(), readyMillis, failures);
+        checkRules();
+        return new Result(seed, answered.get(), refused.get(), excused.get(), startupMillis, failures);
     }
 
-    private InetSocketAddress backend(Loop loop, SplittableRandom its) throws IOException {
+    private InetSocketAddress startBackend(Loop loop, SplittableRandom its) throws IOException {
         ServerConnection.Service service = (request, exchange) -> {
             String id = request.fields().get("x-request-id");
             if (request.target().startsWith(UNSAFE_PATH)) {
-                effects.merge(id, 1, Integer::sum);
+                executionsById.merge(id, 1, Integer::sum);
             }
             long work = TimeUnit.MILLISECONDS.toNanos(1 + its.nextInt(150));
             loop.after(work, () -> exchange.respond(Message.Response.of(200, "done\n")));
@@ -148,38 +148,38 @@
     }
 
     private void playRounds(List<InetSocketAddress> backends) throws IOException, InterruptedException {
-        Child proxy = start(backends);
+        ChildProcess proxy = startProxy(backends);
         List<Thread> clients = new ArrayList<>();
         try {
             InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             for (int i = 0; i < CLIENTS; i++) {
                 Thread client = new Thread(new SoakClient(seed + "-" + i, at, random.split(), this,
-                        () -> clientsGoOn), "soak-client-" + i);
+                        () -> clientsRunning), "soak-client-" + i);
                 clients.add(client);
                 client.start();
             }
             for (int round = 0; round < ROUNDS; round++) {
                 if (random.nextBoolean()) {
-                    crowdIn(at);
+                    openIdleConnections(at);
                 }
                 Thread.sleep(500 + random.nextInt(1000));
-                end(proxy);
-                proxy = start(backends);
+                stopProxy(proxy);
+                proxy = startProxy(backends);
             }
-            clientsGoOn = false;
-            awaitAll(clients);
+            clientsRunning = false;
+            awaitClients(clients);
         } finally {
-            clientsGoOn = false;
-            proxy.end();
-            proxy.awaitEnd();
+            clientsRunning = false;
+            proxy.terminate();
+            proxy.awaitExit();
         }
     }
 
     /** Connections that say nothing, or half a head, and stay. */
-    private void crowdIn(InetSocketAddress at) throws IOException {
-        for (int i = 0; i < CROWD; i++) {
+    private void openIdleConnections(InetSocketAddress at) throws IOException {
+        for (int i = 0; i < IDLE_CONNECTIONS; i++) {
             Socket socket = new Socket(at.getAddress(), at.getPort());
-            crowd.add(socket);
+            idleSockets.add(socket);
             if (random.nextBoolean()) {
                 byte[] half = "GET /preview HTTP/1.1\r\nHo".getBytes(StandardCharsets.US_ASCII);
                 socket.getOutputStream().write(half);
@@ -187,55 +187,55 @@
         }
     }
 
-    private Child start(List<InetSocketAddress> backends) throws IOException, InterruptedException {
+    private ChildProcess startProxy(List<InetSocketAddress> backends) throws IOException, InterruptedException {
         StringBuilder standing = new StringBuilder();
         backends.forEach(b -> standing.append("\"127.0.0.1:").append(b.getPort()).append("\" "));
         Path settings = directory.resolve("proxy-" + seed + ".kdl");
-        Files.writeString(settings, SETTINGS.formatted(port, standing, STOP_WITHIN_SECONDS));
+        Files.writeString(settings, SETTINGS.formatted(port, standing, STOP_TIMEOUT_SECONDS));
         CompletableFuture<Integer> listens = new CompletableFuture<>();
         long from = System.nanoTime();
-        Path log = directory.resolve("proxy-" + seed + "-" + readyMillis.size() + ".log");
-        Child child = Child.start("soak-proxy-" + seed, "64m", log, line -> {
-            Matcher matcher = LISTENS.matcher(line);
+        Path log = directory.resolve("proxy-" + seed + "-" + startupMillis.size() + ".log");
+        ChildProcess child = ChildProcess.start("soak-proxy-" + seed, "64m", log, line -> {
+            Matcher matcher = LISTENING_LINE.matcher(line);
             if (matcher.matches()) {
                 listens.complete(Integer.parseInt(matcher.group(1)));
             }
         }, "proxy", "--config", settings.toString(), "--seed", Long.toString(seed));
         try {
-            port = listens.get(STARTED_WITHIN_SECONDS, TimeUnit.SECONDS);
+            port = listens.get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
             child.kill();
             throw new IOException("seed " + seed + ": the proxy did not start; see " + log, e);
         }
-        readyMillis.add(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from));
+        startupMillis.add(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from));
         return child;
     }
 
-    private void end(Child proxy) throws InterruptedException {
-        Ending ending = random.nextInt(4) == 0 ? Ending.STOP_THEN_KILL : stop;
+    private void stopProxy(ChildProcess proxy) throws InterruptedException {
+        StopMode ending = random.nextInt(4) == 0 ? StopMode.STOP_THEN_KILL : stopMode;
         int signals = 1 + random.nextInt(3);
-        if (ending == Ending.KILL_TAKEN_FOR_STOP) {
+        if (ending == StopMode.KILL_INSTEAD_OF_STOP) {
             proxy.kill();
         } else {
             for (int i = 0; i < signals; i++) {
-                proxy.end();
+                proxy.terminate();
                 Thread.sleep(random.nextInt(100));
             }
         }
-        if (ending == Ending.STOP_THEN_KILL && !proxy.endsWithin(KILL_AFTER_MS)) {
+        if (ending == StopMode.STOP_THEN_KILL && !proxy.exitsWithin(KILL_AFTER_MS)) {
             killedAt = System.nanoTime();
             proxy.kill();
         }
-        if (!proxy.endsWithin(TimeUnit.SECONDS.toMillis(ENDED_WITHIN_SECONDS))) {
-            failures.add("still there " + ENDED_WITHIN_SECONDS + " s after SIGTERM");
+        if (!proxy.exitsWithin(TimeUnit.SECONDS.toMillis(EXIT_TIMEOUT_SECONDS))) {
+            failures.add("still there " + EXIT_TIMEOUT_SECONDS + " s after SIGTERM");
             killedAt = System.nanoTime();
             proxy.kill();
         }
-        proxy.awaitEnd();
+        proxy.awaitExit();
     }
 
-    private void awaitAll(List<Thread> clients) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(CLIENTS_DONE_WITHIN_SECONDS);
+    private void awaitClients(List<Thread> clients) throws InterruptedException {
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(CLIENT_TIMEOUT_SECONDS);
         for (Thread client : clients) {
             client.join(Math.max(1, TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime())));
             if (client.isAlive()) {
@@ -257,20 +257,20 @@
         if (killedAt != Long.MIN_VALUE && connectedAt - killedAt < 0) {
             excused.incrementAndGet();
         } else {
-            lost.add(id + ": " + why);
+            lostRequests.add(id + ": " + why);
         }
     }
 
-    private void judge() {
-        if (!lost.isEmpty()) {
-            failures.add(lost.size() + " requests written and never answered, first "
-                    + lost.stream().limit(LISTED).toList());
+    private void checkRules() {
+        if (!lostRequests.isEmpty()) {
+            failures.add(lostRequests.size() + " requests written and never answered, first "
+                    + lostRequests.stream().limit(MAX_LISTED).toList());
         }
-        List<String> twice = effects.entrySet().stream().filter(e -> e.getValue() > 1).map(Map.Entry::getKey)
+        List<String> twice = executionsById.entrySet().stream().filter(e -> e.getValue() > 1).map(Map.Entry::getKey)
                 .sorted().toList();
         if (!twice.isEmpty()) {
             failures.add(twice.size() + " unsafe requests ran more than once, first "
-                    + twice.stream().limit(LISTED).toList());
+                    + twice.stream().limit(MAX_LISTED).toList());
         }
         if (answered.get() == 0) {
             failures.add("no request was served at all");
--- a/src/main/java/rowanmoor/lab/SoakRunner.java
+++ b/src/main/java/rowanmoor/lab/SoakRunner.java
@@ -14,8 +14,8 @@
 /** Plays seeds of {@link SoakRun}, so many at a time, and tells a line for each. */
 public final class SoakRunner {
 
-    private static final long READY_SOON_MS = 10_000;
-    private static final double SOON_PART = 0.9;
+    private static final long STARTUP_TARGET_MS = 10_000;
+    private static final double STARTUP_TARGET_FRACTION = 0.9;
 
     private final Path directory;
     private final Consumer<String> out;
@@ -28,10 +28,10 @@
 
     /** Plays the seeds from one to another, both included; true if all passed. */
     public boolean play(long first, long last, int lanes) throws InterruptedException {
-        return play(first, last, lanes, SoakRun.Ending.STOP);
+        return play(first, last, lanes, SoakRun.StopMode.STOP);
     }
 
-    boolean play(long first, long last, int lanes, SoakRun.Ending stop) throws InterruptedException {
+    boolean play(long first, long last, int lanes, SoakRun.StopMode stop) throws InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(lanes);
         List<Future<SoakRun.Result>> runs = new ArrayList<>();
         for (long seed = first; seed <= last; seed++) {
@@ -42,23 +42,23 @@
         List<Long> ready = new ArrayList<>();
         int failed = 0;
         for (int i = 0; i < runs.size(); i++) {
-            failed += tell(first + i, runs.get(i), ready) ? 0 : 1;
+            failed += reportRun(first + i, runs.get(i), ready) ? 0 : 1;
         }
-        long soon = ready.stream().filter(millis -> millis <= READY_SOON_MS).count();
-        boolean readySoon = soon >= SOON_PART * ready.size();
+        long soon = ready.stream().filter(millis -> millis <= STARTUP_TARGET_MS).count();
+        boolean readySoon = soon >= STARTUP_TARGET_FRACTION * ready.size();
         out.accept(runs.size() - failed + " of " + runs.size() + " seeds passed; " + soon + " of "
                 + ready.size() + " starts ready within 10 s, the longest after "
                 + (ready.isEmpty() ? 0 : Collections.max(ready)) + " ms");
         return failed == 0 && readySoon;
     }
 
-    private boolean tell(long seed, Future<SoakRun.Result> run, List<Long> ready)
+    private boolean reportRun(long seed, Future<SoakRun.Result> run, List<Long> ready)
             throws InterruptedException {
         List<String> failures;
         String figures = "";
         try {
             SoakRun.Result result = run.get();
-            ready.addAll(result.readyMillis());
+            ready.addAll(result.startupMillis());
             failures = result.failures();
             figures = result.answered() + " answered, " + result.refused() + " refused, " + result.excused()
                     + " lost to a kill";
--- a/src/main/java/rowanmoor/lab/Ground.java
+++ b/src/main/java/rowanmoor/lab/TestBed.java
@@ -35,44 +35,44 @@
  * All of a run but its controllers: roster, backends and links on one loop (the stage), proxies and
  * clients on theirs. Plays the day's troubles by the stage's timers. Build it before the loops run.
  */
-final class Ground {
+final class TestBed {
 
-    private static final long MILLI = 1_000_000L;
-    private static final long SECOND = 1000 * MILLI;
-    private static final long PAUSE_EVERY = SECOND;
-    private static final int FIRST_ZONE_NET = 10;
+    private static final long NS_PER_MS = 1_000_000L;
+    private static final long NS_PER_SECOND = 1000 * NS_PER_MS;
+    private static final long PAUSE_INTERVAL_NS = NS_PER_SECOND;
+    private static final int FIRST_ZONE_OCTET = 10;
 
     private final DayFile day;
-    private final Loop stage;
+    private final Loop mainLoop;
     private final Loop clientLoop;
     private final ProxyHost proxyHost;
     private final Controllers controllers;
-    private final LongSupplier wall;
+    private final LongSupplier wallClockMs;
     private final Ledger ledger = new Ledger();
     private final List<BackendServer> backends = new ArrayList<>();
-    private final Map<Backend, Evidence.Place> places = new TreeMap<>();
+    private final Map<Backend, Evidence.Placement> placements = new TreeMap<>();
     private final List<List<Link>> links = new ArrayList<>();
     private final List<InetSocketAddress> proxyAddresses;
     private final List<Integer> proxyZones = new ArrayList<>();
-    private final List<List<Backend>> standing = new ArrayList<>();
-    private final Map<Long, Integer> ranks = new ConcurrentHashMap<>();
+    private final List<List<Backend>> standingTables = new ArrayList<>();
+    private final Map<Long, Integer> ranksByEpoch = new ConcurrentHashMap<>();
     private final long[] proxyWeightsMilli;
     private final long start;
-    private final List<Outcome.BackendStats> met = new ArrayList<>();
-    private long heightFrom;
+    private final List<Outcome.BackendStats> backendTotals = new ArrayList<>();
+    private long peakStart;
     private RosterServer roster;
     private Clients clients;
     private final SplittableRandom troubleRandom;
 
     /** @param wall milliseconds since 1970, by which the roster states starts */
-    Ground(DayFile day, Loop stage, Loop clientLoop, ProxyHost proxyHost, Controllers controllers,
+    TestBed(DayFile day, Loop stage, Loop clientLoop, ProxyHost proxyHost, Controllers controllers,
             LongSupplier wall) throws IOException {
         this.day = day;
-        this.stage = stage;
+        this.mainLoop = stage;
         this.clientLoop = clientLoop;
         this.proxyHost = proxyHost;
         this.controllers = controllers;
-        this.wall = wall;
+        this.wallClockMs = wall;
         this.troubleRandom = random(1);
         this.proxyWeightsMilli = proxyWeights();
         buildBackends();
@@ -82,8 +82,8 @@
             startController(rank);
         }
         day.troubles().forEach(this::schedule);
-        stage.at(start + Math.min(day.rise(), day.length() / 2), () -> measure(false));
-        stage.at(start + day.length(), () -> measure(true));
+        stage.at(start + Math.min(day.rise(), day.length() / 2), () -> measureUtilization(false));
+        stage.at(start + day.length(), () -> measureUtilization(true));
         buildClients();
     }
 
@@ -98,18 +98,18 @@
     // ---- building ------------------------------------------------------------------------------------
 
     private void buildBackends() throws IOException {
-        roster = new RosterServer(stage, anyPort(), "backends");
+        roster = new RosterServer(mainLoop, anyPort(), "backends");
         SplittableRandom random = random(2);
         int number = 0;
         for (DayFile.BackendGroup group : day.groups()) {
             for (int i = 0; i < group.count(); i++) {
-                BackendServer server = new BackendServer(stage, anyPort(), group.spec(), group.connections(),
+                BackendServer server = new BackendServer(mainLoop, anyPort(), group.spec(), group.connections(),
                         random.split(), ledger);
                 int spread = number++ % day.site().zones().size();
                 int zone = group.zone() >= 0 ? group.zone() : spread;
                 backends.add(server);
-                met.add(new Outcome.BackendStats());
-                places.put(server.backend(), new Evidence.Place(zone, group.kind()));
+                backendTotals.add(new Outcome.BackendStats());
+                placements.put(server.backend(), new Evidence.Placement(zone, group.kind()));
                 roster.update(new RosterServer.Instance(server.backend(), day.site().zones().get(zone),
                         day.site().kinds().get(group.kind()), group.weight(), Availability.READY, 0, 0));
             }
@@ -131,25 +131,25 @@
             int zone = p % zones;
             List<Link> its = new ArrayList<>();
             for (int c = 0; c < day.controllerZones().size(); c++) {
-                its.add(new Link(stage, anyPort(), null));
+                its.add(new Link(mainLoop, anyPort(), null));
             }
             links.add(its);
             List<Backend> first = standingTable(zone, random);
-            standing.add(first);
+            standingTables.add(first);
             proxyZones.add(zone);
             configs.add(new ProxyConfig(day.site(), p, "proxy-" + p, zone,
                     day.rate() * proxyWeightsMilli[p] / sum, anyPort(), zoneAddress(zone, p),
-                    its.stream().map(Link::address).toList(), p / zones % its.size(), 300 * MILLI, 3 * SECOND,
-                    first.stream().map(Addresses::toSocketAddress).toList(), 15 * SECOND, 250 * MILLI, 4096,
+                    its.stream().map(Link::address).toList(), p / zones % its.size(), 300 * NS_PER_MS, 3 * NS_PER_SECOND,
+                    first.stream().map(Addresses::toSocketAddress).toList(), 15 * NS_PER_SECOND, 250 * NS_PER_MS, 4096,
                             ForwardingPolicy.defaults()));
         }
-        return proxyHost.start(configs, standing, random.nextLong());
+        return proxyHost.start(configs, standingTables, random.nextLong());
     }
 
     private List<Backend> standingTable(int zone, SplittableRandom random) {
-        List<Backend> own = new ArrayList<>(places.keySet().stream().filter(b -> places.get(b).zone() == zone)
+        List<Backend> own = new ArrayList<>(placements.keySet().stream().filter(b -> placements.get(b).zone() == zone)
                 .toList());
-        List<Backend> from = own.size() >= 3 ? own : new ArrayList<>(places.keySet());
+        List<Backend> from = own.size() >= 3 ? own : new ArrayList<>(placements.keySet());
         Collections.shuffle(from, new Random(random.nextLong()));
         return from.stream().limit(day.site().standingBackends()).sorted().toList();
     }
@@ -157,7 +157,7 @@
     /** Loopback addresses tell a proxy's zone: 127.0.10.x is the first zone's. */
     private static InetSocketAddress zoneAddress(int zone, int proxy) {
         try {
-            byte[] address = {127, 0, (byte) (FIRST_ZONE_NET + zone), (byte) (1 + proxy % 250)};
+            byte[] address = {127, 0, (byte) (FIRST_ZONE_OCTET + zone), (byte) (1 + proxy % 250)};
             return new InetSocketAddress(InetAddress.getByAddress(address), 0);
         } catch (UnknownHostException e) {
             throw new IllegalStateException("four bytes are always an address", e);
@@ -165,7 +165,7 @@
     }
 
     private static int zoneOf(InetSocketAddress address) {
-        return address.getAddress().getAddress()[2] - FIRST_ZONE_NET;
+        return address.getAddress().getAddress()[2] - FIRST_ZONE_OCTET;
     }
 
     private void buildClients() {
@@ -177,23 +177,23 @@
     }
 
     /** Notes how busy cores were while load was at its height. */
-    private void measure(boolean end) {
-        long now = stage.now();
+    private void measureUtilization(boolean end) {
+        long now = mainLoop.now();
         for (int b = 0; b < backends.size(); b++) {
             BackendModel model = backends.get(b).model();
             double sum = model.busySeconds(now);
-            Outcome.BackendStats its = met.get(b);
-            its.utilization = end ? (sum - its.utilization) / model.spec().cores() / ((now - heightFrom) / 1e9) : sum;
+            Outcome.BackendStats its = backendTotals.get(b);
+            its.utilization = end ? (sum - its.utilization) / model.spec().cores() / ((now - peakStart) / 1e9) : sum;
         }
-        heightFrom = now;
+        peakStart = now;
     }
 
     /** What each backend came to, in the order of the day's groups; once the loops have ended. */
-    List<Outcome.BackendStats> backendsMet() {
+    List<Outcome.BackendStats> backendTotals() {
         Map<Backend, Outcome.BackendStats> by = new TreeMap<>();
         for (int b = 0; b < backends.size(); b++) {
-            met.get(b).refusedConnections = backends.get(b).refusedConnections();
-            by.put(backends.get(b).backend(), met.get(b));
+            backendTotals.get(b).refusedConnections = backends.get(b).refusedConnections();
+            by.put(backends.get(b).backend(), backendTotals.get(b));
         }
         for (Ledger.Entry entry : ledger.entries()) {
             if (entry.end == Ledger.End.SERVED) {
@@ -202,7 +202,7 @@
                 by.get(entry.backend).rejectedFull++;
             }
         }
-        return met;
+        return backendTotals;
     }
 
     // ---- controllers ---------------------------------------------------------------------------------
@@ -210,8 +210,8 @@
     private void startController(int rank) {
         try {
             controllers.start(rank, roster.address(), (its, at, epoch) -> {
-                ranks.put(epoch, its);
-                stage.post(() -> links.forEach(of -> of.get(its).setTarget(at)));
+                ranksByEpoch.put(epoch, its);
+                mainLoop.post(() -> links.forEach(of -> of.get(its).setTarget(at)));
             });
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -223,9 +223,9 @@
         links.forEach(of -> of.get(rank).setTarget(null));
     }
 
-    private void stallController(int rank, boolean on) {
+    private void setControllerPaused(int rank, boolean on) {
         try {
-            controllers.stall(rank, on);
+            controllers.setPaused(rank, on);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -234,43 +234,43 @@
     // ---- troubles ------------------------------------------------------------------------------------
 
     private void schedule(Trouble trouble) {
-        stage.at(start + trouble.at(), () -> begin(trouble));
+        mainLoop.at(start + trouble.at(), () -> startTrouble(trouble));
     }
 
-    private void until(Trouble trouble, Runnable end) {
-        stage.at(start + trouble.end(), end);
+    private void scheduleEnd(Trouble trouble, Runnable end) {
+        mainLoop.at(start + trouble.end(), end);
     }
 
-    private void begin(Trouble t) {
+    private void startTrouble(Trouble t) {
         switch (t.kind()) {
-            case CRASH -> crash(t, struck(t));
-            case ZONE_LOSS -> crash(t, inZone(t.zone()));
-            case SLOW -> each(t, b -> b.setSlowdown(t.size()), b -> b.setSlowdown(1));
-            case FAST_ERRORS -> each(t, b -> b.setErrorFraction(t.size()), b -> b.setErrorFraction(0));
-            case ANSWERS_LOST -> each(t, b -> b.setLostAnswerFraction(t.size()), b -> b.setLostAnswerFraction(0));
-            case FALSE_REPORTS -> each(t, b -> b.setLoadReportFactor(t.size()), b -> b.setLoadReportFactor(1));
-            case PAUSES -> struck(t).forEach(b -> pause(t, b));
+            case CRASH -> crash(t, affectedBackends(t));
+            case ZONE_LOSS -> crash(t, backendsInZone(t.zone()));
+            case SLOW -> applyToBackends(t, b -> b.setSlowdown(t.size()), b -> b.setSlowdown(1));
+            case FAST_ERRORS -> applyToBackends(t, b -> b.setErrorFraction(t.size()), b -> b.setErrorFraction(0));
+            case ANSWERS_LOST -> applyToBackends(t, b -> b.setLostAnswerFraction(t.size()), b -> b.setLostAnswerFraction(0));
+            case FALSE_REPORTS -> applyToBackends(t, b -> b.setLoadReportFactor(t.size()), b -> b.setLoadReportFactor(1));
+            case PAUSES -> affectedBackends(t).forEach(b -> pause(t, b));
             case BURST -> { } // its arrivals are drawn ahead
             case ZONE_CUT -> cutZone(t);
             case ROSTER_DOWN -> rosterDown(t);
             case ROSTER_EMPTY -> roster.setEmptyAnswers((int) t.size());
             case PROXIES_CUT -> {
-                List<List<Link>> cut = struckLinks(t);
+                List<List<Link>> cut = affectedLinks(t);
                 cut.forEach(of -> of.forEach(l -> l.setPartitioned(true)));
-                until(t, () -> cut.forEach(of -> of.forEach(l -> l.setPartitioned(false))));
+                scheduleEnd(t, () -> cut.forEach(of -> of.forEach(l -> l.setPartitioned(false))));
             }
             case SLOW_READER -> {
-                List<List<Link>> slow = struckLinks(t);
+                List<List<Link>> slow = affectedLinks(t);
                 slow.forEach(of -> of.forEach(l -> l.limitReturnRate((long) t.size())));
-                until(t, () -> slow.forEach(of -> of.forEach(l -> l.limitReturnRate(0))));
+                scheduleEnd(t, () -> slow.forEach(of -> of.forEach(l -> l.limitReturnRate(0))));
             }
             case CONTROLLER_KILL -> {
                 killController(t.controller());
-                until(t, () -> startController(t.controller()));
+                scheduleEnd(t, () -> startController(t.controller()));
             }
             case CONTROLLER_STALL -> {
-                stallController(t.controller(), true);
-                until(t, () -> stallController(t.controller(), false));
+                setControllerPaused(t.controller(), true);
+                scheduleEnd(t, () -> setControllerPaused(t.controller(), false));
             }
             case DRAIN -> drain(t);
             default -> throw new IllegalStateException("no way to play " + t.kind());
@@ -283,30 +283,30 @@
         return mixed.stream().limit(Math.max(1, Math.round(part * all.size()))).toList();
     }
 
-    private List<BackendServer> struck(Trouble t) {
+    private List<BackendServer> affectedBackends(Trouble t) {
         return sample(backends.stream().filter(BackendServer::isRunning).toList(), t.part());
     }
 
-    private List<List<Link>> struckLinks(Trouble t) {
+    private List<List<Link>> affectedLinks(Trouble t) {
         return sample(links, t.part());
     }
 
-    private List<BackendServer> inZone(int zone) {
-        return backends.stream().filter(b -> places.get(b.backend()).zone() == zone).toList();
+    private List<BackendServer> backendsInZone(int zone) {
+        return backends.stream().filter(b -> placements.get(b.backend()).zone() == zone).toList();
     }
 
-    private void each(Trouble t, java.util.function.Consumer<BackendServer> on,
+    private void applyToBackends(Trouble t, java.util.function.Consumer<BackendServer> on,
             java.util.function.Consumer<BackendServer> off) {
-        List<BackendServer> struck = struck(t);
+        List<BackendServer> struck = affectedBackends(t);
         struck.forEach(on);
-        until(t, () -> struck.forEach(off));
+        scheduleEnd(t, () -> struck.forEach(off));
     }
 
     private void pause(Trouble t, BackendServer backend) {
-        if (stage.now() < start + t.end()) {
+        if (mainLoop.now() < start + t.end()) {
             backend.setStalled(true);
-            stage.after((long) (t.size() * MILLI), () -> backend.setStalled(false));
-            stage.after(PAUSE_EVERY + (long) (t.size() * MILLI), () -> pause(t, backend));
+            mainLoop.after((long) (t.size() * NS_PER_MS), () -> backend.setStalled(false));
+            mainLoop.after(PAUSE_INTERVAL_NS + (long) (t.size() * NS_PER_MS), () -> pause(t, backend));
         }
     }
 
@@ -315,29 +315,29 @@
         for (BackendServer backend : struck) {
             RosterServer.Instance listed = roster.instance(backend.backend());
             backend.crash();
-            stage.after(day.notice(), () -> {
+            mainLoop.after(day.notice(), () -> {
                 if (!backend.isRunning()) {
                     roster.update(listed.withAvailability(Availability.GONE));
                 }
             });
-            until(t, () -> {
+            scheduleEnd(t, () -> {
                 try {
                     backend.restart();
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
                 }
-                RosterServer.Instance anew = listed.restarted(wall.getAsLong(), stage.now());
-                stage.after(day.notice(), () -> roster.update(anew));
+                RosterServer.Instance anew = listed.restarted(wallClockMs.getAsLong(), mainLoop.now());
+                mainLoop.after(day.notice(), () -> roster.update(anew));
             });
         }
     }
 
     private void drain(Trouble t) {
-        for (BackendServer backend : sample(inZone(t.zone()), t.part())) {
+        for (BackendServer backend : sample(backendsInZone(t.zone()), t.part())) {
             RosterServer.Instance listed = roster.instance(backend.backend());
             if (listed != null) {
                 roster.update(listed.withAvailability(Availability.DRAINING));
-                until(t, () -> roster.update(listed));
+                scheduleEnd(t, () -> roster.update(listed));
             }
         }
     }
@@ -348,7 +348,7 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        until(t, () -> {
+        scheduleEnd(t, () -> {
             try {
                 roster.setDown(false);
             } catch (IOException e) {
@@ -360,12 +360,12 @@
     /** Streams and requests across the cut stand still; within either side all goes on. */
     private void cutZone(Trouble t) {
         setCut(t.zone(), true);
-        until(t, () -> setCut(t.zone(), false));
+        scheduleEnd(t, () -> setCut(t.zone(), false));
     }
 
     private void setCut(int zone, boolean on) {
         for (BackendServer backend : backends) {
-            boolean inside = places.get(backend.backend()).zone() == zone;
+            boolean inside = placements.get(backend.backend()).zone() == zone;
             backend.partitionFrom(on ? from -> zoneOf(from) >= 0 && zoneOf(from) < day.site().zones().size()
                     && (zoneOf(from) == zone) != inside : null);
         }
@@ -385,7 +385,7 @@
     }
 
     /** Whether the load is over and all is answered; read on the clients' loop. */
-    boolean done() {
+    boolean isDone() {
         return clients.isDone();
     }
 
@@ -395,14 +395,14 @@
 
     /** What was seen; once the loops have ended. */
     Evidence evidence(long end) throws IOException {
-        List<Evidence.Tapped> taps = new ArrayList<>(proxyHost.taps());
-        taps.sort(Comparator.comparingLong(Evidence.Tapped::at));
-        return new Evidence(day.site(), start, end, places, standing, taps, new HashMap<>(ranks), ledger,
+        List<Evidence.TapEvent> taps = new ArrayList<>(proxyHost.tapEvents());
+        taps.sort(Comparator.comparingLong(Evidence.TapEvent::at));
+        return new Evidence(day.site(), start, end, placements, standingTables, taps, new HashMap<>(ranksByEpoch), ledger,
                 roster.answers());
     }
 
     /** The worst multiple of its capacity that was ever sent to a cold backend over a fall span. */
-    double worstPush() {
+    double worstColdOverload() {
         return backends.stream().mapToDouble(b -> b.model().maxColdOverload()).max().orElse(0);
     }
 }
--- a/src/main/java/rowanmoor/lab/Trouble.java
+++ b/src/main/java/rowanmoor/lab/Trouble.java
@@ -50,14 +50,14 @@
         FALSE_REPORTS;
 
         /** As it stands in a day file. */
-        public String word() {
+        public String configName() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
 
-        static Map<String, Kind> words() {
+        static Map<String, Kind> byConfigName() {
             Map<String, Kind> words = new TreeMap<>();
             for (Kind kind : values()) {
-                words.put(kind.word(), kind);
+                words.put(kind.configName(), kind);
             }
             return words;
         }
--- a/src/test/java/rowanmoor/lab/BenchDayTest.java
+++ b/src/test/java/rowanmoor/lab/BenchDayConverterTest.java
@@ -12,7 +12,7 @@
 import rowanmoor.config.ConfigException;
 
 /** A day of the bench's shape, made up for this test. */
-class BenchDayTest {
+class BenchDayConverterTest {
 
     private static final String DAY = """
             {"family":"control","site":"made-up","kind":"big","noise":12345678901,"length":30000000,
@@ -39,12 +39,12 @@
                     + "{\"kind\":1,\"speed\":0.8,\"weight\":4.0}");
 
     @Test
-    void aDayIsConvertedScaledAndPlayedAndWhatCannotBeIsNamed(@TempDir Path dir) throws IOException, ConfigException {
+    void convertsScalesAndPlaysADayAndListsSkippedTroubles(@TempDir Path dir) throws IOException, ConfigException {
         Path json = dir.resolve("day.json");
         Files.writeString(json, DAY);
         BenchDayConverter.Conversion converted = BenchDayConverter.convert(json, 0.5);
         assertEquals(List.of("neighbour at 1000ms for 3000ms: no stand-in plays it"), converted.skippedTroubles());
-        DayFile day = TestDays.of(converted.text());
+        DayFile day = TestDays.parse(converted.text());
         assertEquals(4, day.proxies());
         assertEquals(5, day.backendCount());
         assertEquals(List.of(Trouble.Kind.CRASH, Trouble.Kind.BURST, Trouble.Kind.ZONE_CUT),
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void whatIsNoDayIsRefused(@TempDir Path dir) throws IOException {
+    void refusesAFileThatIsNotADay(@TempDir Path dir) throws IOException {
         Path json = dir.resolve("x.json");
         Files.writeString(json, "{\"family\":\"other\"}");
         assertThrows(IOException.class, () -> BenchDayConverter.convert(json, 1));
--- a/src/test/java/rowanmoor/lab/ExperimentTest.java
+++ b/src/test/java/rowanmoor/lab/ExperimentTest.java
@@ -18,7 +18,7 @@
 
     private Path file(String rates) throws IOException, ConfigException {
         Path day = dir.resolve("day.kdl");
-        Files.writeString(day, TestDays.text().substring(0, TestDays.text().indexOf("troubles {"))
+        Files.writeString(day, TestDays.sampleText().substring(0, TestDays.sampleText().indexOf("troubles {"))
                 .replace("length \"40s\"", "length \"8s\""));
         Path file = dir.resolve("e.kdl");
         Files.writeString(file, "experiment \"x\" { fleet \"day.kdl\"; rates " + rates
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aRerunPlaysOnlyWhatIsNewAndAnswersTheSame() throws IOException, ConfigException {
+    void rerunPlaysOnlyNewRunsAndGivesTheSameResults() throws IOException, ConfigException {
         Path store = dir.resolve("r.mv");
         Experiment.Grid first = Experiment.read(file("\"50/s\" \"600/s\"")).run(store, line -> { });
         assertEquals(8, first.played());
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void aSearchFindsWhereEachVariantFailsAndARerunPlaysNothing() throws IOException, ConfigException {
+    void searchFindsTheFailingRateOfEachVariantAndARerunPlaysNothing() throws IOException, ConfigException {
         file("\"50/s\"");
         Path file = dir.resolve("s.kdl");
         Files.writeString(file, """
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void aFileThatIsNoStoreIsRefusedAndLeftAsItIs() throws IOException, ConfigException {
+    void fileThatIsNotAStoreIsRefusedAndUnchanged() throws IOException, ConfigException {
         Path store = dir.resolve("r.mv");
         Files.writeString(store, "x".repeat(10_000));
         Experiment experiment = Experiment.read(file("\"50/s\""));
--- a/src/test/java/rowanmoor/lab/FrameRelay.java
+++ b/src/test/java/rowanmoor/lab/FrameRelay.java
@@ -32,10 +32,10 @@
     }
 
     @Override
-    public void start(int rank, InetSocketAddress roster, Up up) throws IOException {
+    public void start(int rank, InetSocketAddress roster, StartListener up) throws IOException {
         real.start(rank, roster, (its, at, epoch) -> {
             try {
-                up.up(its, loop.listen(ANY, Connection.Options.defaults(), c -> new Near(at)).address(), epoch);
+                up.started(its, loop.listen(ANY, Connection.Options.defaults(), c -> new ProxySide(at)).address(), epoch);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -43,8 +43,8 @@
     }
 
     @Override
-    public java.util.List<rowanmoor.emulator.Outcome.ControllerStats> met() {
-        return real.met();
+    public java.util.List<rowanmoor.emulator.Outcome.ControllerStats> totals() {
+        return real.totals();
     }
 
     @Override
@@ -53,8 +53,8 @@
     }
 
     @Override
-    public void stall(int rank, boolean on) throws IOException {
-        real.stall(rank, on);
+    public void setPaused(int rank, boolean on) throws IOException {
+        real.setPaused(rank, on);
     }
 
     @Override
@@ -62,11 +62,11 @@
         real.close();
     }
 
-    private final class Near implements ConnectionHandler {
+    private final class ProxySide implements ConnectionHandler {
         private final InetSocketAddress to;
         private Connection far;
 
-        Near(InetSocketAddress to) {
+        ProxySide(InetSocketAddress to) {
             this.to = to;
         }
 
--- a/src/test/java/rowanmoor/lab/FuzzTest.java
+++ b/src/test/java/rowanmoor/lab/FuzzerTest.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** The same mutants at every build; long runs: rowanmoor fuzz. */
-class FuzzTest {
+class FuzzerTest {
 
     @ParameterizedTest
     @EnumSource(Fuzzer.Target.class)
-    void noMutantBreaksAParser(Fuzzer.Target target) {
+    void parserHandlesAllMutants(Fuzzer.Target target) {
         Fuzzer.Result found = new Fuzzer(target, 42).run(10_000, () -> true);
         assertNull(found.failure());
         assertTrue(found.rejected() > 1000 && found.rejected() < 10_000, found.rejected() + " refused");
--- a/src/test/java/rowanmoor/lab/Histories.java
+++ b/src/test/java/rowanmoor/lab/Histories.java
@@ -20,9 +20,9 @@
     static final Path FOLDER = Path.of("src/test/resources/histories");
 
     /** A rule that is broken with a fault, first between two moments (ns from the day's start). */
-    record Rejected(String rule, DayRunner.Mutant fault, long from, long to) { }
+    record Rejection(String rule, DayRunner.Mutant fault, long from, long to) { }
 
-    record History(DayFile day, List<String> meets, List<Rejected> rejects) { }
+    record History(DayFile day, List<String> exercisedRules, List<Rejection> rejections) { }
 
     private Histories() { }
 
@@ -59,32 +59,32 @@
             r.rejectUnknownKeys();
         }
         DayFile day = DayFile.read(root);
-        List<Rejected> faults = new ArrayList<>();
+        List<Rejection> faults = new ArrayList<>();
         for (Object[] a : asked) {
-            faults.add(new Rejected((String) a[0], a[1].equals("told-other") ? toldOther(day, file, text, (String) a[2])
+            faults.add(new Rejection((String) a[0], a[1].equals("told-other") ? otherSite(day, file, text, (String) a[2])
                     : FAULTS.get(a[1]).apply(day), (long) a[3], (long) a[4]));
         }
         return new History(day, meets, faults);
     }
 
     /** Controllers are set up by another site's figures than those that they are judged by. */
-    private static DayRunner.Mutant toldOther(DayFile day, String file, String text, String site) throws ConfigException {
+    private static DayRunner.Mutant otherSite(DayFile day, String file, String text, String site) throws ConfigException {
         Section other = Section.parse(file, text.replaceFirst("site-from \"[^\"]*\"", "site-from \"" + site + "\""));
         other.section("history"); // its own keys were looked at before
         DayRunner.Mutant none = DayRunner.Mutant.none(day);
-        return new DayRunner.Mutant(DayFile.read(other), none.routers(), none.between());
+        return new DayRunner.Mutant(DayFile.read(other), none.routers(), none.controllerWrapper());
     }
 
     private static final Map<String, Function<DayFile, DayRunner.Mutant>> FAULTS = Map.of(
-            "empties-tables", day -> orders(day, order -> order instanceof Frame.Bind b
+            "empties-tables", day -> rewriteOrders(day, order -> order instanceof Frame.Bind b
                     ? new Frame.Bind(b.classMask(), new Frame.Table(b.table().number(), List.of(),
                             b.table().levels()), List.of())
                     : order instanceof Frame.SetLine s ? new Frame.Clear(s.table()) : order),
-            "drops-withdrawals", day -> orders(day, order -> order instanceof Frame.Withdraw w && w.withdrawn()
+            "drops-withdrawals", day -> rewriteOrders(day, order -> order instanceof Frame.Withdraw w && w.withdrawn()
                     || order instanceof Frame.SetLine s && s.line().weight() == 0 ? new Frame.Mark(65535)
                     : order instanceof Frame.Bind b ? new Frame.Bind(b.classMask(), b.table(), List.of()) : order),
             "repeats-unsafe", day -> {
-                DayRunner.Mutant told = orders(day, order -> order instanceof Frame.Bind b
+                DayRunner.Mutant told = rewriteOrders(day, order -> order instanceof Frame.Bind b
                         ? new Frame.Bind(b.classMask(), new Frame.Table(b.table().number(), b.table().lines(),
                                 List.of(new Frame.Level(0, 1e6, RetryPolicy.ONCE))), b.withdrawn()) : order);
                 return new DayRunner.Mutant(day, parts -> new Router(parts.site(), parts.standing(), parts.random(),
@@ -93,10 +93,10 @@
                     protected boolean isSafeToRepeat(int cls) {
                         return true;
                     }
-                }, told.between());
+                }, told.controllerWrapper());
             });
 
-    private static DayRunner.Mutant orders(DayFile day, Function<Frame.Order, Frame.Order> change) {
+    private static DayRunner.Mutant rewriteOrders(DayFile day, Function<Frame.Order, Frame.Order> change) {
         return new DayRunner.Mutant(day, DayRunner.Mutant.none(day).routers(), (loop, real) -> new FrameRelay(loop, real,
                 frame -> frame instanceof Frame.Update u ? new Frame.Update(u.epoch(), u.version(), u.orderedAtNs(),
                         u.queuedLines(), u.orders().stream().map(change).toList()) : frame));
--- a/src/test/java/rowanmoor/lab/HistoriesTest.java
+++ b/src/test/java/rowanmoor/lab/HistoriesTest.java
@@ -31,7 +31,7 @@
             "no cold backend pushed over", "a short queue");
     private static final int SEEDS = 16;
 
-    static Stream<Path> recorded() throws IOException {
+    static Stream<Path> recordedFiles() throws IOException {
         return Histories.files().stream();
     }
 
@@ -44,7 +44,7 @@
                 new AssertionError("there is no rule " + rule));
     }
 
-    private static void accepted(DayResult played, List<String> meets) {
+    private static void assertAccepted(DayResult played, List<String> meets) {
         assertTrue(played.passed(), () -> DayReport.text(played));
         for (String rule : meets) {
             assertTrue(verdict(rule, played.verdicts()).met() > 0, () -> played.day().name() + ": " + rule
@@ -54,10 +54,10 @@
 
     @ParameterizedTest
     @MethodSource("recorded")
-    void aRecordedHistoryIsAcceptedAndWithItsFaultRejectedAtTheRightMoment(Path file) throws IOException, ConfigException {
+    void recordedHistoryIsAcceptedAndRejectedInTimeWithItsFault(Path file) throws IOException, ConfigException {
         Histories.History history = Histories.read(file);
-        accepted(DayRunner.simulate(history.day()), history.meets());
-        for (Histories.Rejected one : history.rejects()) {
+        assertAccepted(DayRunner.simulate(history.day()), history.exercisedRules());
+        for (Histories.Rejection one : history.rejections()) {
             RuleChecker.Verdict broken = verdict(one.rule(), DayRunner.simulate(history.day(), one.fault()).verdicts());
             assertTrue(broken.broken(), "with its fault: " + broken);
             assertFalse(broken.first().isEmpty());
@@ -66,16 +66,16 @@
     }
 
     @Test
-    void eachRuleHasAHistoryThatIsRejectedForIt() throws IOException, ConfigException {
+    void everyRuleHasARejectedHistory() throws IOException, ConfigException {
         TreeSet<String> rejected = new TreeSet<>();
         for (Path file : Histories.files()) {
-            Histories.read(file).rejects().forEach(r -> rejected.add(r.rule()));
+            Histories.read(file).rejections().forEach(r -> rejected.add(r.rule()));
         }
         assertTrue(rejected.containsAll(RULES), rejected.toString());
     }
 
     /** A fleet and its troubles, drawn: 1 to 12 proxies, 1 to 3 controllers; each meets all five rules. */
-    private static DayFile drawn(long seed) throws ConfigException, IOException {
+    private static DayFile generatedDay(long seed) throws ConfigException, IOException {
         SplittableRandom random = new SplittableRandom(seed);
         int proxies = seed % 4 == 0 ? 1 : 2 + random.nextInt(11);
         String controllers = List.of("\"north\"", "\"north\" \"south\"", "\"north\" \"south\" \"north\"")
@@ -112,27 +112,27 @@
                 """, seed, seed, Histories.FOLDER.resolve("site.kdl").toAbsolutePath(), controllers, proxies,
                 4 + random.nextInt(4), queue, 3 + random.nextInt(3), queue, 300 + random.nextInt(700),
                 1 + 8 * random.nextDouble(), random.nextBoolean() ? "north" : "south", more);
-        return TestDays.of(text);
+        return TestDays.parse(text);
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void aSeededHistoryKeepsAllRulesAndMeetsThem(long seed) throws IOException, ConfigException {
-        DayFile day = drawn(seed);
+    void generatedHistoryKeepsAndExercisesAllRules(long seed) throws IOException, ConfigException {
+        DayFile day = generatedDay(seed);
         // One proxy's messages seldom wait for one another.
-        accepted(DayRunner.simulate(day), day.proxies() > 1 ? RULES : RULES.subList(0, 4));
+        assertAccepted(DayRunner.simulate(day), day.proxies() > 1 ? RULES : RULES.subList(0, 4));
     }
 
     @Test
-    void theSameSeedGivesTheSameBytesOfEvidence() throws IOException, ConfigException {
+    void sameSeedGivesIdenticalEvidence() throws IOException, ConfigException {
         assertEquals(digest(3), digest(3));
         assertNotEquals(digest(3), digest(4));
     }
 
     private static long digest(long seed) throws IOException, ConfigException {
-        Evidence seen = DayRunner.simulate(drawn(seed)).evidence();
+        Evidence seen = DayRunner.simulate(generatedDay(seed)).evidence();
         long digest = 1;
-        for (Evidence.Tapped tap : seen.taps()) {
+        for (Evidence.TapEvent tap : seen.tapEvents()) {
             digest = 31 * digest + Arrays.hashCode(tap.bytes()) + tap.at() + tap.proxy();
         }
         for (var entry : seen.ledger().entries()) {
@@ -142,7 +142,7 @@
     }
 
     @Test
-    void aHistoryThatIsCutOrMalformedIsRefusedWithFileAndLine() throws IOException {
+    void truncatedOrMalformedHistoryIsRefusedWithFileAndLine() throws IOException {
         Path file = Histories.FOLDER.resolve("one-proxy.kdl");
         String text = Files.readString(file);
         ConfigException cut = assertThrows(ConfigException.class, () -> Histories.read("h.kdl", text.substring(0,
--- a/src/test/java/rowanmoor/lab/JudgeTest.java
+++ b/src/test/java/rowanmoor/lab/RuleCheckerTest.java
@@ -20,42 +20,42 @@
 import rowanmoor.standin.RosterServer;
 
 /** What the judge once did not see, from evidence written out by hand: proxy 0, controller 0, backend B. */
-class JudgeTest {
+class RuleCheckerTest {
 
     private static final long SECOND = 1_000_000_000L;
     private static final Backend B = new Backend(0x7f000001_2328L);
-    private final List<Evidence.Tapped> taps = new ArrayList<>();
+    private final List<Evidence.TapEvent> taps = new ArrayList<>();
     private final List<RosterServer.SentAnswer> answers = new ArrayList<>();
     private final Ledger ledger = new Ledger();
 
-    private void read(double at, Frame frame) {
+    private void proxyReads(double at, Frame frame) {
         var bytes = Codec.encode(frame);
         byte[] copy = new byte[bytes.remaining()];
         bytes.get(copy);
-        taps.add(new Evidence.Tapped(0, 1, (long) (at * SECOND), Evidence.What.READ, copy));
+        taps.add(new Evidence.TapEvent(0, 1, (long) (at * SECOND), Evidence.TapEventType.READ, copy));
     }
 
-    private void joins(double at) {
-        taps.add(new Evidence.Tapped(0, 1, (long) (at * SECOND), Evidence.What.OPENED, new byte[0]));
-        read(at, new Frame.Snapshot(7, 0, 0, 0, List.of(), List.of(), List.of(), List.of()));
+    private void proxyJoins(double at) {
+        taps.add(new Evidence.TapEvent(0, 1, (long) (at * SECOND), Evidence.TapEventType.OPENED, new byte[0]));
+        proxyReads(at, new Frame.Snapshot(7, 0, 0, 0, List.of(), List.of(), List.of(), List.of()));
     }
 
-    private void told(double at, Availability listed, double startedAt) {
+    private void rosterAnswers(double at, Availability listed, double startedAt) {
         answers.add(new RosterServer.SentAnswer("rowanmoor-0", (long) (at * SECOND), List.of(new RosterServer.Instance(B,
                 "north", "fast", 1, listed, (long) (startedAt * 1000), (long) (startedAt * SECOND)))));
     }
 
     private RuleChecker.Verdict verdict(String rule, double end, List<Backend> standing) throws ConfigException {
         Site site = Site.of(Section.read(Path.of("src/test/resources/histories/limited.kdl")));
-        Evidence evidence = new Evidence(site, 0, (long) (end * SECOND), Map.of(B, new Evidence.Place(0, 0)),
+        Evidence evidence = new Evidence(site, 0, (long) (end * SECOND), Map.of(B, new Evidence.Placement(0, 0)),
                 List.of(standing), taps, Map.of(7L, 0), ledger, answers);
         return new RuleChecker(evidence).verdicts().stream().filter(v -> v.rule().equals(rule)).findFirst().orElseThrow();
     }
 
     @Test
-    void aBackendThatGetsWarmBetweenTwoAnswersEndsTheExcuseOfABareProxy() throws ConfigException {
-        told(100, Availability.READY, 100);
-        joins(101);
+    void timeWithoutBackendCountsOnceABackendIsWarmBetweenTwoAnswers() throws ConfigException {
+        rosterAnswers(100, Availability.READY, 100);
+        proxyJoins(101);
         RuleChecker.Verdict bare = verdict("no proxy without a backend", 120, List.of());
         assertTrue(bare.broken(), bare.toString()); // warm at 108, bare for more than 3 s from there
         assertEquals(111 * SECOND, bare.firstAt());
@@ -63,9 +63,9 @@
     }
 
     @Test
-    void aDrainHoldsForAControllerThatNeverSawTheBackendReady() throws ConfigException {
-        told(100, Availability.DRAINING, 0);
-        joins(101);
+    void drainAppliesToAControllerThatNeverSawTheBackendReady() throws ConfigException {
+        rosterAnswers(100, Availability.DRAINING, 0);
+        proxyJoins(101);
         ledger.open(B, "r1", "/preview/1", 0, 1, 103 * SECOND);
         assertFalse(verdict("drains kept", 120, List.of(B)).broken(), "2 s after the join");
         ledger.open(B, "r2", "/preview/2", 0, 1, 104 * SECOND);
@@ -75,14 +75,14 @@
     }
 
     @Test
-    void snapshotsThatWereAskedForCountInTheQueue() throws ConfigException {
-        joins(100);
+    void requestedSnapshotsCountInTheQueue() throws ConfigException {
+        proxyJoins(100);
         List<Frame.Line> lines = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             lines.add(new Frame.Line(new Backend(i), 1));
         }
         for (int i = 0; i < 12; i++) {
-            read(101, new Frame.Snapshot(7, i, 101 * SECOND, 0, List.of(new Frame.Table(1, lines, List.of())),
+            proxyReads(101, new Frame.Snapshot(7, i, 101 * SECOND, 0, List.of(new Frame.Table(1, lines, List.of())),
                     List.of(new Frame.Binding(1, 3)), List.of(), List.of()));
         }
         RuleChecker.Verdict queue = verdict("a short queue", 120, List.of(B));
@@ -90,10 +90,10 @@
     }
 
     @Test
-    void messagesToOneProxyAreCountedOverTheirSpan() throws ConfigException {
-        joins(100);
+    void messagesPerProxyAreCountedOverTheWindow() throws ConfigException {
+        proxyJoins(100);
         for (int i = 0; i < 21; i++) {
-            read(100.1 + i * 0.3, new Frame.Update(7, i + 1, 0, 0, List.of(new Frame.Mark(i))));
+            proxyReads(100.1 + i * 0.3, new Frame.Update(7, i + 1, 0, 0, List.of(new Frame.Mark(i))));
         }
         RuleChecker.Verdict budget = verdict("messages within their limit", 120, List.of(B));
         assertTrue(budget.broken(), budget.toString());
--- a/src/test/java/rowanmoor/lab/SoakTest.java
+++ b/src/test/java/rowanmoor/lab/SoakRunnerTest.java
@@ -10,22 +10,22 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Real proxy processes, stopped and started under load: fixed seeds, and a mutant that must be caught. */
-class SoakTest {
+class SoakRunnerTest {
 
     @TempDir
     Path directory;
 
     @Test
-    void noRequestIsLostWhileProxiesAreStoppedAndStarted() throws InterruptedException {
+    void noRequestIsLostWhileProxiesRestart() throws InterruptedException {
         List<String> told = new ArrayList<>();
         assertTrue(new SoakRunner(directory, told::add).play(1, 3, 2), told::toString);
     }
 
     /** A process that ends at once, with requests read and unanswered, though it was only told to stop. */
     @Test
-    void aProcessThatEndsAtOnceIsCaught() throws InterruptedException {
+    void processKilledInsteadOfStoppedIsDetected() throws InterruptedException {
         List<String> told = new ArrayList<>();
-        assertFalse(new SoakRunner(directory, told::add).play(3, 3, 1, SoakRun.Ending.KILL_TAKEN_FOR_STOP), told::toString);
+        assertFalse(new SoakRunner(directory, told::add).play(3, 3, 1, SoakRun.StopMode.KILL_INSTEAD_OF_STOP), told::toString);
         assertTrue(told.stream().anyMatch(line -> line.contains("never answered")), told::toString);
         assertTrue(told.stream().anyMatch(line -> line.contains("--seeds 3..3")), told::toString);
     }
--- a/src/test/java/rowanmoor/lab/TestDays.java
+++ b/src/test/java/rowanmoor/lab/TestDays.java
@@ -11,19 +11,19 @@
 
     private TestDays() { }
 
-    static String text() throws IOException {
+    static String sampleText() throws IOException {
         return Files.readString(Path.of("days/bad-day.kdl"));
     }
 
-    static DayFile of(String text) throws ConfigException {
+    static DayFile parse(String text) throws ConfigException {
         return DayFile.read(Section.parse("test.kdl", text));
     }
 
     /** The sample of a length with only these troubles and no expectations. */
-    static DayFile with(String length, String troubles) throws IOException, ConfigException {
-        String text = text();
+    static DayFile sampleWithTroubles(String length, String troubles) throws IOException, ConfigException {
+        String text = sampleText();
         int from = text.indexOf("troubles {");
-        return of(text.substring(0, from).replace("length \"40s\"", "length \"" + length + "\"")
+        return parse(text.substring(0, from).replace("length \"40s\"", "length \"" + length + "\"")
                 + "troubles { " + troubles + " }\n");
     }
 }
--- a/src/test/java/rowanmoor/perf/WireBenchmark.java
+++ b/src/test/java/rowanmoor/perf/WireBenchmark.java
@@ -64,22 +64,22 @@
     }
 
     @Benchmark
-    public Object encodeBindOf25() {
+    public Object encodeBindWith25Lines() {
         return Codec.encode(bind);
     }
 
     @Benchmark
-    public Object decodeBindOf25() throws ChannelException {
+    public Object decodeBindWith25Lines() throws ChannelException {
         return new FrameReader(ChannelLimits.defaults()).next(ByteBuffer.wrap(encodedBind));
     }
 
     @Benchmark
-    public Object encodeTwoLines() {
+    public Object encodeUpdateWithTwoLines() {
         return Codec.encode(lines);
     }
 
     @Benchmark
-    public Object decodeTwoLines() throws ChannelException {
+    public Object decodeUpdateWithTwoLines() throws ChannelException {
         return new FrameReader(ChannelLimits.defaults()).next(ByteBuffer.wrap(encodedLines));
     }
 
@@ -89,7 +89,7 @@
     }
 
     @Benchmark
-    public Message parseAnswer() throws HttpError {
+    public Message parseResponse() throws HttpError {
         return MessageParser.forResponses(MessageLimits.defaults()).next(ByteBuffer.wrap(ANSWER));
     }
 }
