--- a/src/main/java/rowanmoor/lab/BenchDayConverter.java
+++ b/src/main/java/rowanmoor/lab/BenchDayConverter.java
@@ -12,13 +12,12 @@
 import java.util.TreeMap;
 
 /**
- * Turns a day that the bench draws (JSON, times in microseconds) into a day file. The fleet and the rate
- * shrink alike to what is asked; troubles that stand-ins cannot play are named, in the file and to the
- * caller.
+ * Converts a day of the benchmark (JSON, times in microseconds) into a day file. The fleet and the rate are
+ * scaled down alike; troubles that stand-ins cannot play are listed, in the file and for the caller.
  */
 public final class BenchDayConverter {
 
-    /** The file's text, and a line for each trouble left out. */
+    /** The day file's text, and one line for each trouble that was skipped. */
     public record Conversion(String text, List<String> skippedTroubles) { }
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -27,18 +26,18 @@
     private final JsonNode day;
     private final double scale;
     private final StringBuilder out = new StringBuilder();
-    private final List<String> leftOut = new ArrayList<>();
+    private final List<String> skippedTroubles = new ArrayList<>();
 
     private BenchDayConverter(JsonNode day, double scale) {
         this.day = day;
         this.scale = scale;
     }
 
-    /** @param scale part of the fleet and the rate to keep, above 0 and up to 1 */
+    /** @param scale fraction of the fleet and of the rate to keep, above 0 and up to 1 */
     public static Conversion convert(Path file, double scale) throws IOException {
         JsonNode day = JSON.readTree(Files.readString(file));
         if (day == null || !day.path("family").asText().equals("control") || !day.has("troubles")) {
-            throw new IOException(file + ": family: is no day of a control service");
+            throw new IOException(file + ": family: not a day of a control service");
         }
         return new BenchDayConverter(day, scale).converted();
     }
@@ -72,8 +71,8 @@
         line("troubles {");
         day.get("troubles").forEach(this::trouble);
         line("}");
-        leftOut.forEach(l -> line("// left out: %s", l));
-        return new Conversion(out.toString(), List.copyOf(leftOut));
+        skippedTroubles.forEach(l -> line("// left out: %s", l));
+        return new Conversion(out.toString(), List.copyOf(skippedTroubles));
     }
 
     private void site(JsonNode tier, int proxies) {
@@ -131,13 +130,13 @@
 
     private static List<JsonNode> names(JsonNode cls, String key, List<JsonNode> names) {
         List<JsonNode> all = new ArrayList<>();
-        // By tier, or at once: a control service has one tier.
+        // Either a list for each tier or one flat list; a control service has one tier.
         cls.get(key).forEach(n -> (n.isArray() ? list(n) : List.of(n)).forEach(one ->
                 all.add(one.isInt() ? names.get(one.asInt()) : one)));
         return all;
     }
 
-    /** Writes the fleet; answers what it can do, work a second. */
+    /** Writes the fleet; returns its capacity in seconds of work per second. */
     private double fleet(JsonNode tier, int proxies) {
         TreeMap<Integer, List<JsonNode>> byKind = new TreeMap<>();
         day.get("servers").forEach(s -> byKind.computeIfAbsent(s.get("kind").asInt(),
@@ -185,36 +184,40 @@
 
     private void trouble(JsonNode t) {
         String kind = t.get("kind").asText();
-        double part = Math.min(1, t.path("on").size() / (double) day.get("servers").size());
-        double partOfProxies = Math.min(1, t.path("on").size() / (double) day.get("balancers").size());
+        double backendFraction = Math.min(1, t.path("on").size() / (double) day.get("servers").size());
+        double proxyFraction = Math.min(1, t.path("on").size() / (double) day.get("balancers").size());
         String size = String.format(Locale.ROOT, "%.3f", t.path("size").asDouble());
         String zone = "zone \"" + day.get("zones").get(Math.min(day.get("zones").size() - 1,
                 t.path("which").asInt())).asText() + "\"";
-        String its = switch (kind) {
-            case "crash" -> "crash { %s; part " + number(part) + " }";
-            case "slow" -> "slow { %s; part " + number(part) + "; size " + size + " }";
+        String block = switch (kind) {
+            case "crash" -> "crash { %s; part " + number(backendFraction) + " }";
+            case "slow" -> "slow { %s; part " + number(backendFraction) + "; size " + size + " }";
             case "shared_slow" -> "slow { %s; part 1; size " + size + " }";
-            case "fast_errors" -> "fast-errors { %s; part " + number(part) + "; size " + size + " }";
-            case "pauses" -> "pauses { %s; part " + number(part) + "; size " + size + " }";
+            case "fast_errors" -> "fast-errors { %s; part " + number(backendFraction) + "; size " + size
+                    + " }";
+            case "pauses" -> "pauses { %s; part " + number(backendFraction) + "; size " + size + " }";
             case "burst" -> "burst { %s; size " + size + " }";
             case "zone_cut" -> "zone-cut { %s; " + zone + " }";
             case "zone_loss" -> "zone-loss { %s; " + zone + " }";
             case "discovery_down" -> "roster-down { %s }";
-            case "counter_down" -> "proxies-cut { %s; part " + number(partOfProxies) + " }";
-            case "answer_lost" -> "answers-lost { %s; part " + number(part) + "; size " + size + " }";
-            case "false_reports" -> "false-reports { %s; part " + number(part) + "; size " + size + " }";
+            case "counter_down" -> "proxies-cut { %s; part " + number(proxyFraction) + " }";
+            case "answer_lost" -> "answers-lost { %s; part " + number(backendFraction) + "; size " + size
+                    + " }";
+            case "false_reports" -> "false-reports { %s; part " + number(backendFraction) + "; size " + size
+                    + " }";
             default -> null;
         };
-        if (its == null) {
-            leftOut.add(kind + " at " + ms(t.get("at").asDouble()) + " for " + ms(t.get("len").asDouble())
+        if (block == null) {
+            skippedTroubles.add(kind + " at " + ms(t.get("at").asDouble()) + " for "
+                    + ms(t.get("len").asDouble())
                     + ": no stand-in plays it");
         } else {
             String when = "at \"" + ms(t.get("at").asDouble()) + "\"; for \"" + ms(t.get("len").asDouble());
-            line("    " + its, when + "\"");
+            line("    " + block, when + "\"");
         }
     }
 
-    private static String number(double part) {
-        return String.format(Locale.ROOT, "%.3f", part);
+    private static String number(double value) {
+        return String.format(Locale.ROOT, "%.3f", value);
     }
 }
--- a/src/main/java/rowanmoor/lab/Charts.java
+++ b/src/main/java/rowanmoor/lab/Charts.java
@@ -20,11 +20,11 @@
 import rowanmoor.channel.FrameReader;
 import rowanmoor.standin.Clients;
 
-/** A played day's charts, a second to a point: load, service, table versions, levels, lines waiting. */
+/** Charts of a day with one point per second: load, service, table versions, levels, waiting lines. */
 final class Charts {
 
     private static final double NS_PER_SECOND = 1e9;
-    /** Levels at or above this let everything in and are not drawn. */
+    /** Levels at or above this admit everything and are not drawn. */
     private static final double UNLIMITED_LEVEL = 1e5;
 
     private final DayResult played;
@@ -49,11 +49,12 @@
         return (int) Math.floorDiv(at - played.evidence().start(), (long) NS_PER_SECOND);
     }
 
-    private void outcomes(String name, String axis, Predicate<Clients.RequestOutcome> counts) throws IOException {
+    private void outcomes(String name, String axis,
+            Predicate<Clients.RequestOutcome> filter) throws IOException {
         Map<String, double[]> series = new TreeMap<>();
         for (Clients.RequestOutcome o : played.outcomes()) {
             int second = second(o.arrivedAt());
-            if (counts.test(o) && second >= 0 && second < seconds) {
+            if (filter.test(o) && second >= 0 && second < seconds) {
                 series.computeIfAbsent(played.day().site().classNames().get(o.cls()),
                         c -> new double[seconds])[second]++;
             }
@@ -61,7 +62,7 @@
         save(name, axis, series);
     }
 
-    /** Versions and levels as proxies read them. */
+    /** Table versions and levels as the proxies read them. */
     private void updates() throws IOException {
         double[] versions = new double[seconds];
         Map<String, double[]> levels = new TreeMap<>();
@@ -80,7 +81,7 @@
                     }
                 }
             } catch (ChannelException e) {
-                readers.remove(tap.proxy() + "/" + tap.stream()); // the judge tells of it
+                readers.remove(tap.proxy() + "/" + tap.stream()); // reported by the rule checker
             }
         }
         save("versions", "updates read a second, all proxies", Map.of("updates", versions));
@@ -93,9 +94,10 @@
         for (Frame.Level level : all) {
             for (int c = 0; c < played.classTotals().size(); c++) {
                 if ((level.classMask() >> c & 1) == 1 && level.level() < UNLIMITED_LEVEL) {
-                    double[] its = levels.computeIfAbsent(played.day().site().classNames().get(c),
+                    double[] lowest = levels.computeIfAbsent(played.day().site().classNames().get(c),
                             k -> new double[seconds]);
-                    its[second] = its[second] == 0 ? level.level() : Math.min(its[second], level.level());
+                    lowest[second] = lowest[second] == 0 ? level.level()
+                            : Math.min(lowest[second], level.level());
                 }
             }
         }
--- a/src/main/java/rowanmoor/lab/ChildProcess.java
+++ b/src/main/java/rowanmoor/lab/ChildProcess.java
@@ -13,8 +13,8 @@
 import java.util.function.Consumer;
 
 /**
- * One process of this program, started by its own command line. What it prints on both outputs is kept in a
- * file and told line by line, on a thread of its own. Only processes started here are ever signalled.
+ * A child process that runs a command of this program. A reader thread writes its standard output and error
+ * to a log file and passes each line to a consumer. Only processes started here are ever signalled.
  */
 final class ChildProcess {
 
@@ -50,7 +50,7 @@
                 each.accept(line);
             }
         } catch (IOException e) {
-            // its process has ended; what it said before is kept
+            // the process has ended; the lines read so far are kept
         }
     }
 
@@ -58,28 +58,29 @@
         return process.isAlive();
     }
 
-    /** Kills it outright. */
+    /** Kills the process (SIGKILL). */
     void kill() {
         process.destroyForcibly();
     }
 
-    /** Makes it stand still, or go on. */
+    /** Pauses (SIGSTOP) or resumes (SIGCONT) the process. */
     void setPaused(boolean on) throws IOException {
         if (process.isAlive()) {
             new ProcessBuilder("kill", on ? "-STOP" : "-CONT", Long.toString(process.pid())).start();
         }
     }
 
-    /** Asks it to end; {@link #awaitExit} waits for that. */
+    /** Requests termination (SIGTERM); {@link #awaitExit} waits for it. */
     void terminate() {
         process.destroy();
     }
 
-    /** Waits for its end; false if it is still there after so many milliseconds. */
+    /** Waits up to the given milliseconds for the process to exit; returns whether it has. */
     boolean exitsWithin(long millis) throws InterruptedException {
         return process.waitFor(millis, TimeUnit.MILLISECONDS);
     }
 
+    /** Waits for the process to exit; kills it after {@value #EXIT_TIMEOUT_SECONDS} s. */
     void awaitExit() {
         try {
             if (!process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
--- a/src/main/java/rowanmoor/lab/ControllerLoops.java
+++ b/src/main/java/rowanmoor/lab/ControllerLoops.java
@@ -14,7 +14,7 @@
 import rowanmoor.net.Loop;
 import rowanmoor.net.MemoryNet;
 
-/** Controllers on loops of a network in memory: the daemon's own code, on a manual clock. */
+/** Runs controllers, with the code of the daemon, on loops of an in-memory network with a manual clock. */
 final class ControllerLoops implements Controllers {
 
     private static final long NS_PER_MS = 1_000_000L;
@@ -39,9 +39,9 @@
         long epoch = ++starts;
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         ControllerConfig config = new ControllerConfig(day.site(), rank, day.controllerZones().size(),
-                day.controllerZones().get(rank), any, 5 * NS_PER_MS, 5000 * NS_PER_MS, 3000 * NS_PER_MS, 65535, 1 << 20,
-                roster, "backends", day.rosterWait(), day.emptyHold(), "/load", 250 * NS_PER_MS, 16, null, null,
-                1000 * NS_PER_MS);
+                day.controllerZones().get(rank), any, 5 * NS_PER_MS, 5000 * NS_PER_MS, 3000 * NS_PER_MS,
+                65535, 1 << 20, roster, "backends", day.rosterWait(), day.emptyHold(), "/load",
+                250 * NS_PER_MS, 16, null, null, 1000 * NS_PER_MS);
         Controller controller = new Controller(config, loop, day.seed() * 31 + epoch, epoch,
                 () -> net.now() / NS_PER_MS);
         latestByRank.put(rank, controller);
--- a/src/main/java/rowanmoor/lab/ControllerProcesses.java
+++ b/src/main/java/rowanmoor/lab/ControllerProcesses.java
@@ -16,8 +16,8 @@
 import rowanmoor.emulator.Outcome;
 
 /**
- * Controllers as processes of their own, started by this program's own command line. Their log lines are
- * kept; one of them tells where a controller listens. Only processes started here are ever signalled.
+ * Runs controllers in child processes of this program. Their log lines are kept in files; one of the lines
+ * tells where the controller listens. Only processes started here are ever signalled.
  */
 final class ControllerProcesses implements Controllers {
 
@@ -31,7 +31,7 @@
     private final List<JsonNode> stats = Collections.synchronizedList(new ArrayList<>());
     private int starts;
 
-    /** @param directory where their settings, traces and logs are put */
+    /** @param directory for the controllers' settings, traces and logs */
     ControllerProcesses(DayFile day, Path dayFile, Path directory) {
         this.day = day;
         this.dayFile = dayFile;
@@ -60,7 +60,8 @@
                 quoted(directory.resolve(name + ".trace").toAbsolutePath()),
                 quoted(directory.resolve("capture").toAbsolutePath()), roster.getHostString(),
                 roster.getPort(), day.rosterWait() / 1_000_000, day.emptyHold() / 1_000_000));
-        ChildProcess child = ChildProcess.start(name, "1g", directory.resolve(name + ".log"), line -> handleLogLine(rank, line, up),
+        ChildProcess child = ChildProcess.start(name, "1g", directory.resolve(name + ".log"),
+                line -> handleLogLine(rank, line, up),
                 "controller", "--config", config.toString(), "--seed",
                         Long.toString(day.seed() * 31 + start));
         running.put(rank, child);
@@ -79,7 +80,7 @@
         try {
             line = JSON.readTree(text);
         } catch (IOException e) {
-            return; // cut off by the end of its process
+            return; // truncated when the process ended
         }
         if (line.has("at") && line.has("epoch")) {
             String at = line.get("at").asText();
@@ -91,7 +92,7 @@
         }
     }
 
-    /** The lines of figures that controllers logged, each with its rank. */
+    /** The statistics lines that the controllers logged, each with its rank. */
     List<JsonNode> stats() {
         return List.copyOf(stats);
     }
@@ -102,11 +103,12 @@
         for (int rank = 0; rank < day.controllerZones().size(); rank++) {
             all.add(new Outcome.ControllerStats());
         }
-        for (JsonNode line : stats()) { // in order: the newest of a rank stands
+        for (JsonNode line : stats()) { // in order: the last line of a rank wins
             Outcome.ControllerStats met = all.get(line.get("rank").asInt());
             met.totalQueuedLines = line.get("lines").asDouble();
             met.maxQueuedLines = Math.max(met.maxQueuedLines, line.get("mostWaiting").asDouble());
-            met.maxPendingReportLines = Math.max(met.maxPendingReportLines, line.get("mostReportsWaiting").asInt());
+            met.maxPendingReportLines = Math.max(met.maxPendingReportLines,
+                    line.get("mostReportsWaiting").asInt());
         }
         return all;
     }
--- a/src/main/java/rowanmoor/lab/Controllers.java
+++ b/src/main/java/rowanmoor/lab/Controllers.java
@@ -5,26 +5,26 @@
 import java.util.List;
 import rowanmoor.emulator.Outcome;
 
-/** The controllers of a run: processes of their own, or loops on a network in memory. */
+/** Runs the controllers of a day, in child processes or on loops of an in-memory network. */
 interface Controllers {
 
-    /** Hears that a controller has come up: where it listens, and its epoch. From any thread. */
+    /** Is notified, on any thread, when a controller has started: of its listening address and its epoch. */
     interface StartListener {
         void started(int rank, InetSocketAddress at, long epoch);
     }
 
-    /** Starts a controller that follows this roster. */
+    /** Starts the controller of a rank with this roster server. */
     void start(int rank, InetSocketAddress roster, StartListener up) throws IOException;
 
-    /** Kills it outright. */
+    /** Kills the controller without a shutdown. */
     void kill(int rank);
 
-    /** Makes it stand still, or go on. */
+    /** Pauses or resumes the controller. */
     void setPaused(int rank, boolean on) throws IOException;
 
-    /** What each came to, by rank, so far as it has told. */
+    /** Each controller's totals, by rank, as far as they are known. */
     List<Outcome.ControllerStats> totals();
 
-    /** Ends all. */
+    /** Stops all controllers. */
     void close();
 }
--- a/src/main/java/rowanmoor/lab/DayFile.java
+++ b/src/main/java/rowanmoor/lab/DayFile.java
@@ -14,36 +14,39 @@
 import rowanmoor.standin.Clients;
 
 /**
- * A day as its file has it. Times are nanoseconds.
+ * The contents of a day file. Times are nanoseconds.
  *
- * @param settle how long proxies have to join before load and troubles begin
- * @param controllerZones a controller's zone, by rank
- * @param proxySkew spread of what proxies get: standard deviation of the logarithm
- * @param notice how long the roster takes to notice that a backend is gone or back
+ * @param settle time that proxies have to join before load and troubles begin
+ * @param controllerZones each controller's zone, by rank
+ * @param proxySkew spread of the load over proxies: standard deviation of its logarithm
+ * @param notice time until the roster notices that a backend is gone or back
  * @param rate requests a second
- * @param rise over this load rises from {@link Model#RAMP_START_FRACTION} of its rate to the rate; 0 for at once
- * @param swing part of the rate by which it rises and falls, over {@code swingOver}
- * @param shares by class: its part of the requests
- * @param work by class: mean work of a request, seconds on a core of speed 1
+ * @param rise ramp-up time in which the load rises from {@link Model#RAMP_START_FRACTION} of the rate to
+ *     the full rate; 0 for none
+ * @param swing fraction of the rate by which the load swings, with period {@code swingOver}
+ * @param shares share of the requests, by class
+ * @param work mean work of a request in seconds on a core of speed 1, by class
  */
 public record DayFile(String name, long seed, long length, long settle, Site site,
         List<Integer> controllerZones,
-        int proxies, double proxySkew, List<BackendGroup> groups, long notice, long rosterWait, long emptyHold,
+        int proxies, double proxySkew, List<BackendGroup> groups, long notice, long rosterWait,
+        long emptyHold,
         double rate, long rise, double swing, long swingOver, double[] shares, double[] work,
                 Clients.RetryPolicy habits,
         List<Trouble> troubles, Map<String, Double> expectations) {
 
-    /** Backends of one kind, in one zone or (-1) spread over all. */
+    /** Backends of one kind, in one zone or, with zone -1, spread over all zones. */
     public record BackendGroup(int kind, int zone, int count, double weight, int connections,
             BackendModel.Spec spec) { }
 
     private static final String SERVICE_KEY = "service";
 
+    /** Reads a day file; throws a {@link ConfigError} that names every problem with file and line. */
     public static DayFile read(Path file) throws ConfigException {
         return read(Section.read(file));
     }
 
-    /** Reads a document that has a day. */
+    /** Reads a day from a parsed document. */
     static DayFile read(Section root) throws ConfigException {
         Section d = root.section("day");
         Site site = Site.of(root);
@@ -90,7 +93,8 @@
                 r.durationNs("empty-hold", "0s", "60s", "3s"), l.ratePerSecond("rate", 0.1, 100000),
                 l.durationNs("rise", "0s", "1h", "0s"),
                 l.number("swing", 0, 1, 0), l.durationNs("swing-over", "1s", "1h", "20s"), shares, work,
-                new Clients.RetryPolicy(c.integer("retries", 0, 10, 0), c.durationNs("backoff", "0s", "60s", "100ms"),
+                new Clients.RetryPolicy(c.integer("retries", 0, 10, 0),
+                c.durationNs("backoff", "0s", "60s", "100ms"),
                         c.number("try-share", 0.05, 1, 1)),
                 troubles(root, site, controllers.size()), expectations(root, site));
         for (Section s : List.of(d, f, r, l, c)) {
@@ -107,7 +111,8 @@
             b.addProblem("", "is not a kind of the site");
         }
         BackendModel.Spec spec = new BackendModel.Spec(b.integer("cores", 1, 1024),
-                b.number("speed", 0.001, 1000, 1), b.integer("slots", 1, 100000), b.integer("queue", 0, 100000),
+                b.number("speed", 0.001, 1000, 1), b.integer("slots", 1, 100000),
+                b.integer("queue", 0, 100000),
                 b.number("cold-from", 0.01, 1, 1), b.durationNs("cold", "0s", "10min", "0s"),
                 b.number("fall-multiple", 1, 1e6, site.rules().overloadFactor()),
                 b.durationNs("fall-span", "100ms", "60s", site.rules().overloadSpan() / 1_000_000 + "ms"));
@@ -170,7 +175,7 @@
         return least;
     }
 
-    /** The same day with another seed. */
+    /** A copy of the day with another seed. */
     public DayFile seed(long other) {
         return new DayFile(name, other, length, settle, site, controllerZones, proxies, proxySkew, groups,
                 notice,
@@ -178,14 +183,17 @@
                         expectations);
     }
 
-    /** The same day at another rate, of another length, without troubles and swing. */
+    /** A copy of the day with another rate and length, without troubles, swing and expectations. */
     public DayFile withoutTroubles(double otherRate, long otherLength) {
         return new DayFile(name, seed, otherLength, settle, site, controllerZones, proxies, proxySkew, groups,
                 notice, rosterWait, emptyHold, otherRate, rise, 0, swingOver, shares, work, habits, List.of(),
                 Map.of());
     }
 
-    /** Another rate, length and mix, so many backends in the same proportions, with or without troubles. */
+    /**
+     * A copy with another rate, length, mix and number of backends (in the same proportions), without
+     * expectations.
+     */
     public DayFile withVariant(double otherRate, long otherLength, double[] otherShares, int backends,
             boolean withTroubles) {
         return new DayFile(name, seed, otherLength, settle, site, controllerZones, proxies, proxySkew,
@@ -194,65 +202,66 @@
                 work, habits, withTroubles ? troubles : List.of(), Map.of());
     }
 
-    /** So many backends, dealt to groups in proportion: what rounding leaves goes to the largest rests. */
+    /** Distributes the backends over the groups in proportion, by the largest remainders. */
     private List<BackendGroup> scaledGroups(int backends) {
         int now = backendCount();
         if (backends == now) {
             return groups;
         }
         int[] counts = new int[groups.size()];
-        double[] rests = new double[groups.size()];
-        int dealt = 0;
+        double[] remainders = new double[groups.size()];
+        int assigned = 0;
         for (int g = 0; g < counts.length; g++) {
             double exact = groups.get(g).count() * (double) backends / now;
             counts[g] = (int) exact;
-            rests[g] = exact - counts[g];
-            dealt += counts[g];
+            remainders[g] = exact - counts[g];
+            assigned += counts[g];
         }
-        for (; dealt < backends; dealt++) {
-            int most = 0;
-            for (int g = 1; g < rests.length; g++) {
-                most = rests[g] > rests[most] ? g : most;
+        for (; assigned < backends; assigned++) {
+            int largest = 0;
+            for (int g = 1; g < remainders.length; g++) {
+                largest = remainders[g] > remainders[largest] ? g : largest;
             }
-            counts[most]++;
-            rests[most] = -1;
+            counts[largest]++;
+            remainders[largest] = -1;
         }
         List<BackendGroup> all = new ArrayList<>();
         for (int g = 0; g < counts.length; g++) {
-            BackendGroup its = groups.get(g);
+            BackendGroup group = groups.get(g);
             if (counts[g] > 0) {
-                all.add(new BackendGroup(its.kind(), its.zone(), counts[g], its.weight(), its.connections(),
-                        its.spec()));
+                all.add(new BackendGroup(group.kind(), group.zone(), counts[g], group.weight(),
+                        group.connections(), group.spec()));
             }
         }
         return List.copyOf(all);
     }
 
-    /** How many backends there are. */
+    /** The number of backends of all groups. */
     public int backendCount() {
         return groups.stream().mapToInt(BackendGroup::count).sum();
     }
 
-    /** Requests a second over the day, bursts in it. */
+    /** The offered rate over the day in requests per second, with bursts. */
     Clients.ArrivalRate rateAt() {
-        double most = troubles.stream().filter(t -> t.kind() == Trouble.Kind.BURST)
+        double burstFactor = troubles.stream().filter(t -> t.kind() == Trouble.Kind.BURST)
                 .mapToDouble(Trouble::size).reduce(1, (a, b) -> a * Math.max(1, b));
         return new Clients.ArrivalRate() {
             @Override
             public double perSecondAt(long time) {
-                double now = rate * (1 + swing * Math.sin(2 * Math.PI * time / swingOver));
-                now *= time >= rise ? 1 : Model.RAMP_START_FRACTION + (1 - Model.RAMP_START_FRACTION) * time / rise;
+                double current = rate * (1 + swing * Math.sin(2 * Math.PI * time / swingOver));
+                current *= time >= rise ? 1 : Model.RAMP_START_FRACTION + (1 - Model.RAMP_START_FRACTION)
+                        * time / rise;
                 for (Trouble t : troubles) {
                     if (t.kind() == Trouble.Kind.BURST && time >= t.at() && time < t.end()) {
-                        now *= t.size();
+                        current *= t.size();
                     }
                 }
-                return now;
+                return current;
             }
 
             @Override
             public double maxPerSecond() {
-                return rate * (1 + swing) * most;
+                return rate * (1 + swing) * burstFactor;
             }
         };
     }
--- a/src/main/java/rowanmoor/lab/DayReport.java
+++ b/src/main/java/rowanmoor/lab/DayReport.java
@@ -12,7 +12,7 @@
 import java.util.Locale;
 import rowanmoor.standin.Clients;
 
-/** What is said of a played day: a text, and with a directory JSON lines and charts. */
+/** Reports a day as text and, in a directory, as JSON lines and charts. */
 public final class DayReport {
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -20,7 +20,7 @@
 
     private DayReport() { }
 
-    /** The text that the command prints. */
+    /** The report text that the command prints. */
     public static String text(DayResult played) {
         StringBuilder text = new StringBuilder();
         DayFile day = played.day();
@@ -44,7 +44,8 @@
         }
         line(text, "%-16s %8s %8s %6s %7s %8.3f", "all, by worth", "", "", "", "", played.service(-1));
         changes(text, played);
-        line(text, "most sent to a cold backend: %.2f of its capacity (it falls at %.2f)", played.worstColdOverload(),
+        line(text, "most sent to a cold backend: %.2f of its capacity (it falls at %.2f)",
+                played.worstColdOverload(),
                 day.site().rules().overloadFactor());
         stats(text, played);
         played.faults().forEach(f -> line(text, "fault: %s", f));
@@ -67,14 +68,14 @@
         }
     }
 
-    private static double at(List<Double> sorted, double part) {
-        return sorted.get((int) Math.min(sorted.size() - 1, Math.floor(part * sorted.size())));
+    private static double at(List<Double> sorted, double quantile) {
+        return sorted.get((int) Math.min(sorted.size() - 1, Math.floor(quantile * sorted.size())));
     }
 
     private static void stats(StringBuilder text, DayResult played) {
         for (int rank = 0; rank < played.day().controllerZones().size(); rank++) {
-            int its = rank;
-            JsonNode last = played.stats().stream().filter(s -> s.get("rank").asInt() == its)
+            int wanted = rank;
+            JsonNode last = played.stats().stream().filter(s -> s.get("rank").asInt() == wanted)
                     .reduce((a, b) -> b).orElse(null);
             if (last != null) {
                 line(text, "controller %d: %d decisions, p50 %d us, p99 %d us, max %d us; CPU %d ms;"
@@ -87,7 +88,7 @@
         }
     }
 
-    /** Writes text, outcomes, verdicts and charts into a directory. */
+    /** Writes the text, outcomes, verdicts, statistics and charts into a directory. */
     public static void write(DayResult played, Path directory) throws IOException {
         Files.createDirectories(directory);
         Files.writeString(directory.resolve("report.txt"), text(played));
--- a/src/main/java/rowanmoor/lab/DayRunner.java
+++ b/src/main/java/rowanmoor/lab/DayRunner.java
@@ -14,7 +14,7 @@
 import rowanmoor.proxy.Router;
 import rowanmoor.standin.Clients;
 
-/** Plays days: on sockets with controllers in processes of their own, or simulated. */
+/** Runs days: on loopback sockets with child processes, or simulated on an in-memory network. */
 public final class DayRunner {
 
     private static final long NS_PER_MS = 1_000_000L;
@@ -29,10 +29,10 @@
     }
 
     /**
-     * What a mutant changes.
+     * A fault that is put into a run on purpose, for the rule checker to detect.
      *
-     * @param controllersDay the day by which controllers are set up
-     * @param controllerWrapper what stands between controllers and proxies
+     * @param controllersDay the day that the controllers are configured by
+     * @param controllerWrapper wraps the controllers, to stand between them and the proxies
      */
     record Mutant(DayFile controllersDay, Function<ProxyLoops.RouterParts, Router> routers,
             BiFunction<Loop, Controllers, Controllers> controllerWrapper) {
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Plays a day on a network in memory; the same day and seed always give the same bytes. */
+    /** Runs a day on an in-memory network; the same day and seed always give the same bytes. */
     public static DayResult simulate(DayFile day) throws IOException {
         return simulate(day, Mutant.none(day));
     }
@@ -50,96 +50,98 @@
     static DayResult simulate(DayFile day, Mutant mutant) throws IOException {
         List<String> faults = new ArrayList<>();
         MemoryNet net = new MemoryNet(SIMULATED_START_NS, day.seed());
-        Loop stage = net.newLoop(e -> faults.add(e.toString()));
-        Controllers controllers = mutant.controllerWrapper().apply(stage, new ControllerLoops(net,
+        Loop mainLoop = net.newLoop(e -> faults.add(e.toString()));
+        Controllers controllers = mutant.controllerWrapper().apply(mainLoop, new ControllerLoops(net,
                 mutant.controllersDay(), e -> faults.add(e.toString())));
-        TestBed ground = new TestBed(day, stage, stage, new ProxyLoops(stage, mutant.routers()), controllers,
+        TestBed testBed = new TestBed(day, mainLoop, mainLoop, new ProxyLoops(mainLoop, mutant.routers()),
+                controllers,
                 () -> net.now() / NS_PER_MS);
-        long end = ground.start() + day.length();
+        long end = testBed.start() + day.length();
         net.runUntil(end, () -> false);
-        net.runUntil(end + 60 * NS_PER_SECOND, ground::isDone);
+        net.runUntil(end + 60 * NS_PER_SECOND, testBed::isDone);
         net.runFor(DRAIN_TIME_NS);
         List<Outcome.ControllerStats> met = controllers.totals();
         controllers.close();
-        return result(day, ground, net.now(), List.of(), met, faults);
+        return result(day, testBed, net.now(), List.of(), met, faults);
     }
 
-    /** Plays a day on loopback sockets in real time. */
+    /** Runs a day on loopback sockets in real time; the files of the run go into the directory. */
     public static DayResult runOnSockets(DayFile day, Path file, Path directory) throws IOException,
             InterruptedException {
         List<String> faults = Collections.synchronizedList(new ArrayList<>());
-        Loop stage = Loop.onSockets(e -> faults.add(e.toString()));
+        Loop mainLoop = Loop.onSockets(e -> faults.add(e.toString()));
         Loop clientLoop = Loop.onSockets(e -> faults.add(e.toString()));
         ProxyProcesses proxies = new ProxyProcesses(file, directory);
         ControllerProcesses controllers = new ControllerProcesses(day, file, directory);
         try {
-            TestBed ground = new TestBed(day, stage, clientLoop, proxies, controllers,
+            TestBed testBed = new TestBed(day, mainLoop, clientLoop, proxies, controllers,
                     System::currentTimeMillis);
-            List<Loop> loops = List.of(stage, clientLoop);
+            List<Loop> loops = List.of(mainLoop, clientLoop);
             List<Thread> threads = new ArrayList<>();
             for (Loop loop : loops) {
                 Thread thread = new Thread(loop, "loop-" + threads.size());
                 threads.add(thread);
                 thread.start();
             }
-            awaitEnd(day, ground, clientLoop);
-            long end = stage.now();
+            awaitEnd(day, testBed, clientLoop);
+            long end = mainLoop.now();
             proxies.close();
             loops.forEach(Loop::stop);
             for (Thread thread : threads) {
                 thread.join();
             }
             controllers.close();
-            return result(day, ground, end, controllers.stats(), controllers.totals(), faults);
+            return result(day, testBed, end, controllers.stats(), controllers.totals(), faults);
         } finally {
             proxies.close();
             controllers.close();
         }
     }
 
-    private static void awaitEnd(DayFile day, TestBed ground, Loop clientLoop) throws InterruptedException {
-        long latest = ground.start() + day.length() + 60 * NS_PER_SECOND;
+    private static void awaitEnd(DayFile day, TestBed testBed, Loop clientLoop) throws InterruptedException {
+        long latest = testBed.start() + day.length() + 60 * NS_PER_SECOND;
         AtomicBoolean done = new AtomicBoolean();
         while (!done.get() && clientLoop.now() < latest) {
             Thread.sleep(100);
-            clientLoop.post(() -> done.set(ground.isDone()));
+            clientLoop.post(() -> done.set(testBed.isDone()));
         }
         Thread.sleep(DRAIN_TIME_NS / NS_PER_MS);
     }
 
-    /** The run in the emulator's terms, from what clients, backends and controllers counted. */
-    private static Outcome outcome(DayFile day, TestBed ground, List<Outcome.ControllerStats> controllers) {
+    /** The run as an emulator outcome, from the counts of clients, backends and controllers. */
+    private static Outcome outcome(DayFile day, TestBed testBed, List<Outcome.ControllerStats> controllers) {
         int seconds = (int) (day.length() / NS_PER_SECOND) + 1;
         double[] good = new double[seconds];
-        double[] asked = new double[seconds];
-        for (Clients.RequestOutcome o : ground.clients().outcomes()) {
+        double[] offered = new double[seconds];
+        for (Clients.RequestOutcome o : testBed.clients().outcomes()) {
             var spec = day.site().classes().get(o.cls());
-            int second = (int) Math.max(0, Math.min(seconds - 1, (o.arrivedAt() - ground.start()) / NS_PER_SECOND));
-            asked[second] += spec.worth();
+            int second = (int) Math.max(0, Math.min(seconds - 1, (o.arrivedAt() - testBed.start())
+                    / NS_PER_SECOND));
+            offered[second] += spec.worth();
             good[second] += !o.answered() ? 0 : o.latencyNs() <= spec.aim() ? spec.worth()
                     : spec.worth() * spec.lateWorth();
         }
         List<Outcome.ClassStats> classes = new ArrayList<>();
-        for (Clients.ClassStats met : ground.clients().classStats()) {
-            Outcome.ClassStats its = new Outcome.ClassStats();
-            its.offered = met.offered;
-            its.good = met.good;
-            its.late = met.late;
-            its.failed = met.failed;
-            its.tries = met.tries;
-            classes.add(its);
+        for (Clients.ClassStats met : testBed.clients().classStats()) {
+            Outcome.ClassStats totals = new Outcome.ClassStats();
+            totals.offered = met.offered;
+            totals.good = met.good;
+            totals.late = met.late;
+            totals.failed = met.failed;
+            totals.tries = met.tries;
+            classes.add(totals);
         }
-        return new Outcome(classes, ground.backendTotals(), controllers, good, asked, 0, 0);
+        return new Outcome(classes, testBed.backendTotals(), controllers, good, offered, 0, 0);
     }
 
-    private static DayResult result(DayFile day, TestBed ground, long end,
+    private static DayResult result(DayFile day, TestBed testBed, long end,
             List<com.fasterxml.jackson.databind.JsonNode> stats, List<Outcome.ControllerStats> controllers,
             List<String> faults) throws IOException {
-        Evidence evidence = ground.evidence(end);
+        Evidence evidence = testBed.evidence(end);
         RuleChecker judge = new RuleChecker(evidence);
-        return new DayResult(day, evidence, judge.verdicts(), ground.clients().classStats(),
-                ground.clients().outcomes(),
-                judge.changeLatenciesMs(), ground.worstColdOverload(), stats, List.copyOf(faults),
-                outcome(day, ground, controllers));
+        return new DayResult(day, evidence, judge.verdicts(), testBed.clients().classStats(),
+                testBed.clients().outcomes(),
+                judge.changeLatenciesMs(), testBed.worstColdOverload(), stats, List.copyOf(faults),
+                outcome(day, testBed, controllers));
     }
 }
--- a/src/main/java/rowanmoor/lab/Evidence.java
+++ b/src/main/java/rowanmoor/lab/Evidence.java
@@ -11,27 +11,28 @@
 import rowanmoor.standin.RosterServer;
 
 /**
- * What was seen of a run from outside: nothing of it comes from a controller's own memory.
+ * The record of a run as observed from outside; nothing in it comes from a controller's own memory.
  *
- * @param backends zone and kind by backend
- * @param standingTables each proxy's standing table, by number
- * @param tapEvents what each proxy read from its streams, in order of time for each proxy
- * @param ranksByEpoch the controller's rank by epoch, as it was told when the process came up
+ * @param backends zone and kind of each backend
+ * @param standingTables each proxy's standing table, by proxy number
+ * @param tapEvents what each proxy read from its streams, ordered by time within each proxy
+ * @param ranksByEpoch the controller's rank by epoch, as reported when its process started
  */
 public record Evidence(Site site, long start, long end, Map<Backend, Placement> backends,
-        List<List<Backend>> standingTables, List<TapEvent> tapEvents, Map<Long, Integer> ranksByEpoch, Ledger ledger,
+        List<List<Backend>> standingTables, List<TapEvent> tapEvents, Map<Long, Integer> ranksByEpoch,
+        Ledger ledger,
         List<RosterServer.SentAnswer> answers) {
 
-    /** Where a backend stands and of which kind it is, by place in the site's lists. */
+    /** A backend's zone and kind, as indices into the site's lists. */
     public record Placement(int zone, int kind) { }
 
-    /** A stream opened, brought bytes, or closed. */
+    /** One event on a proxy's stream. Times are nanoseconds. */
     public record TapEvent(int proxy, int stream, long at, TapEventType type, byte[] bytes) { }
 
-    /** What was seen. */
+    /** What happened on the stream. */
     public enum TapEventType { OPENED, READ, CLOSED }
 
-    /** Writes down what passes a tap. */
+    /** Records the events of a tap. */
     static final class Recorder implements Tap {
         private final List<TapEvent> events = new ArrayList<>();
 
--- a/src/main/java/rowanmoor/lab/Experiment.java
+++ b/src/main/java/rowanmoor/lab/Experiment.java
@@ -26,18 +26,19 @@
 import rowanmoor.plan.Interval;
 
 /**
- * Runs over fleets, mixes, troubles, numbers of backends, rates and seeds: a grid, or for each variant a
- * search for the rate at which a goal fails. In the emulator on all cores, or live: one after the other on
- * stand-ins, proxies and controllers that run here. All variants share their seeds (common random numbers),
- * so that their differences are the variants' own. Results are kept; a rerun plays what is new.
+ * Runs an experiment over fleets, mixes, troubles, numbers of backends, rates and seeds: a grid, or for each
+ * variant a search for the rate at which a goal fails. Runs are played in the emulator on all cores, or live:
+ * one after the other, with real proxies and controllers on stand-ins. All variants share their seeds (common
+ * random numbers), so that differences are due to the variants alone. Results are stored; a rerun plays only
+ * what is new.
  */
 public final class Experiment {
 
-    /** One run's result. */
+    /** The result of one run. */
     public record Result(double service, double worst, double busiest, double mostLines, long offered,
             long good) { }
 
-    /** What is compared; rates and seeds aside. */
+    /** A variant to compare; it has no rate and no seed. */
     public record Variant(String fleet, String mix, boolean troubles, int backends) {
 
         @Override
@@ -47,7 +48,7 @@
         }
     }
 
-    /** One variant at one rate: all its seeds. */
+    /** The results of one variant at one rate, over all seeds. */
     public record Cell(Variant variant, double rate, List<Result> results) {
 
         Interval interval(java.util.function.ToDoubleFunction<Result> figure) {
@@ -55,9 +56,15 @@
         }
     }
 
-    /** All that was played. {@code failingRates} has the rate that each variant's search came to,
-            if one was asked. */
-    public record Grid(String name, List<Cell> cells, Map<Variant, Double> failingRates, int played, int cached) { }
+    /**
+     * The results of an experiment.
+     *
+     * @param failingRates the rate that each variant's search found; empty without a search
+     * @param played number of runs that were played
+     * @param cached number of results that were taken from the store
+     */
+    public record Grid(String name, List<Cell> cells, Map<Variant, Double> failingRates, int played,
+            int cached) { }
 
     private record Fleet(String name, Path file, byte[] bytes, DayFile day) { }
 
@@ -95,14 +102,14 @@
         if (search != null && !rates.isEmpty()) {
             e.addProblem("search", "and rates exclude each other");
         }
-        List<Section> asked = e.sections("mix");
+        List<Section> mixSections = e.sections("mix");
         e.rejectUnknownKeys();
         for (String one : files) {
             Path path = file.resolveSibling(one);
             DayFile day = DayFile.read(path);
             fleets.add(new Fleet(day.name(), path, Files.readAllBytes(path), day));
         }
-        for (Section mix : asked) {
+        for (Section mix : mixSections) {
             mixes.put(mix.label(), shares(mix, fleets.isEmpty() ? null : fleets.get(0).day()));
         }
         if (mixes.isEmpty()) {
@@ -150,14 +157,14 @@
         return experiment;
     }
 
-    // ---- playing -------------------------------------------------------------------------------------
+    // ---- execution -----------------------------------------------------------------------------------
 
-    /** Plays what the store does not hold, in the emulator on all cores. */
+    /** Plays the runs that the store does not hold, in the emulator on all cores. */
     public Grid run(Path storeFile, Consumer<String> progress) throws IOException {
         return new Execution(null, progress).run(storeFile);
     }
 
-    /** The same on sockets, one run after the other; what runs leave goes into the directory. */
+    /** The same on sockets, one run after the other; the files of the runs go into the directory. */
     public Grid runLive(Path storeFile, Path directory, Consumer<String> progress) throws IOException {
         return new Execution(directory, progress).run(storeFile);
     }
@@ -186,7 +193,7 @@
                 : mixes.get(v.mix()), v.backends(), v.troubles());
     }
 
-    /** One time through: what is known, what is played. */
+    /** One execution: results found in the store, and runs that are played. */
     private final class Execution {
         private final Path liveDirectory;
         private final Consumer<String> progress;
@@ -220,8 +227,8 @@
         private void grid(List<Cell> cells) throws IOException {
             List<Run> all = new ArrayList<>();
             for (Variant variant : variants()) {
-                List<Double> its = rates.isEmpty() ? List.of(fleet(variant).day().rate()) : rates;
-                its.forEach(rate -> all.addAll(runs(variant, rate)));
+                List<Double> variantRates = rates.isEmpty() ? List.of(fleet(variant).day().rate()) : rates;
+                variantRates.forEach(rate -> all.addAll(runs(variant, rate)));
             }
             List<Result> results = play(all);
             for (int i = 0; i < all.size(); i += seeds) {
@@ -241,7 +248,8 @@
 
         private List<Run> runs(Variant v, double rate) {
             Fleet fleet = fleet(v);
-            String text = (liveDirectory == null ? "" : "live/") + rate + "/" + v.backends() + "/" + v.troubles() + "/"
+            String text = (liveDirectory == null ? "" : "live/") + rate + "/" + v.backends() + "/"
+                    + v.troubles() + "/"
                     + length + "/" + Arrays.toString(mixes.get(v.mix()));
             return IntStream.rangeClosed(1, seeds).mapToObj(seed -> new Run(v, rate, seed,
                     store.key(fleet.bytes(), text, seed))).toList();
@@ -249,18 +257,18 @@
 
         private List<Result> play(List<Run> runs) throws IOException {
             Map<String, Result> results = new TreeMap<>();
-            List<Run> open = new ArrayList<>();
+            List<Run> missing = new ArrayList<>();
             for (Run run : runs) {
                 Result known = store.get(run.key());
                 if (known == null) {
-                    open.add(run);
+                    missing.add(run);
                 } else {
                     results.put(run.key(), known);
                 }
             }
             cached.addAndGet(results.size());
             AtomicInteger done = new AtomicInteger();
-            var stream = liveDirectory == null ? open.parallelStream() : open.stream();
+            var stream = liveDirectory == null ? missing.parallelStream() : missing.stream();
             List<Result> fresh = stream.map(run -> {
                 Result result = liveDirectory == null ? emulated(run) : live(run);
                 try {
@@ -268,13 +276,13 @@
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
                 }
-                progress.accept(done.incrementAndGet() + " of " + open.size() + " runs");
+                progress.accept(done.incrementAndGet() + " of " + missing.size() + " runs");
                 return result;
             }).toList();
-            for (int i = 0; i < open.size(); i++) {
-                results.put(open.get(i).key(), fresh.get(i));
+            for (int i = 0; i < missing.size(); i++) {
+                results.put(missing.get(i).key(), fresh.get(i));
             }
-            played.addAndGet(open.size());
+            played.addAndGet(missing.size());
             return runs.stream().map(run -> results.get(run.key())).toList();
         }
 
@@ -285,13 +293,13 @@
 
         private Result live(Run run) {
             try {
-                Path own = Files.createTempDirectory(liveDirectory, "run");
-                DayResult run1 = DayRunner.runOnSockets(day(run.variant(), run.rate()).seed(run.seed()),
-                        fleet(run.variant()).file(), own);
-                if (!run1.faults().isEmpty()) {
-                    throw new IOException(run1.faults().get(0));
+                Path runDirectory = Files.createTempDirectory(liveDirectory, "run");
+                DayResult dayResult = DayRunner.runOnSockets(day(run.variant(), run.rate()).seed(run.seed()),
+                        fleet(run.variant()).file(), runDirectory);
+                if (!dayResult.faults().isEmpty()) {
+                    throw new IOException(dayResult.faults().get(0));
                 }
-                return result(run1.outcome());
+                return result(dayResult.outcome());
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             } catch (InterruptedException e) {
@@ -309,9 +317,9 @@
                 o.classes().stream().mapToLong(c -> c.good).sum());
     }
 
-    // ---- what came of it -----------------------------------------------------------------------------
+    // ---- results ------------------------------------------------------------------------------------
 
-    /** A table for people. */
+    /** Formats the results as a text table. */
     public static String table(Grid grid) {
         StringBuilder text = new StringBuilder(String.format(Locale.ROOT,
                 "%s: %d runs played, %d kept from before%n", grid.name(), grid.played(), grid.cached()));
@@ -332,7 +340,7 @@
         return text.toString();
     }
 
-    /** CSV, a line for each run; and a chart of service over the rate, a line for each variant. */
+    /** Writes a CSV file, one line per run, and a chart of service over rate, one line per variant. */
     public static void write(Grid grid, Path directory) throws IOException {
         Files.createDirectories(directory);
         StringBuilder csv = new StringBuilder("fleet,mix,troubles,backends,rate,seed,service,worst_10s,"
@@ -364,7 +372,7 @@
                 VectorGraphicsFormat.SVG);
     }
 
-    /** As RFC 4180, 2 has it. */
+    /** Quotes a CSV field as in RFC 4180, section 2. */
     private static String quoted(String field) {
         return field.matches("[^,\"\\r\\n]*") ? field : "\"" + field.replace("\"", "\"\"") + "\"";
     }
--- a/src/main/java/rowanmoor/lab/ForecastVerifier.java
+++ b/src/main/java/rowanmoor/lab/ForecastVerifier.java
@@ -1,5 +1,7 @@
 package rowanmoor.lab;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
+import com.fasterxml.jackson.annotation.JsonPropertyOrder;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -27,15 +29,17 @@
 import rowanmoor.plan.Trial;
 
 /**
- * Holds the planner's forecasts against stand-ins, proxies and controllers that run. All forecasts are made
- * and written down, with a hash of each fleet's file, before the first step is played.
+ * Compares the planner's forecasts with runs of real proxies and controllers on stand-ins. All forecasts are
+ * made and written to a file, with a hash of each fleet's file, before the first step is played.
  */
 public final class ForecastVerifier {
 
-    /** How steps are played: on loopback sockets with processes, or on the network in memory. */
+    /** How steps are run: in processes on loopback sockets, or on an in-memory network. */
     public enum RunMode { SOCKETS, SIMULATED }
 
-    private static final ObjectMapper JSON = new ObjectMapper();
+    /** Keeps the field names that forecasts.json and verified.json have had. */
+    static final ObjectMapper JSON = new ObjectMapper().addMixIn(Finding.class, FindingFields.class)
+            .addMixIn(Trial.Verdict.class, VerdictFields.class);
     private static final int FORECAST_SEEDS = 3;
     private static final int MAX_FINDINGS = 3;
 
@@ -47,23 +51,48 @@
     private final Consumer<String> progress;
 
     /**
-     * @param length of a step, ns
-     * @param abreast how many fleets are played at a time
-     * @param directory for forecasts, results and what the runs leave
+     * @param goal the service level that a rate must keep
+     * @param mode how steps are run
+     * @param length duration of a step, ns
+     * @param parallelism number of fleets that are run at the same time
+     * @param directory for forecasts, results and the files of the runs
      */
-    public ForecastVerifier(Goal goal, RunMode ways, long length, int abreast, Path directory,
+    public ForecastVerifier(Goal goal, RunMode mode, long length, int parallelism, Path directory,
             Consumer<String> progress) {
         this.goal = goal;
-        this.mode = ways;
+        this.mode = mode;
         this.length = length;
-        this.parallelism = abreast;
+        this.parallelism = parallelism;
         this.directory = directory;
         this.progress = progress;
     }
 
     private record Fleet(Path file, DayFile day) { }
 
-    /** Forecasts, then plays; trials in the order of the files. */
+    @JsonPropertyOrder({"resource", "place", "pressure", "evidence"})
+    private interface FindingFields {
+
+        @JsonProperty("place")
+        String location();
+    }
+
+    @JsonPropertyOrder({"rate", "off", "rateRight", "seen", "failureRight"})
+    private interface VerdictFields {
+
+        @JsonProperty("off")
+        double relativeError();
+
+        @JsonProperty("rateRight")
+        boolean rateMatches();
+
+        @JsonProperty("seen")
+        Finding observed();
+
+        @JsonProperty("failureRight")
+        boolean resourceMatches();
+    }
+
+    /** Makes all forecasts, then runs all steps; returns the trials in the order of the files. */
     public List<Trial> run(List<Path> files) throws IOException, ConfigException, InterruptedException {
         Files.createDirectories(directory);
         List<Fleet> fleets = new ArrayList<>();
@@ -78,20 +107,20 @@
         Files.writeString(directory.resolve("forecasts.json"), forecasts(fleets, trials));
         ExecutorService players = Executors.newFixedThreadPool(parallelism);
         try {
-            List<Future<?>> all = new ArrayList<>();
+            List<Future<?>> futures = new ArrayList<>();
             for (int f = 0; f < fleets.size(); f++) {
                 Fleet fleet = fleets.get(f);
                 Trial trial = trials.get(f);
-                all.add(players.submit(() -> {
+                futures.add(players.submit(() -> {
                     playSteps(fleet, trial);
                     return null;
                 }));
             }
-            for (Future<?> one : all) {
-                one.get();
+            for (Future<?> future : futures) {
+                future.get();
             }
         } catch (ExecutionException e) {
-            throw new IOException("a step could not be played: " + e.getCause(), e.getCause());
+            throw new IOException("a step could not be run: " + e.getCause(), e.getCause());
         } finally {
             players.shutdownNow();
         }
@@ -118,9 +147,9 @@
             if (mode == RunMode.SIMULATED) {
                 played = DayRunner.simulate(day);
             } else {
-                Path own = directory.resolve(fleet.day().name().replace(' ', '-') + "-" + number);
-                Files.createDirectories(own);
-                played = DayRunner.runOnSockets(day, fleet.file(), own);
+                Path runDirectory = directory.resolve(fleet.day().name().replace(' ', '-') + "-" + number);
+                Files.createDirectories(runDirectory);
+                played = DayRunner.runOnSockets(day, fleet.file(), runDirectory);
             }
             number++;
             if (!played.faults().isEmpty()) {
@@ -134,7 +163,7 @@
         }
     }
 
-    // ---- what is written -----------------------------------------------------------------------------
+    // ---- output ---------------------------------------------------------------------------------------
 
     private String forecasts(List<Fleet> fleets, List<Trial> trials) throws IOException {
         ArrayNode all = JSON.createArrayNode();
@@ -166,9 +195,9 @@
             ObjectNode one = all.addObject();
             put(one, trial.forecast());
             for (Trial.Step step : trial.steps()) {
-                ObjectNode its = one.withArray("steps").addObject().put("rate", step.rate())
+                ObjectNode node = one.withArray("steps").addObject().put("rate", step.rate())
                         .put("service", step.service()).put("kept", step.goalMet());
-                step.findings().stream().limit(MAX_FINDINGS).forEach(its.withArray("findings")::addPOJO);
+                step.findings().stream().limit(MAX_FINDINGS).forEach(node.withArray("findings")::addPOJO);
             }
             one.putPOJO("verdict", trial.verdict());
         }
@@ -186,22 +215,23 @@
                 + " (" + findings.get(0).evidence() + ")";
     }
 
-    /** A table for people; misses are marked. */
+    /** Formats the trials as a text table; wrong forecasts are marked. */
     public static String table(List<Trial> trials) {
         StringBuilder text = new StringBuilder();
         text.append(String.format("%-26s %10s %8s %7s %-6s %-38s %-38s %s%n", "fleet", "forecast", "seen",
                 "off", "", "named first", "seen first", ""));
-        int right = 0;
+        int correct = 0;
         for (Trial trial : trials) {
             Trial.Verdict v = trial.verdict();
             Trial.Forecast f = trial.forecast();
-            right += v.rateMatches() && v.resourceMatches() ? 1 : 0;
+            correct += v.rateMatches() && v.resourceMatches() ? 1 : 0;
             text.append(String.format(Locale.ROOT, "%-26s %8.1f/s %6.1f/s %+6.1f%% %-6s %-38s %-38s %s%n",
-                    f.fleet(), f.rate().mean(), v.rate(), 100 * v.relativeError(), v.rateMatches() ? "" : "MISSED",
+                    f.fleet(), f.rate().mean(), v.rate(), 100 * v.relativeError(), v.rateMatches() ? ""
+                    : "MISSED",
                     name(f.findings().isEmpty() ? null : f.findings().get(0)), name(v.observed()),
                     v.resourceMatches() ? "" : "MISSED"));
         }
-        return text.append(String.format("%d of %d forecasts right in rate and failure%n", right,
+        return text.append(String.format("%d of %d forecasts right in rate and failure%n", correct,
                 trials.size())).toString();
     }
 
--- a/src/main/java/rowanmoor/lab/Fuzzer.java
+++ b/src/main/java/rowanmoor/lab/Fuzzer.java
@@ -21,24 +21,24 @@
 import rowanmoor.kdl.KdlException;
 
 /**
- * Feeds a parser mutants of sound inputs. Three things must hold for each: nothing is thrown but the
- * parser's own error; the same bytes in other pieces give the same; and no more is allocated than the
+ * Feeds a parser mutants of valid inputs. Three properties must hold for each: nothing is thrown but the
+ * parser's own error; the same bytes in other pieces give the same result; and no more is allocated than the
  * limits allow.
  */
 public final class Fuzzer {
 
-    /** What can be fuzzed. */
+    /** The parsers that can be fuzzed. */
     public enum Target {
         CHANNEL, HTTP_REQUEST, HTTP_RESPONSE, KDL;
 
-        /** As it is named on the command line. */
+        /** The name on the command line. */
         @Override
         public String toString() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
     }
 
-    /** What a run found; {@code failure} is null if nothing. */
+    /** The result of a run; {@code failure} is null if no property was violated. */
     public record Result(long inputs, long rejected, Map<String, Long> rejections, long maxAllocatedBytes,
             String failure) { }
 
@@ -46,7 +46,9 @@
     private static final MessageLimits HTTP_LIMITS = new MessageLimits(256, 1024, 16, 2048);
     private static final int MAX_INPUT_BYTES = 4096;
     private static final int MAX_REJECTION_KINDS = 40;
-    /** Bytes that reading one input may allocate: generous beside the limits, tiny beside a stated 4 GiB. */
+    /**
+     * Bytes that parsing one input may allocate: far above the limits, far below a stated length of 4 GiB.
+     */
     private static final long MAX_ALLOCATED_BYTES = 8L << 20;
 
     private final Target target;
@@ -61,13 +63,13 @@
         this.corpus = corpus(target);
     }
 
-    /** Tries inputs until a count is reached or this answers false. */
-    public Result run(long inputs, java.util.function.BooleanSupplier goOn) {
+    /** Tries inputs until the count is reached or {@code continues} returns false. */
+    public Result run(long inputs, java.util.function.BooleanSupplier continues) {
         var threads = (com.sun.management.ThreadMXBean) java.lang.management.ManagementFactory
                 .getThreadMXBean();
-        long most = 0;
+        long maxAllocated = 0;
         long tried = 0;
-        while (tried < inputs && goOn.getAsBoolean()) {
+        while (tried < inputs && continues.getAsBoolean()) {
             byte[] input = mutant();
             tried++;
             long before = threads.getCurrentThreadAllocatedBytes();
@@ -75,36 +77,39 @@
             try {
                 whole = parseResult(input, input.length);
             } catch (RuntimeException | StackOverflowError e) {
-                return new Result(tried, rejected, rejections, most, e + " on " + hex(input));
+                return new Result(tried, rejected, rejections, maxAllocated, e + " on " + hex(input));
             }
             long allocated = threads.getCurrentThreadAllocatedBytes() - before;
-            most = Math.max(most, allocated);
+            maxAllocated = Math.max(maxAllocated, allocated);
             if (allocated > MAX_ALLOCATED_BYTES) {
-                return new Result(tried, rejected, rejections, most, allocated + " bytes on " + hex(input));
+                return new Result(tried, rejected, rejections, maxAllocated, allocated + " bytes on "
+                        + hex(input));
             }
             if (target != Target.KDL && !whole.equals(parseResult(input, 1 + random.nextInt(16)))) {
-                return new Result(tried, rejected, rejections, most, "pieces differ on " + hex(input));
+                return new Result(tried, rejected, rejections, maxAllocated, "pieces differ on "
+                        + hex(input));
             }
         }
-        return new Result(tried, rejected, rejections, most, null);
+        return new Result(tried, rejected, rejections, maxAllocated, null);
     }
 
     private static String hex(byte[] input) {
         return java.util.HexFormat.of().formatHex(input);
     }
 
-    private String parseResult(byte[] input, int most) {
-        List<String> story = new ArrayList<>();
+    private String parseResult(byte[] input, int maxPiece) {
+        List<String> result = new ArrayList<>();
         try {
             switch (target) {
-                case CHANNEL -> channel(input, most, story);
-                case KDL -> story.add(rowanmoor.kdl.KdlParser.parse(new String(input, StandardCharsets.UTF_8))
+                case CHANNEL -> channel(input, maxPiece, result);
+                case KDL -> result.add(rowanmoor.kdl.KdlParser.parse(new String(input,
+                        StandardCharsets.UTF_8))
                         .toString());
-                default -> http(input, most, story);
+                default -> http(input, maxPiece, result);
             }
         } catch (ChannelException | HttpError | KdlException e) {
-            story.add(e.getMessage());
-            if (most == input.length) {
+            result.add(e.getMessage());
+            if (maxPiece == input.length) {
                 rejected++;
                 String kind = e.getMessage().replaceAll("[0-9]+", "N");
                 kind = kind.length() > 60 ? kind.substring(0, 60) : kind;
@@ -113,39 +118,40 @@
                 }
             }
         }
-        return story.toString();
+        return result.toString();
     }
 
-    private void channel(byte[] input, int most, List<String> story) throws ChannelException {
+    private void channel(byte[] input, int maxPiece, List<String> result) throws ChannelException {
         FrameReader reader = new FrameReader(CHANNEL_LIMITS);
-        for (ByteBuffer piece : pieces(input, most)) {
+        for (ByteBuffer piece : pieces(input, maxPiece)) {
             while (piece.hasRemaining()) {
                 Frame frame = reader.next(piece);
                 if (frame != null) {
-                    story.add(frame.toString());
+                    result.add(frame.toString());
                 }
             }
         }
     }
 
-    private void http(byte[] input, int most, List<String> story) throws HttpError {
+    private void http(byte[] input, int maxPiece, List<String> result) throws HttpError {
         rowanmoor.http.MessageParser parser = target == Target.HTTP_REQUEST
                 ? rowanmoor.http.MessageParser.forRequests(HTTP_LIMITS) : rowanmoor.http.MessageParser
                         .forResponses(HTTP_LIMITS);
-        for (ByteBuffer piece : pieces(input, most)) {
+        for (ByteBuffer piece : pieces(input, maxPiece)) {
             while (piece.hasRemaining()) {
                 Message message = parser.next(piece);
                 if (message != null) {
-                    story.add(message.fields() + new String(message.body(), StandardCharsets.ISO_8859_1));
+                    result.add(message.fields() + new String(message.body(), StandardCharsets.ISO_8859_1));
                 }
             }
         }
     }
 
-    private List<ByteBuffer> pieces(byte[] input, int most) {
+    private List<ByteBuffer> pieces(byte[] input, int maxPiece) {
         List<ByteBuffer> pieces = new ArrayList<>();
         for (int at = 0; at < input.length;) {
-            int count = Math.min(input.length - at, most >= input.length ? most : 1 + random.nextInt(most));
+            int count = Math.min(input.length - at, maxPiece >= input.length ? maxPiece : 1
+                    + random.nextInt(maxPiece));
             pieces.add(ByteBuffer.wrap(input, at, count));
             at += count;
         }
@@ -190,11 +196,11 @@
         };
     }
 
-    private static byte[] splice(byte[] bytes, int from, int to, byte[] in) {
-        byte[] joined = new byte[bytes.length - (to - from) + in.length];
+    private static byte[] splice(byte[] bytes, int from, int to, byte[] insert) {
+        byte[] joined = new byte[bytes.length - (to - from) + insert.length];
         System.arraycopy(bytes, 0, joined, 0, from);
-        System.arraycopy(in, 0, joined, from, in.length);
-        System.arraycopy(bytes, to, joined, from + in.length, bytes.length - to);
+        System.arraycopy(insert, 0, joined, from, insert.length);
+        System.arraycopy(bytes, to, joined, from + insert.length, bytes.length - to);
         return joined;
     }
 
--- a/src/main/java/rowanmoor/lab/PlanReport.java
+++ b/src/main/java/rowanmoor/lab/PlanReport.java
@@ -20,18 +20,20 @@
 import rowanmoor.plan.Goal;
 import rowanmoor.plan.Planner;
 
-/** A plan as one page of HTML that needs nothing else: charts are in it. */
+/** Writes a capacity plan as one self-contained HTML page with inline charts. */
 public final class PlanReport {
 
     /**
-     * All that a plan came to.
+     * The results of a plan.
      *
-     * @param assumptions figures that were taken as given: what, value, whence
-     * @param curve service over the rate
+     * @param assumptions figures that were taken as given, each as name, value and source
+     * @param curve service by rate
      */
-    public record Plan(String fleet, Goal goal, double currentRate, int currentBackends, List<String[]> assumptions,
+    public record Plan(String fleet, Goal goal, double currentRate, int currentBackends,
+            List<String[]> assumptions,
             List<Estimator.Estimate> estimates, List<String> notes, Planner.BreakingPoint breaks,
-            List<Planner.CurvePoint> curve, Planner.FleetSize enough, boolean zonesLost, List<Planner.LossImpact> losses,
+            List<Planner.CurvePoint> curve, Planner.FleetSize enough, boolean zonesLost,
+            List<Planner.LossImpact> losses,
             List<Planner.Sensitivity> sensitivity) { }
 
     private static final int WIDTH = 860;
@@ -64,8 +66,10 @@
         line("<h1>Capacity plan: %s</h1>", text(plan.fleet()));
         line("<p>Goal: at least %.3f of the worth answered in time%s. Asked for now: %.1f requests a second"
                 + " on"
-                + " %d backends. Figures are emulated.</p>", plan.goal().minService(), plan.goal().minWorstService() > 0
-                ? String.format(Locale.ROOT, ", %.3f over the worst ten seconds", plan.goal().minWorstService()) : "",
+                + " %d backends. Figures are emulated.</p>", plan.goal().minService(),
+                plan.goal().minWorstService() > 0
+                ? String.format(Locale.ROOT, ", %.3f over the worst ten seconds",
+                plan.goal().minWorstService()) : "",
                 plan.currentRate(), plan.currentBackends());
         breaks();
         enough();
@@ -133,8 +137,10 @@
                 + "<th>queue, of its limit</th></tr>");
         for (Planner.LossImpact l : plan.losses()) {
             line("<tr><td>%s</td><td>%.3f</td><td>%.3f</td><td>%.3f</td><td%s>%s</td><td>%.0f%%</td></tr>",
-                    text(l.name()), l.before(), l.during(), l.worstService(), l.metastable() ? " class=\"bad\"" : "",
-                    l.recoverySeconds() < 0 ? "never" : String.format(Locale.ROOT, "%.0f s%s", l.recoverySeconds(),
+                    text(l.name()), l.before(), l.during(), l.worstService(), l.metastable()
+                    ? " class=\"bad\"" : "",
+                    l.recoverySeconds() < 0 ? "never"
+                    : String.format(Locale.ROOT, "%.0f s%s", l.recoverySeconds(),
                             l.metastable() ? ", then jams" : ""), 100 * l.queueFraction());
         }
         line("</table>");
@@ -186,7 +192,7 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         VectorGraphicsEncoder.saveVectorGraphic(chart, out, VectorGraphicsFormat.SVG);
         String text = out.toString(StandardCharsets.UTF_8);
-        page.append(text.substring(text.indexOf("<svg"))).append('\n'); // inline: without its document type
+        page.append(text.substring(text.indexOf("<svg"))).append('\n'); // inlined, without the document type
     }
 
     private static String text(String plain) {
--- a/src/main/java/rowanmoor/lab/ProxyBenchmark.java
+++ b/src/main/java/rowanmoor/lab/ProxyBenchmark.java
@@ -33,18 +33,19 @@
 import rowanmoor.proxy.Tap;
 
 /**
- * What a proxy costs, on loopback sockets of this machine: one loop for backends that answer at once, one for
- * the proxy, one for clients. Requests come at a fixed rate, whatever has become of those before (open loop),
- * and each goes straight to a backend and over the proxy too, so that both meet the same moment.
+ * Measures the cost of a proxy on loopback sockets of this machine: one loop for backends that respond at
+ * once, one for the proxy, one for clients. Requests are sent at a fixed rate, whether earlier ones are
+ * answered or not (open loop). Each is sent directly to a backend and through the proxy, so that both see the
+ * same conditions.
  */
 public final class ProxyBenchmark {
 
     /**
-     * What one step came to. Latencies are microseconds from the time at which a request was due.
+     * The result of one step. Latencies are microseconds from the time at which a request was due.
      *
-     * @param cpuMicros of the proxy's thread, a request over it
-     * @param allocatedBytes bytes of the proxy's thread, a request over it
-     * @param seconds until the last answer
+     * @param cpuMicros CPU time of the proxy's thread per request
+     * @param allocatedBytes bytes allocated by the proxy's thread per request
+     * @param seconds from the first request until the last response
      */
     public record Step(int lines, double rate, Histogram direct, Histogram viaProxy, long failed,
             double cpuMicros,
@@ -68,7 +69,9 @@
     private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     private static final long NS_PER_SECOND = 1_000_000_000L;
     private static final int BACKENDS = 4;
-    /** Requests over the proxy that may be unanswered; those beyond it are lost and counted as failed. */
+    /**
+     * Maximum unanswered requests through the proxy; requests beyond it are dropped and counted as failed.
+     */
     private static final int MAX_IN_FLIGHT = 2000;
     private static final long MAX_LATENCY_US = 60_000_000L;
 
@@ -86,12 +89,13 @@
     private int proxiedInFlight;
 
     /**
-     * @param lines of the proxy's table; those beyond the few real backends have next to no weight
-     * @param straightToo whether each request also goes straight; without, the proxy is the first limit
+     * @param lines number of lines in the proxy's table; those beyond the real backends have almost no weight
+     * @param alsoDirect whether each request is also sent directly; without, the proxy is the first
+     *     bottleneck
      */
-    public ProxyBenchmark(int lines, boolean straightToo) throws IOException, ConfigException {
+    public ProxyBenchmark(int lines, boolean alsoDirect) throws IOException, ConfigException {
         this.lines = lines;
-        this.alsoDirect = straightToo;
+        this.alsoDirect = alsoDirect;
         for (int b = 0; b < BACKENDS; b++) {
             backends.add(backendLoop.listen(ANY, Connection.Options.defaults(),
                     c -> new ServerConnection(MessageLimits.defaults(), (request, exchange) ->
@@ -115,7 +119,8 @@
                 """));
         ProxyConfig config = new ProxyConfig(site, 0, "measured", 0, 10, ANY, null, List.of(backends.get(0)),
                 0,
-                60 * NS_PER_SECOND, 60 * NS_PER_SECOND, backends, 15 * NS_PER_SECOND, NS_PER_SECOND, 1 << 16, ForwardingPolicy.defaults());
+                60 * NS_PER_SECOND, 60 * NS_PER_SECOND, backends, 15 * NS_PER_SECOND, NS_PER_SECOND, 1 << 16,
+                ForwardingPolicy.defaults());
         SplittableRandom random = new SplittableRandom(1);
         Router router = new Router(site, List.of(), random, proxyLoop.now());
         router.apply(new Frame.Snapshot(1, 0, 0, 0, List.of(new Frame.Table(0, table(), List.of())),
@@ -137,10 +142,12 @@
         return all;
     }
 
-    /** Plays a step; the first one of a process also compiles and should not be counted. */
+    /**
+     * Runs a step; in the first one of a process the JIT still compiles, so its figures should be discarded.
+     */
     public Step step(double rate, double seconds) throws InterruptedException {
         Histogram direct = new Histogram(MAX_LATENCY_US, 3);
-        Histogram passed = new Histogram(MAX_LATENCY_US, 3);
+        Histogram viaProxy = new Histogram(MAX_LATENCY_US, 3);
         long[] failed = new long[1];
         long count = (long) (rate * seconds);
         CountDownLatch done = new CountDownLatch((int) (2 * count));
@@ -149,15 +156,16 @@
         long cpu = threadBean.getThreadCpuTime(id);
         long bytes = threadBean.getThreadAllocatedBytes(id);
         long began = clientLoop.now();
-        clientLoop.post(() -> sendDue(clientLoop.now(), 0, count, (long) (NS_PER_SECOND / rate), direct, passed, failed, done));
+        clientLoop.post(() -> sendDue(clientLoop.now(), 0, count, (long) (NS_PER_SECOND / rate), direct,
+                viaProxy, failed, done));
         done.await((long) (seconds + 60), TimeUnit.SECONDS);
         double used = (threadBean.getThreadCpuTime(id) - cpu) / 1000.0;
         double allocated = threadBean.getThreadAllocatedBytes(id) - bytes;
-        return new Step(lines, rate, direct, passed, failed[0], used / count, allocated / count,
+        return new Step(lines, rate, direct, viaProxy, failed[0], used / count, allocated / count,
                 Math.max(seconds, (clientLoop.now() - began) / 1e9));
     }
 
-    private void sendDue(long from, long number, long count, long gap, Histogram direct, Histogram passed,
+    private void sendDue(long from, long number, long count, long gap, Histogram direct, Histogram viaProxy,
             long[] failed, CountDownLatch done) {
         long next = number;
         for (; next < count && from + next * gap <= clientLoop.now(); next++) {
@@ -167,18 +175,19 @@
             } else {
                 done.countDown();
             }
-            send(proxiedConnections, proxy.address(), at, passed, failed, done);
+            send(proxiedConnections, proxy.address(), at, viaProxy, failed, done);
         }
-        long on = next;
-        if (on < count) {
-            clientLoop.at(from + on * gap, () -> sendDue(from, on, count, gap, direct, passed, failed, done));
+        long resumeAt = next;
+        if (resumeAt < count) {
+            clientLoop.at(from + resumeAt * gap,
+                    () -> sendDue(from, resumeAt, count, gap, direct, viaProxy, failed, done));
         }
     }
 
     private void send(ArrayDeque<ClientConnection> idle, InetSocketAddress to, long at, Histogram took,
             long[] failed, CountDownLatch done) {
         if (idle == proxiedConnections && proxiedInFlight >= MAX_IN_FLIGHT) {
-            failed[0]++; // its clients wait for nobody: what cannot be asked is lost
+            failed[0]++; // an open loop does not wait: a request that cannot be sent is lost
             done.countDown();
             return;
         }
@@ -211,11 +220,12 @@
         });
     }
 
-    /** What was thrown on a loop; must be nothing. */
+    /** Exceptions thrown on a loop; the measurement is valid only without any. */
     public List<Throwable> faults() {
         return List.copyOf(faults);
     }
 
+    /** Stops the loops and waits for their threads. */
     public void close() throws InterruptedException {
         List.of(backendLoop, proxyLoop, clientLoop).forEach(Loop::stop);
         for (Thread thread : threads) {
--- a/src/main/java/rowanmoor/lab/ProxyHost.java
+++ b/src/main/java/rowanmoor/lab/ProxyHost.java
@@ -6,16 +6,16 @@
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.proxy.ProxyConfig;
 
-/** Where a run's proxies live: loops of this process, or processes of their own. */
+/** Runs the proxies of a day, on a loop of this process or in child processes. */
 interface ProxyHost {
 
-    /** Starts them; answers where each listens, in order of their numbers. */
+    /** Starts the proxies; returns their listening addresses in order of proxy number. */
     List<InetSocketAddress> start(List<ProxyConfig> configs, List<List<Backend>> standing, long seed)
             throws IOException;
 
-    /** Ends them all. */
+    /** Stops all proxies. */
     void close();
 
-    /** What they read of the channel; once they have ended. */
+    /** What the proxies read from the channel; call it after they have stopped. */
     List<Evidence.TapEvent> tapEvents() throws IOException;
 }
--- a/src/main/java/rowanmoor/lab/ProxyLoops.java
+++ b/src/main/java/rowanmoor/lab/ProxyLoops.java
@@ -13,10 +13,10 @@
 import rowanmoor.proxy.ProxyConfig;
 import rowanmoor.proxy.Router;
 
-/** Proxies on one loop of this process. */
+/** Runs proxies on one loop of this process. */
 final class ProxyLoops implements ProxyHost {
 
-    /** What a router is made of. */
+    /** The constructor arguments of a router. */
     record RouterParts(Site site, List<Backend> standing, SplittableRandom random, long now) { }
 
     private final Loop loop;
--- a/src/main/java/rowanmoor/lab/ProxyProcesses.java
+++ b/src/main/java/rowanmoor/lab/ProxyProcesses.java
@@ -18,7 +18,10 @@
 import rowanmoor.proxy.ProxyConfig;
 import rowanmoor.proxy.TapFile;
 
-/** Proxies in processes of their own, so many to a process; each process keeps its taps in a file. */
+/**
+ * Runs proxies in child processes, {@value #PROXIES_PER_PROCESS} in each; each process records its tap in a
+ * file.
+ */
 final class ProxyProcesses implements ProxyHost {
 
     private static final Pattern LISTENING_LINE = Pattern.compile("proxy ([0-9]+) listens on [^/]*/(\\S+)");
@@ -39,37 +42,39 @@
     public List<InetSocketAddress> start(List<ProxyConfig> configs, List<List<Backend>> standing, long seed)
             throws IOException {
         Map<Integer, InetSocketAddress> listening = new ConcurrentHashMap<>();
-        CountDownLatch all = new CountDownLatch(configs.size());
-        for (int from = 0; from < configs.size(); from += PROXIES_PER_PROCESS) {
-            List<ProxyConfig> its = configs.subList(from, Math.min(configs.size(), from + PROXIES_PER_PROCESS));
-            String name = "proxies-" + from;
+        CountDownLatch allListening = new CountDownLatch(configs.size());
+        for (int first = 0; first < configs.size(); first += PROXIES_PER_PROCESS) {
+            List<ProxyConfig> batch = configs.subList(first,
+                    Math.min(configs.size(), first + PROXIES_PER_PROCESS));
+            String name = "proxies-" + first;
             Path config = directory.resolve(name + ".kdl");
             Path taps = directory.resolve(name + ".taps");
             Files.writeString(config, "site-from \"" + ControllerProcesses.quoted(dayFile.toAbsolutePath())
-                    + "\"\n" + its.stream().map(ProxyProcesses::configBlock).collect(Collectors.joining()));
+                    + "\"\n" + batch.stream().map(ProxyProcesses::configBlock).collect(Collectors.joining()));
             tapFiles.add(taps);
             children.add(ChildProcess.start(name, "1g", directory.resolve(name + ".log"), line -> {
                 Matcher matcher = LISTENING_LINE.matcher(line);
                 if (matcher.matches()) {
                     listening.put(Integer.parseInt(matcher.group(1)), Section.parseAddress(matcher.group(2)));
-                    all.countDown();
+                    allListening.countDown();
                 }
             }, "proxy", "--config", config.toString(), "--tap", taps.toString(), "--seed",
-                    Long.toString(seed + from)));
+                    Long.toString(seed + first)));
         }
-        awaitListening(all);
+        awaitListening(allListening);
         return configs.stream().map(c -> listening.get(c.number())).toList();
     }
 
-    private void awaitListening(CountDownLatch all) throws IOException {
+    private void awaitListening(CountDownLatch allListening) throws IOException {
         try {
-            if (!all.await(START_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+            if (!allListening.await(START_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 close();
-                throw new IOException("proxies did not start; see " + directory);
+                throw new IOException("proxies did not start within " + START_TIMEOUT_SECONDS + " s; see "
+                        + directory);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted", e);
+            throw new IOException("interrupted while proxies were starting", e);
         }
     }
 
@@ -86,16 +91,17 @@
                     first-controller %d
                     standing %s
                 }
-                """.formatted(c.number(), c.name(), c.site().zones().get(c.zone()), c.requestsPerSecond(), quotedAddress(c.localAddress()),
-                quotedAddresses(c.controllers()), c.firstController(), quotedAddresses(c.standingBackends()));
+                """.formatted(c.number(), c.name(), c.site().zones().get(c.zone()), c.requestsPerSecond(),
+                quotedAddress(c.localAddress()), quotedAddresses(c.controllers()), c.firstController(),
+                quotedAddresses(c.standingBackends()));
     }
 
-    private static String quotedAddress(InetSocketAddress at) {
-        return "\"" + at.getAddress().getHostAddress() + ":" + at.getPort() + "\"";
+    private static String quotedAddress(InetSocketAddress address) {
+        return "\"" + address.getAddress().getHostAddress() + ":" + address.getPort() + "\"";
     }
 
-    private static String quotedAddresses(List<InetSocketAddress> all) {
-        return all.stream().map(ProxyProcesses::quotedAddress).collect(Collectors.joining(" "));
+    private static String quotedAddresses(List<InetSocketAddress> addresses) {
+        return addresses.stream().map(ProxyProcesses::quotedAddress).collect(Collectors.joining(" "));
     }
 
     @Override
@@ -110,7 +116,7 @@
         Evidence.Recorder recorder = new Evidence.Recorder();
         for (Path file : tapFiles) {
             if (!TapFile.read(file, recorder)) {
-                throw new IOException(file + ": its last record is cut off");
+                throw new IOException(file + ": the last record is truncated");
             }
         }
         return recorder.events();
--- a/src/main/java/rowanmoor/lab/ProxyStateModel.java
+++ b/src/main/java/rowanmoor/lab/ProxyStateModel.java
@@ -8,7 +8,10 @@
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.channel.Frame;
 
-/** What a proxy must hold, going by the bytes that it read: the judge's own reckoning of docs/channel.md. */
+/**
+ * The state that a proxy must hold after the bytes that it read. It implements docs/channel.md independently
+ * of the proxy, for the rule checker.
+ */
 final class ProxyStateModel {
 
     private static final int FALLBACK = -1;
@@ -31,7 +34,7 @@
         }
     }
 
-    /** A stream opens: what is held stays, by class, until this stream binds the class. */
+    /** A stream opens: each class keeps its lines until the new stream binds the class. */
     void streamOpened() {
         for (int c = 0; c < tableByClass.length; c++) {
             fallbackLines.put(c, new TreeMap<>(lines(c)));
@@ -50,7 +53,7 @@
         return tables.computeIfAbsent(number, n -> new TreeMap<>());
     }
 
-    /** Takes a frame; answers what is wrong with its numbering, or null. */
+    /** Applies a frame; returns a description of a numbering error, or null. */
     String apply(Frame frame) {
         if (frame instanceof Frame.Snapshot s) {
             epoch = s.epoch();
@@ -65,7 +68,7 @@
             }
         } else if (frame instanceof Frame.Update u) {
             if (version < 0) {
-                return "an update before the stream's snapshot";
+                return "update before the stream's snapshot";
             }
             if (u.epoch() != epoch || u.version() != version + 1) {
                 return "version " + u.epoch() + "/" + u.version() + " after " + epoch + "/" + version;
@@ -99,8 +102,8 @@
         }
     }
 
-    private void withdraw(Backend backend, boolean out) {
-        if (out) {
+    private void withdraw(Backend backend, boolean isWithdrawn) {
+        if (isWithdrawn) {
             withdrawn.add(backend);
         } else {
             withdrawn.remove(backend);
@@ -121,22 +124,22 @@
         }
     }
 
-    /** Lines to pick, by class. */
+    /** Number of lines that can be picked, by class. */
     int[] availableCounts() {
-        int[] open = new int[tableByClass.length];
-        for (int c = 0; c < open.length; c++) {
-            open[c] = (int) lines(c).keySet().stream().filter(b -> !withdrawn.contains(b)).count();
+        int[] counts = new int[tableByClass.length];
+        for (int c = 0; c < counts.length; c++) {
+            counts[c] = (int) lines(c).keySet().stream().filter(b -> !withdrawn.contains(b)).count();
         }
-        return open;
+        return counts;
     }
 
-    /** In how many classes there are fewer lines to pick than there were. */
+    /** Number of classes that have fewer available lines than before. */
     long countDecreases(int[] before) {
         int[] now = availableCounts();
         return java.util.stream.IntStream.range(0, now.length).filter(c -> now[c] < before[c]).count();
     }
 
-    /** Whether there is no line to pick for a class. */
+    /** Whether no line can be picked for a class. */
     boolean hasNoBackend(int cls) {
         return withdrawn.containsAll(lines(cls).keySet());
     }
@@ -145,7 +148,7 @@
         return epoch;
     }
 
-    /** Whether this stream's snapshot has come. */
+    /** Whether this stream's snapshot has been received. */
     boolean joined() {
         return version >= 0;
     }
--- a/src/main/java/rowanmoor/lab/RandomFleet.java
+++ b/src/main/java/rowanmoor/lab/RandomFleet.java
@@ -4,8 +4,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Fleets that nobody thought of: drawn from a seed, to judge forecasts by. Sizes are such that one machine
- * plays them on sockets.
+ * Generates day files with fleets drawn from a seed, to check forecasts on fleets that nobody tuned them for.
+ * The sizes are small enough for one machine to run them on sockets.
  */
 public final class RandomFleet {
 
@@ -15,7 +15,7 @@
         return low + (high - low) * random.nextDouble();
     }
 
-    /** A day file's text. The same name and seed give the same. */
+    /** Returns the text of a day file. The same name and seed always give the same text. */
     public static String generate(String name, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         int cores = 2 + random.nextInt(4);
--- a/src/main/java/rowanmoor/lab/ResultStore.java
+++ b/src/main/java/rowanmoor/lab/ResultStore.java
@@ -18,14 +18,16 @@
 import rowanmoor.proxy.Router;
 
 /**
- * Results of runs, kept in an embedded store under a hash of all that they follow from: the fleet's file, the
- * variant, the seed, and the code that decides and emulates. Changed code finds no old result.
+ * Keeps results of runs in an embedded store. The key is a hash of everything that determines a result: the
+ * fleet's file, the variant, the seed, and the code that decides and emulates. After a change of that code no
+ * old result is found.
  */
 final class ResultStore implements Closeable {
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    // The classes whose code a result follows from; others of their packages change with them.
-    private static final List<Class<?>> CODE_CLASSES = List.of(RoutingPolicy.class, Driver.class, Router.class,
+    // The classes whose code determines a result; other classes of their packages change along with these.
+    private static final List<Class<?>> CODE_CLASSES =
+            List.of(RoutingPolicy.class, Driver.class, Router.class,
             Emulator.class);
     private static final List<String> CODE_RESOURCES = List.of(
             "/rowanmoor/FleetState.class", "/rowanmoor/FleetState$PathStats.class",
@@ -42,7 +44,8 @@
         try {
             store = new MVStore.Builder().fileName(file.toString()).open();
         } catch (MVStoreException e) {
-            throw new IOException(file + ": is no store of results, or in use: " + e.getMessage(), e);
+            throw new IOException(file + ": not a result store, or in use by another process: "
+                    + e.getMessage(), e);
         }
         results = store.openMap("results");
         codeHash = computeCodeHash();
@@ -50,38 +53,38 @@
 
     private static byte[] computeCodeHash() throws IOException {
         HashStream128 hash = Hashing.murmur3_128().hashStream();
-        for (Class<?> one : CODE_CLASSES) {
-            put(hash, "/" + one.getName().replace('.', '/') + ".class");
+        for (Class<?> type : CODE_CLASSES) {
+            hashResource(hash, "/" + type.getName().replace('.', '/') + ".class");
         }
         for (String resource : CODE_RESOURCES) {
-            put(hash, resource);
+            hashResource(hash, resource);
         }
         return hash.get().toByteArray();
     }
 
-    private static void put(HashStream128 hash, String resource) throws IOException {
+    private static void hashResource(HashStream128 hash, String resource) throws IOException {
         try (InputStream in = ResultStore.class.getResourceAsStream(resource)) {
             if (in == null) {
-                throw new IOException("no class " + resource);
+                throw new IOException("class file not found: " + resource);
             }
             hash.putByteArray(in.readAllBytes());
         }
     }
 
-    /** The key of a run. */
+    /** The key under which a run's result is stored. */
     String key(byte[] fleet, String variant, long seed) {
         HashValue128 hash = Hashing.murmur3_128().hashStream().putByteArray(codeHash).putByteArray(fleet)
                 .putString(variant).putLong(seed).get();
         return hash.toString();
     }
 
-    /** A result, or null. */
+    /** Returns the stored result, or null. */
     Experiment.Result get(String key) throws IOException {
         String text = results.get(key);
         return text == null ? null : JSON.readValue(text, Experiment.Result.class);
     }
 
-    /** Keeps a result; from any thread. It is on disk within a second, or at once after {@link #close}. */
+    /** Stores a result. Thread-safe. It is on disk within a second, or after {@link #close}. */
     void put(String key, Experiment.Result result) throws IOException {
         results.put(key, JSON.writeValueAsString(result));
         store.tryCommit();
--- a/src/main/java/rowanmoor/lab/RuleChecker.java
+++ b/src/main/java/rowanmoor/lab/RuleChecker.java
@@ -24,30 +24,30 @@
 import rowanmoor.standin.RosterServer;
 
 /**
- * Judges the five rules from {@link Evidence} alone: bytes that proxies read, what backends wrote down, what
- * the roster answered. Each verdict has its worst figure beside its limit.
+ * Checks the five rules from {@link Evidence} alone: the bytes that proxies read, the ledger of the backends,
+ * and the answers of the roster. Each verdict states its worst value next to the limit.
  */
 public final class RuleChecker {
 
     /**
-     * One rule's verdict.
+     * The verdict on one rule.
      *
-     * @param first tells of the first break, or is empty
-     * @param firstAt when that was, nanoseconds from the day's start; -1 for never
-     * @param met how often the run put the rule to work; with 0, that it is kept says nothing
+     * @param first describes the first violation, or is empty
+     * @param firstAt time of the first violation, nanoseconds from the day's start; -1 for none
+     * @param met how often the run exercised the rule; with 0 a kept rule proves nothing
      */
     public record Verdict(String rule, String unit, double limit, double worst, boolean broken,
             String first, long firstAt, long met) { }
 
-    /** The first break of a rule, as it is met. */
+    /** The first violation of a rule. */
     private final class FirstViolation {
         private String text = "";
         private long at = -1;
 
-        void record(long when, String what) {
+        void record(long when, String description) {
             if (at < 0) {
                 at = Math.max(0, when - evidence.start());
-                text = what;
+                text = description;
             }
         }
     }
@@ -55,7 +55,7 @@
     private static final double NS_PER_SECOND = 1e9;
     private static final double MIN_INFORMED_FRACTION = 2.0 / 3;
 
-    /** A proxy's time on one stream, and the messages of it. */
+    /** The time that a proxy spent on one stream, and when it read messages. */
     private static final class StreamSession {
         private final int proxy;
         private final int rank;
@@ -70,7 +70,7 @@
         }
     }
 
-    /** An update as it was read. */
+    /** An update or requested snapshot as it was read. */
     private record ReceivedMessage(long epoch, long orderedAt, long arrivedAt, double lines, long waiting) { }
 
     private final Evidence evidence;
@@ -98,13 +98,17 @@
         }
     }
 
-    /** All verdicts: the five rules, and the numbering of messages. */
+    /**
+     * All verdicts: on the five rules, on the numbering of messages, and on the message limit if there is
+     * one.
+     */
     public List<Verdict> verdicts() {
         Map<Integer, List<Evidence.TapEvent>> byProxy = new TreeMap<>();
         evidence.tapEvents().forEach(t -> byProxy.computeIfAbsent(t.proxy(), p -> new ArrayList<>()).add(t));
         byProxy.forEach(this::replay);
         List<Verdict> all = new ArrayList<>(List.of(new Verdict("no proxy without a backend", "s",
-                        rules.maxTimeWithoutBackend() / NS_PER_SECOND, longestWithoutBackend / NS_PER_SECOND, longestWithoutBackend > rules.maxTimeWithoutBackend(),
+                        rules.maxTimeWithoutBackend() / NS_PER_SECOND, longestWithoutBackend / NS_PER_SECOND,
+                        longestWithoutBackend > rules.maxTimeWithoutBackend(),
                         firstWithoutBackend.text, firstWithoutBackend.at, backendLossCount),
                 checkEffects(), checkDrains(), checkColdOverloads(), checkQueue(),
                 new Verdict("messages numbered without gaps", "gaps", 0, numberingErrors, numberingErrors > 0,
@@ -119,26 +123,28 @@
         return String.format("%.3f s", (at - evidence.start()) / NS_PER_SECOND);
     }
 
-    // ---- what proxies held ---------------------------------------------------------------------------
+    // ---- state of the proxies ------------------------------------------------------------------------
 
-    /** Replays what one proxy read; notes its stays, its messages and how long it was bare. */
+    /**
+     * Replays what one proxy read; collects its stream sessions, its messages and its time without a backend.
+     */
     private void replay(int proxy, List<Evidence.TapEvent> taps) {
         int classes = site.classes().size();
-        ProxyStateModel mirror = new ProxyStateModel(classes, evidence.standingTables().get(proxy));
+        ProxyStateModel state = new ProxyStateModel(classes, evidence.standingTables().get(proxy));
         FrameReader reader = null;
-        StreamSession stay = null;
-        long[] bareSince = new long[classes];
-        java.util.Arrays.fill(bareSince, -1);
+        StreamSession session = null;
+        long[] withoutBackendSince = new long[classes];
+        java.util.Arrays.fill(withoutBackendSince, -1);
         for (Evidence.TapEvent tap : taps) {
             if (tap.type() == Evidence.TapEventType.OPENED) {
-                mirror.streamOpened();
+                state.streamOpened();
                 reader = new FrameReader(ChannelLimits.defaults());
-                stay = null;
+                session = null;
             } else if (tap.type() == Evidence.TapEventType.CLOSED) {
-                if (stay != null) {
-                    stay.toNs = tap.at();
-                    updateWithoutBackend(stay, mirror, bareSince, tap.at(), true);
-                    stay = null;
+                if (session != null) {
+                    session.toNs = tap.at();
+                    updateWithoutBackend(session, state, withoutBackendSince, tap.at(), true);
+                    session = null;
                 }
             } else {
                 ByteBuffer bytes = ByteBuffer.wrap(tap.bytes());
@@ -147,27 +153,28 @@
                     if (frame == null) {
                         break;
                     }
-                    int[] open = mirror.availableCounts();
-                    String wrong = mirror.apply(frame);
-                    backendLossCount += stay == null ? 0 : mirror.countDecreases(open);
+                    int[] before = state.availableCounts();
+                    String wrong = state.apply(frame);
+                    backendLossCount += session == null ? 0 : state.countDecreases(before);
                     if (wrong != null) {
                         numberingErrors++;
-                        firstNumberingError.record(tap.at(), "proxy " + proxy + " at " + formatTime(tap.at()) + ": "
-                                + wrong);
+                        firstNumberingError.record(tap.at(), "proxy " + proxy + " at " + formatTime(tap.at())
+                                + ": " + wrong);
                     }
-                    if (stay == null && mirror.joined()) {
-                        stay = new StreamSession(proxy, evidence.ranksByEpoch().getOrDefault(mirror.epoch(), -1), tap.at());
-                        sessions.computeIfAbsent(proxy, p -> new ArrayList<>()).add(stay);
+                    if (session == null && state.joined()) {
+                        session = new StreamSession(proxy,
+                                evidence.ranksByEpoch().getOrDefault(state.epoch(), -1), tap.at());
+                        sessions.computeIfAbsent(proxy, p -> new ArrayList<>()).add(session);
                     }
-                    recordMessage(frame, tap.at(), stay);
-                    if (stay != null) {
-                        updateWithoutBackend(stay, mirror, bareSince, tap.at(), false);
+                    recordMessage(frame, tap.at(), session);
+                    if (session != null) {
+                        updateWithoutBackend(session, state, withoutBackendSince, tap.at(), false);
                     }
                 }
             }
         }
-        if (stay != null) {
-            updateWithoutBackend(stay, mirror, bareSince, evidence.end(), true);
+        if (session != null) {
+            updateWithoutBackend(session, state, withoutBackendSince, evidence.end(), true);
         }
     }
 
@@ -177,58 +184,66 @@
         } catch (ChannelException e) {
             bytes.position(bytes.limit());
             numberingErrors++;
-            firstNumberingError.record(at, "proxy " + proxy + " read what is no frame: " + e.getMessage());
+            firstNumberingError.record(at, "proxy " + proxy + " read an invalid frame: " + e.getMessage());
             return null;
         }
     }
 
-    private void recordMessage(Frame frame, long at, StreamSession stay) {
+    private void recordMessage(Frame frame, long at, StreamSession session) {
         if (frame instanceof Frame.Update update) {
-            double lines = channel.messageOverhead() + update.orders().stream().mapToInt(Frame::lineCount).sum();
-            messages.add(new ReceivedMessage(update.epoch(), update.orderedAtNs(), at, lines, update.queuedLines()));
-            if (stay != null) {
-                stay.messageTimes.add(at);
+            double lines = channel.messageOverhead()
+                    + update.orders().stream().mapToInt(Frame::lineCount).sum();
+            messages.add(new ReceivedMessage(update.epoch(), update.orderedAtNs(), at, lines,
+                    update.queuedLines()));
+            if (session != null) {
+                session.messageTimes.add(at);
             }
         } else if (frame instanceof Frame.Snapshot s && !s.bindings().isEmpty()) {
-            // One that was asked for goes through the channel; a stream's first has no bindings and does not.
+            // A requested snapshot goes through the channel's queue; a stream's first one has no bindings and
+            // does not.
             double lines = channel.messageOverhead() + s.withdrawn().size() + s.tables().stream()
                     .mapToInt(t -> 1 + t.lines().size() + t.levels().size()).sum();
             messages.add(new ReceivedMessage(s.epoch(), s.orderedAtNs(), at, lines, s.queuedLines()));
         }
     }
 
-    /** Closes or opens a class's bare stretch; the part of it counts in which its controller knew better. */
-    private void updateWithoutBackend(StreamSession stay, ProxyStateModel mirror, long[] since, long now, boolean over) {
+    /**
+     * Starts or ends the time in which a class had no backend. Only the part counts in which its controller
+     * knew of a warm backend.
+     */
+    private void updateWithoutBackend(StreamSession session, ProxyStateModel state, long[] since, long now,
+            boolean over) {
         for (int cls = 0; cls < since.length; cls++) {
-            boolean bare = mirror.hasNoBackend(cls);
-            if (since[cls] >= 0 && (!bare || over)) {
-                double longest = longestAvoidable(stay, cls, Math.max(since[cls], stay.fromNs), now);
+            boolean without = state.hasNoBackend(cls);
+            if (since[cls] >= 0 && (!without || over)) {
+                double longest = longestAvoidable(session, cls, Math.max(since[cls], session.fromNs), now);
                 longestWithoutBackend = Math.max(longestWithoutBackend, longest);
                 since[cls] = -1;
             }
-            if (bare && !over && since[cls] < 0) {
+            if (without && !over && since[cls] < 0) {
                 since[cls] = now;
             }
         }
     }
 
-    /** Longest stretch within a span in which the controller's list had a warm backend open to the class. */
-    private double longestAvoidable(StreamSession stay, int cls, long from, long to) {
+    /** Longest time within a span in which the controller's list had a warm backend open to the class. */
+    private double longestAvoidable(StreamSession session, int cls, long from, long to) {
         double longest = 0;
         long since = -1;
         List<Long> times = new ArrayList<>(List.of(from));
-        List<RosterServer.SentAnswer> answers = answersByRank.getOrDefault(stay.rank, List.of());
-        // A backend gets warm between two answers as well.
+        List<RosterServer.SentAnswer> answers = answersByRank.getOrDefault(session.rank, List.of());
+        // A backend may also become warm between two answers.
         java.util.stream.Stream.concat(answers.stream().map(RosterServer.SentAnswer::at), answers.stream()
                 .flatMap(a -> a.instances().stream()).map(i -> i.startedAtNs() + rules.warmUpTime()))
                 .filter(t -> t > from && t < to).distinct().sorted().forEach(times::add);
         for (long time : times) {
-            boolean known = hasWarmBackend(stay.rank, cls, time);
+            boolean known = hasWarmBackend(session.rank, cls, time);
             since = !known ? -1 : since < 0 ? time : since;
             long next = times.stream().filter(t -> t > time).findFirst().orElse(to);
             if (since >= 0 && next - since > rules.maxTimeWithoutBackend()) {
-                firstWithoutBackend.record(since + rules.maxTimeWithoutBackend(), "proxy " + stay.proxy + ", class "
-                        + site.classNames().get(cls) + ", from " + formatTime(since) + " to " + formatTime(next));
+                firstWithoutBackend.record(since + rules.maxTimeWithoutBackend(), "proxy " + session.proxy
+                        + ", class " + site.classNames().get(cls) + ", from " + formatTime(since) + " to "
+                        + formatTime(next));
             }
             longest = Math.max(longest, since < 0 ? 0 : next - since);
         }
@@ -242,11 +257,12 @@
             Evidence.Placement place = evidence.backends().get(i.backend());
             boolean open = (spec.onlyZones().isEmpty() || spec.onlyZones().contains(place.zone()))
                     && (spec.onlyKinds().isEmpty() || spec.onlyKinds().contains(place.kind()));
-            return i.availability() == Availability.READY && open && time - i.startedAtNs() >= rules.warmUpTime();
+            return i.availability() == Availability.READY && open
+                    && time - i.startedAtNs() >= rules.warmUpTime();
         });
     }
 
-    /** The list as a controller was last told it by a time. */
+    /** The list that a controller had last received at a time. */
     private List<RosterServer.Instance> listAt(int rank, long time) {
         List<RosterServer.Instance> list = List.of();
         for (RosterServer.SentAnswer answer : answersByRank.getOrDefault(rank, List.of())) {
@@ -284,7 +300,7 @@
                 triesOf.values().stream().filter(n -> n > 1).count());
     }
 
-    /** How many of a try's runs may each have taken effect. */
+    /** How many of a request's tries may each have taken effect. */
     private int possibleEffects(List<Ledger.Entry> tries) {
         int cls = site.classIndex(tries.get(0).path);
         if (cls < 0 || site.classes().get(cls).idempotency() == Idempotency.SAFE) {
@@ -309,26 +325,29 @@
         double worst = 0;
         FirstViolation first = new FirstViolation();
         for (Ledger.Entry entry : evidence.ledger().entries()) {
-            StreamSession stay = sessionAt(entry.proxy, entry.arrivedAt);
-            if (stay == null) {
+            StreamSession session = sessionAt(entry.proxy, entry.arrivedAt);
+            if (session == null) {
                 continue;
             }
-            long since = notReadySince(stay.rank, entry.backend, entry.arrivedAt);
+            long since = notReadySince(session.rank, entry.backend, entry.arrivedAt);
             if (since < 0) {
                 continue;
             }
-            long clock = Math.max(since, stay.fromNs);
-            if (entry.arrivedAt - clock > rules.drainGrace()) {
+            long obligedSince = Math.max(since, session.fromNs);
+            if (entry.arrivedAt - obligedSince > rules.drainGrace()) {
                 first.record(entry.arrivedAt, "proxy " + entry.proxy + " sent to " + entry.backend + " at "
                         + formatTime(entry.arrivedAt) + ", told at " + formatTime(since));
             }
-            worst = Math.max(worst, entry.arrivedAt - clock);
+            worst = Math.max(worst, entry.arrivedAt - obligedSince);
         }
         return new Verdict("drains kept", "s", rules.drainGrace() / NS_PER_SECOND, worst / NS_PER_SECOND,
                 worst > rules.drainGrace(), first.text, first.at, countDrainNotices());
     }
 
-    /** Backends that a controller was told to be draining or gone, each with the proxies it had then. */
+    /**
+     * Counts the backends that a controller was told are draining or gone, once for each proxy that it had
+     * then.
+     */
     private long countDrainNotices() {
         long met = 0;
         for (Map.Entry<Integer, List<RosterServer.SentAnswer>> one : answersByRank.entrySet()) {
@@ -339,7 +358,8 @@
                         .forEach(i -> now.add(i.backend()));
                 boolean empty = answer.instances().isEmpty();
                 long lost = empty ? 0 : ready.stream().filter(b -> !now.contains(b)).count();
-                met += lost * sessions.values().stream().flatMap(List::stream).filter(s -> s.rank == one.getKey()
+                met += lost * sessions.values().stream().flatMap(List::stream)
+                        .filter(s -> s.rank == one.getKey()
                         && s.fromNs <= answer.at() && answer.at() < s.toNs).count();
                 ready = empty ? ready : now;
             }
@@ -352,7 +372,7 @@
                 .findFirst().orElse(null);
     }
 
-    /** Since when a controller has been told that a backend is draining or gone; -1 if it is ready. */
+    /** Time at which a controller was told that a backend is draining or gone; -1 if it is ready. */
     private long notReadySince(int rank, Backend backend, long time) {
         long since = -1;
         boolean wasListed = false;
@@ -361,11 +381,11 @@
                 break;
             }
             if (answer.instances().isEmpty()) {
-                continue; // not believed at once: docs/running.md, The roster empties
+                continue; // an empty list is not believed at once: docs/running.md, The roster empties
             }
             boolean ready = answer.instances().stream().anyMatch(i -> i.backend().equals(backend)
                     && i.availability() == Availability.READY);
-            // A controller that never saw it ready is told of its drain all the same.
+            // The drain counts even if the controller never saw the backend ready.
             wasListed |= answer.instances().stream().anyMatch(i -> i.backend().equals(backend));
             since = ready || !wasListed ? -1 : since < 0 ? answer.at() : since;
         }
@@ -395,11 +415,14 @@
                 first.record(fall.at(), fall.backend() + " fell at " + formatTime(fall.at()));
             }
         }
-        return new Verdict("no cold backend pushed over", "part of a fall's load that knew", MIN_INFORMED_FRACTION, worst,
+        return new Verdict("no cold backend pushed over", "part of a fall's load that knew",
+                MIN_INFORMED_FRACTION, worst,
                 broken, first.text, first.at, countColdRequests());
     }
 
-    /** Requests that came to a backend while, going by what the roster said of its start, it was cold. */
+    /**
+     * Counts the requests that reached a backend while it was cold, by the start time that the roster stated.
+     */
     private long countColdRequests() {
         Map<Backend, TreeSet<Long>> starts = new HashMap<>();
         evidence.answers().forEach(a -> a.instances().stream().filter(i -> i.startedAtMs() > 0).forEach(i ->
@@ -410,14 +433,17 @@
         }).count();
     }
 
-    /** Whether a request came from a proxy, or under a controller, that knew of the start. */
+    /**
+     * Whether a request's proxy was informed of the backend's start: by a message since its controller heard
+     * of it, or because the drain grace has passed since then.
+     */
     private boolean wasInformed(Ledger.Entry entry, Ledger.Fall fall) {
-        StreamSession stay = sessionAt(entry.proxy, entry.arrivedAt);
-        if (stay == null) {
+        StreamSession session = sessionAt(entry.proxy, entry.arrivedAt);
+        if (session == null) {
             return false;
         }
         long since = -1;
-        for (RosterServer.SentAnswer answer : answersByRank.getOrDefault(stay.rank, List.of())) {
+        for (RosterServer.SentAnswer answer : answersByRank.getOrDefault(session.rank, List.of())) {
             boolean tells = answer.at() >= fall.startedAt() && answer.at() <= entry.arrivedAt
                     && answer.instances().stream().anyMatch(i -> i.backend().equals(fall.backend())
                             && i.startedAtMs() > 0);
@@ -425,17 +451,17 @@
                 since = answer.at();
             }
         }
-        long heard = since;
+        long informedAt = since;
         return since >= 0 && (entry.arrivedAt - since > rules.drainGrace()
-                || stay.messageTimes.stream().anyMatch(m -> m > heard && m <= entry.arrivedAt));
+                || session.messageTimes.stream().anyMatch(m -> m > informedAt && m <= entry.arrivedAt));
     }
 
     // ---- 5. the queue --------------------------------------------------------------------------------
 
     /**
-     * Lines that waited: what a controller's messages say of their order times, played through a queue of the
-     * stated pace. And the pace itself: over any stretch no more may arrive than that pace allows, give or
-     * take what the way may hold back.
+     * Checks the waiting lines: the messages of a controller, by the times at which they were ordered, are
+     * played through a queue that drains at the stated pace. Also checks the pace: over any span no more may
+     * arrive than the pace allows, plus what may be delayed on the way.
      */
     private Verdict checkQueue() {
         Map<Long, List<ReceivedMessage>> byEpoch = new TreeMap<>();
@@ -462,25 +488,29 @@
                 first.record(all.get(0).orderedAt(), Math.round(ahead) + " lines came faster than the pace");
             }
         }
-        return new Verdict("a short queue", "lines", channel.maxBacklog(), worst, worst > channel.maxBacklog(),
+        return new Verdict("a short queue", "lines", channel.maxBacklog(), worst,
+                worst > channel.maxBacklog(),
                 first.text, first.at, messages.stream().filter(m -> m.waiting() > m.lines()).count());
     }
 
-    /** Messages to one proxy over the stated span, where they are limited; counted anew with each stream. */
+    /**
+     * Checks the number of messages to one proxy over the stated window, if limited; each stream counts anew.
+     */
     private Verdict checkMessageLimit() {
         int worst = 0;
         FirstViolation first = new FirstViolation();
         for (List<StreamSession> all : sessions.values()) {
-            for (StreamSession stay : all) {
+            for (StreamSession session : all) {
                 int from = 0;
-                for (int i = 0; i < stay.messageTimes.size(); i++) {
-                    while (stay.messageTimes.get(i) - stay.messageTimes.get(from) >= channel.messageWindow()) {
+                for (int i = 0; i < session.messageTimes.size(); i++) {
+                    while (session.messageTimes.get(i)
+                            - session.messageTimes.get(from) >= channel.messageWindow()) {
                         from++;
                     }
                     worst = Math.max(worst, i - from + 1);
                     if (i - from + 1 > channel.maxMessages()) {
-                        long at = stay.messageTimes.get(i);
-                        first.record(at, "proxy " + stay.proxy + " at " + formatTime(at));
+                        long at = session.messageTimes.get(i);
+                        first.record(at, "proxy " + session.proxy + " at " + formatTime(at));
                     }
                 }
             }
@@ -489,7 +519,9 @@
                 first.at >= 0, first.text, first.at, messages.size());
     }
 
-    /** Most lines by which arrivals over any stretch were ahead of the pace and of what the way holds. */
+    /**
+     * The most lines by which arrivals over any span exceeded the pace, plus what may be delayed on the way.
+     */
     private double excessOverPace(List<ReceivedMessage> all) {
         List<ReceivedMessage> byArrival = new ArrayList<>(all);
         byArrival.sort(Comparator.comparingLong(ReceivedMessage::arrivedAt));
@@ -498,7 +530,8 @@
         double worst = 0;
         long before = byArrival.get(0).arrivedAt();
         for (ReceivedMessage message : byArrival) {
-            bucket = Math.max(0, bucket - (message.arrivedAt() - before) / NS_PER_SECOND * channel.linesPerSecond());
+            bucket = Math.max(0, bucket - (message.arrivedAt() - before) / NS_PER_SECOND
+                    * channel.linesPerSecond());
             bucket += message.lines();
             before = message.arrivedAt();
             worst = Math.max(worst, bucket - allowed - message.lines());
@@ -506,9 +539,11 @@
         return worst;
     }
 
-    // ---- how long a change took ----------------------------------------------------------------------
+    // ---- latency of roster changes -------------------------------------------------------------------
 
-    /** For each change of the list: from the answer to the last message read that any proxy got next. */
+    /**
+     * For each roster change: milliseconds from the answer until the last proxy has read its next message.
+     */
     public List<Double> changeLatenciesMs() {
         List<Double> took = new ArrayList<>();
         answersByRank.forEach((rank, answers) -> {
@@ -528,15 +563,15 @@
         return took;
     }
 
-    /** When the last joined proxy had its first message ordered after a time. */
+    /** When the last joined proxy read its first message after a time. */
     private java.util.OptionalLong lastApplied(int rank, long after) {
         long last = -1;
-        long most = after + rules.drainGrace() * 4;
+        long latest = after + rules.drainGrace() * 4;
         for (List<StreamSession> all : sessions.values()) {
-            for (StreamSession stay : all) {
-                if (stay.rank == rank && stay.fromNs <= after && stay.toNs > after) {
-                    long next = stay.messageTimes.stream().filter(m -> m > after).findFirst().orElse(-1L);
-                    last = next < most ? Math.max(last, next) : last;
+            for (StreamSession session : all) {
+                if (session.rank == rank && session.fromNs <= after && session.toNs > after) {
+                    long next = session.messageTimes.stream().filter(m -> m > after).findFirst().orElse(-1L);
+                    last = next < latest ? Math.max(last, next) : last;
                 }
             }
         }
--- a/src/main/java/rowanmoor/lab/SoakClient.java
+++ b/src/main/java/rowanmoor/lab/SoakClient.java
@@ -13,17 +13,17 @@
 import java.util.regex.Pattern;
 
 /**
- * A client of a soak, on a thread of its own: one kept connection, one request at a time. It looks for the
- * end of its connection before each request, as a careful pool does.
+ * A client of a soak test, on its own thread: one persistent connection, one request at a time. Like a
+ * careful connection pool it checks before each request whether the server has closed the connection.
  */
 final class SoakClient implements Runnable {
 
-    /** What a client tells of each request that it has written; from its own thread. */
+    /** Is notified of the result of each request that was written; called on the client's thread. */
     interface Listener {
 
         void answered(String id, int status);
 
-        /** No answer came. Times by {@link System#nanoTime}. */
+        /** No response came. {@code connectedAt} is in the time of {@link System#nanoTime}. */
         void unanswered(String id, long connectedAt, String why);
     }
 
@@ -44,12 +44,12 @@
     private long connectedAt;
 
     SoakClient(String name, InetSocketAddress server, SplittableRandom random, Listener listener,
-            BooleanSupplier goesOn) {
+            BooleanSupplier running) {
         this.name = name;
         this.server = server;
         this.random = random;
         this.listener = listener;
-        this.running = goesOn;
+        this.running = running;
     }
 
     @Override
@@ -98,7 +98,10 @@
         }
     }
 
-    /** Whether the server has ended the connection or said something unasked: nothing is asked on it then. */
+    /**
+     * Whether the server has closed the connection or sent unsolicited bytes; it must not be used any more
+     * then.
+     */
     private boolean isClosedByServer() {
         try {
             channel.configureBlocking(false);
@@ -116,13 +119,13 @@
         while (head.indexOf("\r\n\r\n") < 0) {
             head.append((char) readByte(in));
             if (head.length() > MAX_HEAD_BYTES) {
-                throw new IOException("an endless head");
+                throw new IOException("response head is longer than " + MAX_HEAD_BYTES + " bytes");
             }
         }
         Matcher status = STATUS.matcher(head);
         Matcher length = LENGTH.matcher(head);
         if (!status.lookingAt() || !length.find()) {
-            throw new IOException("no answer: " + head);
+            throw new IOException("not a response with a content length: " + head);
         }
         for (int left = Integer.parseInt(length.group(1)); left > 0; left--) {
             readByte(in);
@@ -137,11 +140,11 @@
         try {
             int value = in.read();
             if (value < 0) {
-                throw new IOException("the connection ended");
+                throw new IOException("connection closed before the end of the response");
             }
             return value;
         } catch (SocketTimeoutException e) {
-            throw new IOException("nothing for " + RESPONSE_TIMEOUT_MS + " ms", e);
+            throw new IOException("no byte received for " + RESPONSE_TIMEOUT_MS + " ms", e);
         }
     }
 
@@ -150,7 +153,7 @@
             try {
                 channel.close();
             } catch (IOException e) {
-                // its descriptor is given up either way
+                // the descriptor is released in either case
             }
             channel = null;
         }
--- a/src/main/java/rowanmoor/lab/SoakRun.java
+++ b/src/main/java/rowanmoor/lab/SoakRun.java
@@ -27,19 +27,20 @@
 import rowanmoor.net.Loop;
 
 /**
- * One seed of a soak: a real proxy process on loopback is stopped, killed and started again at the same
- * address while clients go on, all as the seed draws it. Judged by what clients and backends saw.
+ * One seed of a soak test: a real proxy process on loopback is stopped, killed and restarted at the same
+ * address while clients keep sending requests; the seed decides when and how. The result is judged by what
+ * clients and backends observed.
  */
 final class SoakRun implements SoakClient.Listener {
 
-    /** How a process is ended; {@link #KILL_INSTEAD_OF_STOP} is a mutant that the judge has to catch. */
+    /** How a proxy process is stopped; {@link #KILL_INSTEAD_OF_STOP} is a mutant that the run must detect. */
     enum StopMode { STOP, STOP_THEN_KILL, KILL_INSTEAD_OF_STOP }
 
     /**
-     * What a seed came to.
+     * The result of a seed.
      *
-     * @param failures what broke a rule, one text each; none if the seed passed
-     * @param startupMillis from each start to the first connection taken, ms
+     * @param failures descriptions of broken rules; empty if the seed passed
+     * @param startupMillis for each start, milliseconds until the proxy listens
      */
     record Result(long seed, int answered, int refused, int excused, List<Long> startupMillis,
             List<String> failures) { }
@@ -103,17 +104,17 @@
     private volatile boolean clientsRunning = true;
     private int port;
 
-    /** @param stop how a planned stop is done: {@link StopMode#STOP} but for a mutant */
-    SoakRun(long seed, Path directory, StopMode stop) {
+    /** @param stopMode how a planned stop is done: {@link StopMode#STOP}, or another one for a mutant */
+    SoakRun(long seed, Path directory, StopMode stopMode) {
         this.seed = seed;
         this.random = new SplittableRandom(seed);
         this.directory = directory;
-        this.stopMode = stop;
+        this.stopMode = stopMode;
     }
 
-    /** Plays the seed; nothing that it has started goes on after it. */
+    /** Runs the seed; everything that it has started is stopped when it returns. */
     Result play() throws IOException, InterruptedException {
-        Loop loop = Loop.onSockets(cause -> lostRequests.add("a stand-in threw: " + cause));
+        Loop loop = Loop.onSockets(cause -> lostRequests.add("exception in a stand-in: " + cause));
         List<InetSocketAddress> backends = new ArrayList<>();
         for (int i = 0; i < BACKENDS; i++) {
             backends.add(startBackend(loop, random.split()));
@@ -134,13 +135,13 @@
         return new Result(seed, answered.get(), refused.get(), excused.get(), startupMillis, failures);
     }
 
-    private InetSocketAddress startBackend(Loop loop, SplittableRandom its) throws IOException {
+    private InetSocketAddress startBackend(Loop loop, SplittableRandom workRandom) throws IOException {
         ServerConnection.Service service = (request, exchange) -> {
             String id = request.fields().get("x-request-id");
             if (request.target().startsWith(UNSAFE_PATH)) {
                 executionsById.merge(id, 1, Integer::sum);
             }
-            long work = TimeUnit.MILLISECONDS.toNanos(1 + its.nextInt(150));
+            long work = TimeUnit.MILLISECONDS.toNanos(1 + workRandom.nextInt(150));
             loop.after(work, () -> exchange.respond(Message.Response.of(200, "done\n")));
         };
         return loop.listen(ANY, Connection.Options.defaults(),
@@ -175,7 +176,7 @@
         }
     }
 
-    /** Connections that say nothing, or half a head, and stay. */
+    /** Opens connections that send nothing, or half a request head, and stay open. */
     private void openIdleConnections(InetSocketAddress at) throws IOException {
         for (int i = 0; i < IDLE_CONNECTIONS; i++) {
             Socket socket = new Socket(at.getAddress(), at.getPort());
@@ -187,7 +188,8 @@
         }
     }
 
-    private ChildProcess startProxy(List<InetSocketAddress> backends) throws IOException, InterruptedException {
+    private ChildProcess startProxy(List<InetSocketAddress> backends) throws IOException,
+            InterruptedException {
         StringBuilder standing = new StringBuilder();
         backends.forEach(b -> standing.append("\"127.0.0.1:").append(b.getPort()).append("\" "));
         Path settings = directory.resolve("proxy-" + seed + ".kdl");
@@ -205,7 +207,8 @@
             port = listens.get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
             child.kill();
-            throw new IOException("seed " + seed + ": the proxy did not start; see " + log, e);
+            throw new IOException("seed " + seed + ": the proxy did not listen within "
+                    + START_TIMEOUT_SECONDS + " s; see " + log, e);
         }
         startupMillis.add(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from));
         return child;
@@ -227,7 +230,7 @@
             proxy.kill();
         }
         if (!proxy.exitsWithin(TimeUnit.SECONDS.toMillis(EXIT_TIMEOUT_SECONDS))) {
-            failures.add("still there " + EXIT_TIMEOUT_SECONDS + " s after SIGTERM");
+            failures.add("still running " + EXIT_TIMEOUT_SECONDS + " s after SIGTERM");
             killedAt = System.nanoTime();
             proxy.kill();
         }
@@ -239,19 +242,19 @@
         for (Thread client : clients) {
             client.join(Math.max(1, TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime())));
             if (client.isAlive()) {
-                failures.add(client.getName() + " still waits for an answer");
+                failures.add(client.getName() + " still waits for a response");
             }
         }
     }
 
-    // ---- what clients tell ---------------------------------------------------------------------------
+    // ---- events from clients -------------------------------------------------------------------------
 
     @Override
     public void answered(String id, int status) {
         (status < 400 ? answered : refused).incrementAndGet();
     }
 
-    /** Excused only where its process was killed outright after the connection was made. */
+    /** Excused only if the proxy process was killed (SIGKILL) after the connection was made. */
     @Override
     public void unanswered(String id, long connectedAt, String why) {
         if (killedAt != Long.MIN_VALUE && connectedAt - killedAt < 0) {
@@ -266,14 +269,15 @@
             failures.add(lostRequests.size() + " requests written and never answered, first "
                     + lostRequests.stream().limit(MAX_LISTED).toList());
         }
-        List<String> twice = executionsById.entrySet().stream().filter(e -> e.getValue() > 1).map(Map.Entry::getKey)
+        List<String> repeated = executionsById.entrySet().stream().filter(e -> e.getValue() > 1)
+                .map(Map.Entry::getKey)
                 .sorted().toList();
-        if (!twice.isEmpty()) {
-            failures.add(twice.size() + " unsafe requests ran more than once, first "
-                    + twice.stream().limit(MAX_LISTED).toList());
+        if (!repeated.isEmpty()) {
+            failures.add(repeated.size() + " unsafe requests ran more than once, first "
+                    + repeated.stream().limit(MAX_LISTED).toList());
         }
         if (answered.get() == 0) {
-            failures.add("no request was served at all");
+            failures.add("no request was answered successfully");
         }
     }
 }
--- a/src/main/java/rowanmoor/lab/SoakRunner.java
+++ b/src/main/java/rowanmoor/lab/SoakRunner.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.Future;
 import java.util.function.Consumer;
 
-/** Plays seeds of {@link SoakRun}, so many at a time, and tells a line for each. */
+/** Runs seeds of {@link SoakRun}, several at a time, and reports one line for each. */
 public final class SoakRunner {
 
     private static final long STARTUP_TARGET_MS = 10_000;
@@ -20,45 +20,45 @@
     private final Path directory;
     private final Consumer<String> out;
 
-    /** @param directory keeps settings and logs of the processes */
+    /** @param directory for the settings and logs of the processes */
     public SoakRunner(Path directory, Consumer<String> out) {
         this.directory = directory;
         this.out = out;
     }
 
-    /** Plays the seeds from one to another, both included; true if all passed. */
+    /** Runs the seeds from first to last, both included; returns whether all passed. */
     public boolean play(long first, long last, int lanes) throws InterruptedException {
         return play(first, last, lanes, SoakRun.StopMode.STOP);
     }
 
-    boolean play(long first, long last, int lanes, SoakRun.StopMode stop) throws InterruptedException {
+    boolean play(long first, long last, int lanes, SoakRun.StopMode stopMode) throws InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(lanes);
         List<Future<SoakRun.Result>> runs = new ArrayList<>();
         for (long seed = first; seed <= last; seed++) {
-            SoakRun run = new SoakRun(seed, directory, stop);
+            SoakRun run = new SoakRun(seed, directory, stopMode);
             runs.add(pool.submit(run::play));
         }
         pool.shutdown();
-        List<Long> ready = new ArrayList<>();
+        List<Long> startups = new ArrayList<>();
         int failed = 0;
         for (int i = 0; i < runs.size(); i++) {
-            failed += reportRun(first + i, runs.get(i), ready) ? 0 : 1;
+            failed += reportRun(first + i, runs.get(i), startups) ? 0 : 1;
         }
-        long soon = ready.stream().filter(millis -> millis <= STARTUP_TARGET_MS).count();
-        boolean readySoon = soon >= STARTUP_TARGET_FRACTION * ready.size();
-        out.accept(runs.size() - failed + " of " + runs.size() + " seeds passed; " + soon + " of "
-                + ready.size() + " starts ready within 10 s, the longest after "
-                + (ready.isEmpty() ? 0 : Collections.max(ready)) + " ms");
-        return failed == 0 && readySoon;
+        long onTarget = startups.stream().filter(millis -> millis <= STARTUP_TARGET_MS).count();
+        boolean startsOnTarget = onTarget >= STARTUP_TARGET_FRACTION * startups.size();
+        out.accept(runs.size() - failed + " of " + runs.size() + " seeds passed; " + onTarget + " of "
+                + startups.size() + " starts ready within 10 s, the longest after "
+                + (startups.isEmpty() ? 0 : Collections.max(startups)) + " ms");
+        return failed == 0 && startsOnTarget;
     }
 
-    private boolean reportRun(long seed, Future<SoakRun.Result> run, List<Long> ready)
+    private boolean reportRun(long seed, Future<SoakRun.Result> run, List<Long> startups)
             throws InterruptedException {
         List<String> failures;
         String figures = "";
         try {
             SoakRun.Result result = run.get();
-            ready.addAll(result.startupMillis());
+            startups.addAll(result.startupMillis());
             failures = result.failures();
             figures = result.answered() + " answered, " + result.refused() + " refused, " + result.excused()
                     + " lost to a kill";
--- a/src/main/java/rowanmoor/lab/TestBed.java
+++ b/src/main/java/rowanmoor/lab/TestBed.java
@@ -32,8 +32,9 @@
 import rowanmoor.standin.RosterServer;
 
 /**
- * All of a run but its controllers: roster, backends and links on one loop (the stage), proxies and
- * clients on theirs. Plays the day's troubles by the stage's timers. Build it before the loops run.
+ * Everything in a run except the controllers: roster, backends and links on one loop (the main loop), proxies
+ * and clients on theirs. Injects the day's troubles by timers of the main loop. Construct it before the loops
+ * run.
  */
 final class TestBed {
 
@@ -64,15 +65,15 @@
     private Clients clients;
     private final SplittableRandom troubleRandom;
 
-    /** @param wall milliseconds since 1970, by which the roster states starts */
+    /** @param wallClockMs milliseconds since 1970, in which the roster states start times */
     TestBed(DayFile day, Loop stage, Loop clientLoop, ProxyHost proxyHost, Controllers controllers,
-            LongSupplier wall) throws IOException {
+            LongSupplier wallClockMs) throws IOException {
         this.day = day;
         this.mainLoop = stage;
         this.clientLoop = clientLoop;
         this.proxyHost = proxyHost;
         this.controllers = controllers;
-        this.wallClockMs = wall;
+        this.wallClockMs = wallClockMs;
         this.troubleRandom = random(1);
         this.proxyWeightsMilli = proxyWeights();
         buildBackends();
@@ -95,7 +96,7 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     }
 
-    // ---- building ------------------------------------------------------------------------------------
+    // ---- setup ---------------------------------------------------------------------------------------
 
     private void buildBackends() throws IOException {
         roster = new RosterServer(mainLoop, anyPort(), "backends");
@@ -103,7 +104,8 @@
         int number = 0;
         for (DayFile.BackendGroup group : day.groups()) {
             for (int i = 0; i < group.count(); i++) {
-                BackendServer server = new BackendServer(mainLoop, anyPort(), group.spec(), group.connections(),
+                BackendServer server = new BackendServer(mainLoop, anyPort(), group.spec(),
+                        group.connections(),
                         random.split(), ledger);
                 int spread = number++ % day.site().zones().size();
                 int zone = group.zone() >= 0 ? group.zone() : spread;
@@ -129,32 +131,35 @@
         int zones = day.site().zones().size();
         for (int p = 0; p < day.proxies(); p++) {
             int zone = p % zones;
-            List<Link> its = new ArrayList<>();
+            List<Link> proxyLinks = new ArrayList<>();
             for (int c = 0; c < day.controllerZones().size(); c++) {
-                its.add(new Link(mainLoop, anyPort(), null));
+                proxyLinks.add(new Link(mainLoop, anyPort(), null));
             }
-            links.add(its);
-            List<Backend> first = standingTable(zone, random);
-            standingTables.add(first);
+            links.add(proxyLinks);
+            List<Backend> table = standingTable(zone, random);
+            standingTables.add(table);
             proxyZones.add(zone);
             configs.add(new ProxyConfig(day.site(), p, "proxy-" + p, zone,
                     day.rate() * proxyWeightsMilli[p] / sum, anyPort(), zoneAddress(zone, p),
-                    its.stream().map(Link::address).toList(), p / zones % its.size(), 300 * NS_PER_MS, 3 * NS_PER_SECOND,
-                    first.stream().map(Addresses::toSocketAddress).toList(), 15 * NS_PER_SECOND, 250 * NS_PER_MS, 4096,
+                    proxyLinks.stream().map(Link::address).toList(), p / zones % proxyLinks.size(),
+                    300 * NS_PER_MS, 3 * NS_PER_SECOND,
+                    table.stream().map(Addresses::toSocketAddress).toList(), 15 * NS_PER_SECOND,
+                    250 * NS_PER_MS, 4096,
                             ForwardingPolicy.defaults()));
         }
         return proxyHost.start(configs, standingTables, random.nextLong());
     }
 
     private List<Backend> standingTable(int zone, SplittableRandom random) {
-        List<Backend> own = new ArrayList<>(placements.keySet().stream().filter(b -> placements.get(b).zone() == zone)
+        List<Backend> own = new ArrayList<>(placements.keySet().stream()
+                .filter(b -> placements.get(b).zone() == zone)
                 .toList());
-        List<Backend> from = own.size() >= 3 ? own : new ArrayList<>(placements.keySet());
-        Collections.shuffle(from, new Random(random.nextLong()));
-        return from.stream().limit(day.site().standingBackends()).sorted().toList();
+        List<Backend> candidates = own.size() >= 3 ? own : new ArrayList<>(placements.keySet());
+        Collections.shuffle(candidates, new Random(random.nextLong()));
+        return candidates.stream().limit(day.site().standingBackends()).sorted().toList();
     }
 
-    /** Loopback addresses tell a proxy's zone: 127.0.10.x is the first zone's. */
+    /** The local address of a proxy encodes its zone: 127.0.10.x is the first zone. */
     private static InetSocketAddress zoneAddress(int zone, int proxy) {
         try {
             byte[] address = {127, 0, (byte) (FIRST_ZONE_OCTET + zone), (byte) (1 + proxy % 250)};
@@ -170,25 +175,27 @@
 
     private void buildClients() {
         double[] weights = java.util.Arrays.stream(proxyWeightsMilli).asDoubleStream().toArray();
-        List<Clients.Arrival> arrivals = Clients.drawArrivals(random(5), day.length(), day.rateAt(), day.shares(),
+        List<Clients.Arrival> arrivals =
+                Clients.drawArrivals(random(5), day.length(), day.rateAt(), day.shares(),
                 day.work(), weights);
         clients = new Clients(clientLoop, day.site(), proxyAddresses, arrivals,
                 day.habits(), start);
     }
 
-    /** Notes how busy cores were while load was at its height. */
+    /** Measures the utilization of the cores from the end of the ramp-up to the end of the load. */
     private void measureUtilization(boolean end) {
         long now = mainLoop.now();
         for (int b = 0; b < backends.size(); b++) {
             BackendModel model = backends.get(b).model();
             double sum = model.busySeconds(now);
-            Outcome.BackendStats its = backendTotals.get(b);
-            its.utilization = end ? (sum - its.utilization) / model.spec().cores() / ((now - peakStart) / 1e9) : sum;
+            Outcome.BackendStats totals = backendTotals.get(b);
+            totals.utilization = end ? (sum - totals.utilization) / model.spec().cores()
+                    / ((now - peakStart) / 1e9) : sum;
         }
         peakStart = now;
     }
 
-    /** What each backend came to, in the order of the day's groups; once the loops have ended. */
+    /** Each backend's totals, in the order of the day's groups; call it after the loops have ended. */
     List<Outcome.BackendStats> backendTotals() {
         Map<Backend, Outcome.BackendStats> by = new TreeMap<>();
         for (int b = 0; b < backends.size(); b++) {
@@ -209,9 +216,9 @@
 
     private void startController(int rank) {
         try {
-            controllers.start(rank, roster.address(), (its, at, epoch) -> {
-                ranksByEpoch.put(epoch, its);
-                mainLoop.post(() -> links.forEach(of -> of.get(its).setTarget(at)));
+            controllers.start(rank, roster.address(), (startedRank, address, epoch) -> {
+                ranksByEpoch.put(epoch, startedRank);
+                mainLoop.post(() -> links.forEach(of -> of.get(startedRank).setTarget(address)));
             });
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -246,11 +253,14 @@
             case CRASH -> crash(t, affectedBackends(t));
             case ZONE_LOSS -> crash(t, backendsInZone(t.zone()));
             case SLOW -> applyToBackends(t, b -> b.setSlowdown(t.size()), b -> b.setSlowdown(1));
-            case FAST_ERRORS -> applyToBackends(t, b -> b.setErrorFraction(t.size()), b -> b.setErrorFraction(0));
-            case ANSWERS_LOST -> applyToBackends(t, b -> b.setLostAnswerFraction(t.size()), b -> b.setLostAnswerFraction(0));
-            case FALSE_REPORTS -> applyToBackends(t, b -> b.setLoadReportFactor(t.size()), b -> b.setLoadReportFactor(1));
+            case FAST_ERRORS -> applyToBackends(t, b -> b.setErrorFraction(t.size()),
+                    b -> b.setErrorFraction(0));
+            case ANSWERS_LOST -> applyToBackends(t, b -> b.setLostAnswerFraction(t.size()),
+                    b -> b.setLostAnswerFraction(0));
+            case FALSE_REPORTS -> applyToBackends(t, b -> b.setLoadReportFactor(t.size()),
+                    b -> b.setLoadReportFactor(1));
             case PAUSES -> affectedBackends(t).forEach(b -> pause(t, b));
-            case BURST -> { } // its arrivals are drawn ahead
+            case BURST -> { } // its arrivals are drawn in advance
             case ZONE_CUT -> cutZone(t);
             case ROSTER_DOWN -> rosterDown(t);
             case ROSTER_EMPTY -> roster.setEmptyAnswers((int) t.size());
@@ -273,14 +283,14 @@
                 scheduleEnd(t, () -> setControllerPaused(t.controller(), false));
             }
             case DRAIN -> drain(t);
-            default -> throw new IllegalStateException("no way to play " + t.kind());
+            default -> throw new IllegalStateException("unsupported kind of trouble: " + t.kind());
         }
     }
 
     private <T> List<T> sample(List<T> all, double part) {
-        List<T> mixed = new ArrayList<>(all);
-        Collections.shuffle(mixed, new Random(troubleRandom.nextLong()));
-        return mixed.stream().limit(Math.max(1, Math.round(part * all.size()))).toList();
+        List<T> shuffled = new ArrayList<>(all);
+        Collections.shuffle(shuffled, new Random(troubleRandom.nextLong()));
+        return shuffled.stream().limit(Math.max(1, Math.round(part * all.size()))).toList();
     }
 
     private List<BackendServer> affectedBackends(Trouble t) {
@@ -297,9 +307,9 @@
 
     private void applyToBackends(Trouble t, java.util.function.Consumer<BackendServer> on,
             java.util.function.Consumer<BackendServer> off) {
-        List<BackendServer> struck = affectedBackends(t);
-        struck.forEach(on);
-        scheduleEnd(t, () -> struck.forEach(off));
+        List<BackendServer> affected = affectedBackends(t);
+        affected.forEach(on);
+        scheduleEnd(t, () -> affected.forEach(off));
     }
 
     private void pause(Trouble t, BackendServer backend) {
@@ -310,9 +320,11 @@
         }
     }
 
-    /** The roster tells of a death, and of a return with its start, as late as it notices. */
-    private void crash(Trouble t, List<BackendServer> struck) {
-        for (BackendServer backend : struck) {
+    /**
+     * Crashes backends and restarts them at the end; the roster lists both changes after its notice delay.
+     */
+    private void crash(Trouble t, List<BackendServer> affected) {
+        for (BackendServer backend : affected) {
             RosterServer.Instance listed = roster.instance(backend.backend());
             backend.crash();
             mainLoop.after(day.notice(), () -> {
@@ -326,8 +338,8 @@
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
                 }
-                RosterServer.Instance anew = listed.restarted(wallClockMs.getAsLong(), mainLoop.now());
-                mainLoop.after(day.notice(), () -> roster.update(anew));
+                RosterServer.Instance restarted = listed.restarted(wallClockMs.getAsLong(), mainLoop.now());
+                mainLoop.after(day.notice(), () -> roster.update(restarted));
             });
         }
     }
@@ -357,7 +369,7 @@
         });
     }
 
-    /** Streams and requests across the cut stand still; within either side all goes on. */
+    /** Stalls streams and requests that cross the cut; traffic within either side continues. */
     private void cutZone(Trouble t) {
         setCut(t.zone(), true);
         scheduleEnd(t, () -> setCut(t.zone(), false));
@@ -378,13 +390,13 @@
         }
     }
 
-    // ---- reading -------------------------------------------------------------------------------------
+    // ---- results -------------------------------------------------------------------------------------
 
     long start() {
         return start;
     }
 
-    /** Whether the load is over and all is answered; read on the clients' loop. */
+    /** Whether the load is over and every request has its answer; call it on the clients' loop. */
     boolean isDone() {
         return clients.isDone();
     }
@@ -393,15 +405,16 @@
         return clients;
     }
 
-    /** What was seen; once the loops have ended. */
+    /** The evidence of the run; call it after the loops have ended. */
     Evidence evidence(long end) throws IOException {
         List<Evidence.TapEvent> taps = new ArrayList<>(proxyHost.tapEvents());
         taps.sort(Comparator.comparingLong(Evidence.TapEvent::at));
-        return new Evidence(day.site(), start, end, placements, standingTables, taps, new HashMap<>(ranksByEpoch), ledger,
+        return new Evidence(day.site(), start, end, placements, standingTables, taps,
+                new HashMap<>(ranksByEpoch), ledger,
                 roster.answers());
     }
 
-    /** The worst multiple of its capacity that was ever sent to a cold backend over a fall span. */
+    /** The largest multiple of its capacity that was sent to a cold backend over an overload span. */
     double worstColdOverload() {
         return backends.stream().mapToDouble(b -> b.model().maxColdOverload()).max().orElse(0);
     }
--- a/src/main/java/rowanmoor/lab/Trouble.java
+++ b/src/main/java/rowanmoor/lab/Trouble.java
@@ -5,61 +5,61 @@
 import java.util.TreeMap;
 
 /**
- * One trouble of a day. Times are nanoseconds from the day's start.
+ * A trouble: a failure that a day injects. Times are nanoseconds from the day's start.
  *
- * @param part share of backends or proxies that it strikes, 0 to 1
- * @param size how bad, in the kind's own measure
- * @param zone the zone that it strikes, or -1
- * @param controller the controller that it strikes, or -1
+ * @param part fraction of the backends or proxies that are affected, 0 to 1
+ * @param size severity, in the unit of the kind
+ * @param zone the affected zone, or -1
+ * @param controller the affected controller, or -1
  */
 public record Trouble(Kind kind, long at, long length, double part, double size, int zone, int controller) {
 
-    /** What may befall. */
+    /** The kinds of trouble. */
     public enum Kind {
-        /** Backends die and come back cold. */
+        /** Backends crash and come back cold. */
         CRASH,
         /** Backends are {@code size} times slower. */
         SLOW,
-        /** Backends answer the share {@code size} of requests with an error at once. */
+        /** Backends answer the fraction {@code size} of requests at once with an error. */
         FAST_ERRORS,
-        /** Backends stand still for {@code size} ms, once a second. */
+        /** Backends pause for {@code size} ms, once a second. */
         PAUSES,
-        /** Arrivals come {@code size} times as fast. */
+        /** Requests arrive {@code size} times as fast. */
         BURST,
-        /** Nothing passes between a zone and the others. */
+        /** A network partition between a zone and the others. */
         ZONE_CUT,
-        /** All backends of a zone die and come back cold. */
+        /** All backends of a zone crash and come back cold. */
         ZONE_LOSS,
-        /** The roster refuses. */
+        /** The roster server refuses connections. */
         ROSTER_DOWN,
-        /** The roster's next answers, {@code size} of them, list nothing. */
+        /** The next {@code size} answers of the roster are empty. */
         ROSTER_EMPTY,
-        /** Proxies reach no controller. */
+        /** Proxies cannot reach any controller. */
         PROXIES_CUT,
-        /** A controller is killed outright and started again after the length. */
+        /** A controller is killed without a shutdown and started again after the length. */
         CONTROLLER_KILL,
-        /** A controller's process stands still. */
+        /** A controller's process is paused. */
         CONTROLLER_STALL,
-        /** Proxies read {@code size} bytes a second of the channel. */
+        /** Proxies read {@code size} bytes per second from the channel. */
         SLOW_READER,
-        /** Backends of a zone (the {@code part} of them) are listed as draining. */
+        /** The fraction {@code part} of a zone's backends is listed as draining. */
         DRAIN,
-        /** Backends do their work and lose the share {@code size} of the answers. */
+        /** Backends do the work but lose the fraction {@code size} of the responses. */
         ANSWERS_LOST,
-        /** Backends report {@code size} times their load. */
+        /** Backends report {@code size} times their actual load. */
         FALSE_REPORTS;
 
-        /** As it stands in a day file. */
+        /** The kind's name in a day file. */
         public String configName() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
 
         static Map<String, Kind> byConfigName() {
-            Map<String, Kind> words = new TreeMap<>();
+            Map<String, Kind> kinds = new TreeMap<>();
             for (Kind kind : values()) {
-                words.put(kind.configName(), kind);
+                kinds.put(kind.configName(), kind);
             }
-            return words;
+            return kinds;
         }
 
         boolean needsZone() {
@@ -82,6 +82,7 @@
         }
     }
 
+    /** When it ends, nanoseconds from the day's start. */
     public long end() {
         return at + length;
     }
--- a/src/test/java/rowanmoor/lab/BenchDayConverterTest.java
+++ b/src/test/java/rowanmoor/lab/BenchDayConverterTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import rowanmoor.config.ConfigException;
 
-/** A day of the bench's shape, made up for this test. */
+/** Converts a benchmark day that was made up for this test. */
 class BenchDayConverterTest {
 
     private static final String DAY = """
@@ -49,7 +49,7 @@
         assertEquals(5, day.backendCount());
         assertEquals(List.of(Trouble.Kind.CRASH, Trouble.Kind.BURST, Trouble.Kind.ZONE_CUT),
                 day.troubles().stream().map(Trouble::kind).toList());
-        // Half of (3 x 2 cores x 1.0 + 2 x 4 cores x 0.8), at 0.14 s a request.
+        // Half of (3 x 2 cores x 1.0 + 2 x 4 cores x 0.8), at 0.14 s per request.
         assertEquals(0.5 * (6 + 6.4) / 0.14, day.rate(), 0.1);
         DayResult played = DayRunner.simulate(day);
         assertEquals(List.of(), played.faults());
--- a/src/test/java/rowanmoor/lab/DayRunnerTest.java
+++ b/src/test/java/rowanmoor/lab/DayRunnerTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import rowanmoor.config.ConfigException;
 
-/** Whole days in simulated time: real controllers, proxies and stand-ins on a network in memory. */
+/** Whole days in simulated time: real controllers, proxies and stand-ins on an in-memory network. */
 class DayRunnerTest {
 
     private static DayResult runAndAssertPassed(DayFile day) throws IOException {
@@ -23,7 +23,7 @@
         for (long seed = 1; seed <= 3; seed++) {
             DayResult played = runAndAssertPassed(TestDays.parse(TestDays.sampleText()).seed(seed));
             assertTrue(played.evidence().ledger().entries().size() > 4000);
-            assertEquals(3, played.evidence().ranksByEpoch().size(), "two controllers, one started again");
+            assertEquals(3, played.evidence().ranksByEpoch().size(), "two controllers, one of them restarted");
         }
     }
 
@@ -46,11 +46,11 @@
     void allBackendsCanDrainAtOnce() throws IOException, ConfigException {
         DayResult played = runAndAssertPassed(TestDays.sampleWithTroubles("16s", "drain { at \"4s\"; for \"6s\"; zone \"north\"; part 1 }; "
                 + "drain { at \"4s\"; for \"6s\"; zone \"south\"; part 1 }"));
-        long then = played.evidence().start() + 7_000_000_000L;
-        assertTrue(played.evidence().ledger().entries().stream().noneMatch(e -> e.arrivedAt > then
-                && e.arrivedAt < then + 2_000_000_000L), "drained backends were sent to");
-        assertTrue(played.outcomes().stream().anyMatch(o -> o.answered() && o.arrivedAt() > then
-                + 5_000_000_000L), "nothing is served once they are back");
+        long drainedBy = played.evidence().start() + 7_000_000_000L;
+        assertTrue(played.evidence().ledger().entries().stream().noneMatch(e -> e.arrivedAt > drainedBy
+                && e.arrivedAt < drainedBy + 2_000_000_000L), "requests were sent to drained backends");
+        assertTrue(played.outcomes().stream().anyMatch(o -> o.answered() && o.arrivedAt() > drainedBy
+                + 5_000_000_000L), "no request is served after the drain");
     }
 
     @Test
@@ -62,15 +62,15 @@
 
     @Test
     void proxiesContinueWhenControllersAreKilledInTheMiddleOfAChange() throws IOException, ConfigException {
-        // A change at the moment of the kill: some proxies have its message, some do not.
+        // A change at the moment of the kill: only some of the proxies have received its message.
         DayResult played = runAndAssertPassed(TestDays.sampleWithTroubles("14s", "drain { at \"4s\"; for \"5s\"; zone \"south\"; part 0.5 }; "
                 + "controller-kill { at \"4.03s\"; for \"2s\"; controller 0 }; "
                 + "controller-kill { at \"4.03s\"; for \"2s\"; controller 1 }"));
         long drained = played.evidence().start() + 4_000_000_000L;
-        long told = played.evidence().tapEvents().stream().filter(t -> t.type() == Evidence.TapEventType.READ
+        long informed = played.evidence().tapEvents().stream().filter(t -> t.type() == Evidence.TapEventType.READ
                 && t.bytes().length > 60 && t.at() > drained && t.at() < drained + 35_000_000L)
                 .map(Evidence.TapEvent::proxy).distinct().count();
-        assertTrue(told >= 1 && told < played.day().proxies(), told + " proxies had the message");
+        assertTrue(informed >= 1 && informed < played.day().proxies(), informed + " proxies had the message");
         assertTrue(played.service(-1) > 0.9, DayReport.text(played));
         assertEquals(4, played.evidence().ranksByEpoch().size());
     }
--- a/src/test/java/rowanmoor/lab/ExperimentTest.java
+++ b/src/test/java/rowanmoor/lab/ExperimentTest.java
@@ -37,10 +37,10 @@
         Experiment.Grid more = Experiment.read(file("\"50/s\" \"100/s\" \"600/s\"")).run(store, line -> { });
         assertEquals(4, more.played());
         assertEquals(8, more.cached());
-        double calm = more.cells().get(0).interval(Experiment.Result::service).mean();
-        double jammed = more.cells().get(2).interval(Experiment.Result::service).mean();
-        double larger = more.cells().get(5).interval(Experiment.Result::service).mean();
-        assertTrue(calm > 0.97 && jammed < 0.8 && larger > jammed, Experiment.table(more));
+        double lowLoad = more.cells().get(0).interval(Experiment.Result::service).mean();
+        double overloaded = more.cells().get(2).interval(Experiment.Result::service).mean();
+        double moreBackends = more.cells().get(5).interval(Experiment.Result::service).mean();
+        assertTrue(lowLoad > 0.97 && overloaded < 0.8 && moreBackends > overloaded, Experiment.table(more));
         Experiment.write(more, dir.resolve("out"));
         assertEquals(13, Files.readAllLines(dir.resolve("out/experiment.csv")).size());
         assertTrue(Files.size(dir.resolve("out/service.svg")) > 1000);
--- a/src/test/java/rowanmoor/lab/FrameRelay.java
+++ b/src/test/java/rowanmoor/lab/FrameRelay.java
@@ -16,7 +16,7 @@
 import rowanmoor.net.ConnectionHandler;
 import rowanmoor.net.Loop;
 
-/** Stands before controllers and changes what they send: mutants for the judge to catch. */
+/** Relays between proxies and controllers and changes the controllers' frames: mutants for the rule checker to detect. */
 final class FrameRelay implements Controllers {
 
     private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
@@ -33,9 +33,9 @@
 
     @Override
     public void start(int rank, InetSocketAddress roster, StartListener up) throws IOException {
-        real.start(rank, roster, (its, at, epoch) -> {
+        real.start(rank, roster, (startedRank, address, epoch) -> {
             try {
-                up.started(its, loop.listen(ANY, Connection.Options.defaults(), c -> new ProxySide(at)).address(), epoch);
+                up.started(startedRank, loop.listen(ANY, Connection.Options.defaults(), c -> new ProxySide(address)).address(), epoch);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -63,24 +63,24 @@
     }
 
     private final class ProxySide implements ConnectionHandler {
-        private final InetSocketAddress to;
-        private Connection far;
+        private final InetSocketAddress controllerAddress;
+        private Connection controllerConnection;
 
-        ProxySide(InetSocketAddress to) {
-            this.to = to;
+        ProxySide(InetSocketAddress controllerAddress) {
+            this.controllerAddress = controllerAddress;
         }
 
         @Override
-        public void onOpen(Connection near) {
+        public void onOpen(Connection proxy) {
             FrameReader reader = new FrameReader(ChannelLimits.defaults());
-            far = loop.connect(null, to, Connection.Options.defaults(), new ConnectionHandler() {
+            controllerConnection = loop.connect(null, controllerAddress, Connection.Options.defaults(), new ConnectionHandler() {
                 @Override
-                public void onData(Connection its, ByteBuffer bytes) {
+                public void onData(Connection controller, ByteBuffer bytes) {
                     try {
                         while (bytes.hasRemaining()) {
                             Frame frame = reader.next(bytes);
                             if (frame != null) {
-                                near.send(Codec.encode(change.apply(frame)));
+                                proxy.send(Codec.encode(change.apply(frame)));
                             }
                         }
                     } catch (ChannelException e) {
@@ -89,20 +89,20 @@
                 }
 
                 @Override
-                public void onClose(Connection its, CloseReason why, String detail) {
-                    near.close(CloseReason.LOCAL, "the controller's side is over");
+                public void onClose(Connection controller, CloseReason why, String detail) {
+                    proxy.close(CloseReason.LOCAL, "the controller's connection closed");
                 }
             });
         }
 
         @Override
-        public void onData(Connection near, ByteBuffer bytes) {
-            far.send(ByteBuffer.allocate(bytes.remaining()).put(bytes).flip());
+        public void onData(Connection proxy, ByteBuffer bytes) {
+            controllerConnection.send(ByteBuffer.allocate(bytes.remaining()).put(bytes).flip());
         }
 
         @Override
-        public void onClose(Connection near, CloseReason why, String detail) {
-            far.close(CloseReason.LOCAL, "the proxy's side is over");
+        public void onClose(Connection proxy, CloseReason why, String detail) {
+            controllerConnection.close(CloseReason.LOCAL, "the proxy's connection closed");
         }
     }
 }
--- a/src/test/java/rowanmoor/lab/FuzzerTest.java
+++ b/src/test/java/rowanmoor/lab/FuzzerTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The same mutants at every build; long runs: rowanmoor fuzz. */
+/** Runs the same mutants in every build; for long runs there is the command {@code rowanmoor fuzz}. */
 class FuzzerTest {
 
     @ParameterizedTest
--- a/src/test/java/rowanmoor/lab/Histories.java
+++ b/src/test/java/rowanmoor/lab/Histories.java
@@ -14,12 +14,12 @@
 import rowanmoor.config.Section;
 import rowanmoor.proxy.Router;
 
-/** Recorded histories: days in small files that say which rules they put to work, and which fault breaks one. */
+/** Recorded histories: small day files that state which rules they exercise, and which fault breaks a rule. */
 final class Histories {
 
     static final Path FOLDER = Path.of("src/test/resources/histories");
 
-    /** A rule that is broken with a fault, first between two moments (ns from the day's start). */
+    /** A rule that a fault breaks; the first violation is between two times (ns from the day's start). */
     record Rejection(String rule, DayRunner.Mutant fault, long from, long to) { }
 
     record History(DayFile day, List<String> exercisedRules, List<Rejection> rejections) { }
@@ -48,29 +48,29 @@
         List<String> meets = h.strings("meets", true);
         List<Section> rejects = h.sections("rejects");
         h.rejectUnknownKeys();
-        List<Object[]> asked = new ArrayList<>();
+        List<Object[]> parsed = new ArrayList<>();
         for (Section r : rejects) {
             String fault = r.string("fault");
             if (!fault.equals("told-other") && !FAULTS.containsKey(fault)) {
-                r.addProblem("fault", "there is no such: " + fault);
+                r.addProblem("fault", "unknown fault: " + fault);
             }
             String site = r.has("site") ? r.string("site") : null;
-            asked.add(new Object[] {r.label(), fault, site, r.durationNs("from", "0s", "1h"), r.durationNs("to", "0s", "1h")});
+            parsed.add(new Object[] {r.label(), fault, site, r.durationNs("from", "0s", "1h"), r.durationNs("to", "0s", "1h")});
             r.rejectUnknownKeys();
         }
         DayFile day = DayFile.read(root);
         List<Rejection> faults = new ArrayList<>();
-        for (Object[] a : asked) {
+        for (Object[] a : parsed) {
             faults.add(new Rejection((String) a[0], a[1].equals("told-other") ? otherSite(day, file, text, (String) a[2])
                     : FAULTS.get(a[1]).apply(day), (long) a[3], (long) a[4]));
         }
         return new History(day, meets, faults);
     }
 
-    /** Controllers are set up by another site's figures than those that they are judged by. */
+    /** Configures the controllers with another site than the one that their rules are checked against. */
     private static DayRunner.Mutant otherSite(DayFile day, String file, String text, String site) throws ConfigException {
         Section other = Section.parse(file, text.replaceFirst("site-from \"[^\"]*\"", "site-from \"" + site + "\""));
-        other.section("history"); // its own keys were looked at before
+        other.section("history"); // its keys were checked when the history was read
         DayRunner.Mutant none = DayRunner.Mutant.none(day);
         return new DayRunner.Mutant(DayFile.read(other), none.routers(), none.controllerWrapper());
     }
@@ -84,7 +84,7 @@
                     || order instanceof Frame.SetLine s && s.line().weight() == 0 ? new Frame.Mark(65535)
                     : order instanceof Frame.Bind b ? new Frame.Bind(b.classMask(), b.table(), List.of()) : order),
             "repeats-unsafe", day -> {
-                DayRunner.Mutant told = rewriteOrders(day, order -> order instanceof Frame.Bind b
+                DayRunner.Mutant retriesAllowed = rewriteOrders(day, order -> order instanceof Frame.Bind b
                         ? new Frame.Bind(b.classMask(), new Frame.Table(b.table().number(), b.table().lines(),
                                 List.of(new Frame.Level(0, 1e6, RetryPolicy.ONCE))), b.withdrawn()) : order);
                 return new DayRunner.Mutant(day, parts -> new Router(parts.site(), parts.standing(), parts.random(),
@@ -93,7 +93,7 @@
                     protected boolean isSafeToRepeat(int cls) {
                         return true;
                     }
-                }, told.controllerWrapper());
+                }, retriesAllowed.controllerWrapper());
             });
 
     private static DayRunner.Mutant rewriteOrders(DayFile day, Function<Frame.Order, Frame.Order> change) {
--- a/src/test/java/rowanmoor/lab/HistoriesTest.java
+++ b/src/test/java/rowanmoor/lab/HistoriesTest.java
@@ -22,8 +22,8 @@
 import rowanmoor.config.ConfigException;
 
 /**
- * The rule checker over histories that the project's real controller, module, channel and proxies play on a network
- * in memory. It is given evidence alone. A history that does not meet its rules is an error.
+ * Runs the rule checker on histories that the real controller, policy, channel and proxies play on an in-memory
+ * network. The checker gets the evidence alrejection. A history that does not exercise its rules fails the test.
  */
 class HistoriesTest {
 
@@ -44,24 +44,24 @@
                 new AssertionError("there is no rule " + rule));
     }
 
-    private static void assertAccepted(DayResult played, List<String> meets) {
+    private static void assertAccepted(DayResult played, List<String> exercisedRules) {
         assertTrue(played.passed(), () -> DayReport.text(played));
-        for (String rule : meets) {
+        for (String rule : exercisedRules) {
             assertTrue(verdict(rule, played.verdicts()).met() > 0, () -> played.day().name() + ": " + rule
-                    + " was never put to work");
+                    + " was never exercised");
         }
     }
 
     @ParameterizedTest
-    @MethodSource("recorded")
+    @MethodSource("recordedFiles")
     void recordedHistoryIsAcceptedAndRejectedInTimeWithItsFault(Path file) throws IOException, ConfigException {
         Histories.History history = Histories.read(file);
         assertAccepted(DayRunner.simulate(history.day()), history.exercisedRules());
-        for (Histories.Rejection one : history.rejections()) {
-            RuleChecker.Verdict broken = verdict(one.rule(), DayRunner.simulate(history.day(), one.fault()).verdicts());
+        for (Histories.Rejection rejection : history.rejections()) {
+            RuleChecker.Verdict broken = verdict(rejection.rule(), DayRunner.simulate(history.day(), rejection.fault()).verdicts());
             assertTrue(broken.broken(), "with its fault: " + broken);
             assertFalse(broken.first().isEmpty());
-            assertTrue(broken.firstAt() >= one.from() && broken.firstAt() <= one.to(), broken.toString());
+            assertTrue(broken.firstAt() >= rejection.from() && broken.firstAt() <= rejection.to(), broken.toString());
         }
     }
 
@@ -74,14 +74,14 @@
         assertTrue(rejected.containsAll(RULES), rejected.toString());
     }
 
-    /** A fleet and its troubles, drawn: 1 to 12 proxies, 1 to 3 controllers; each meets all five rules. */
+    /** Draws a fleet and its troubles: 1 to 12 proxies, 1 to 3 controllers; each day exercises all five rules. */
     private static DayFile generatedDay(long seed) throws ConfigException, IOException {
         SplittableRandom random = new SplittableRandom(seed);
         int proxies = seed % 4 == 0 ? 1 : 2 + random.nextInt(11);
         String controllers = List.of("\"north\"", "\"north\" \"south\"", "\"north\" \"south\" \"north\"")
                 .get(random.nextInt(3));
         int queue = 2 + random.nextInt(4);
-        String more = List.of("zone-cut { at \"5s\"; for \"3s\"; zone \"south\" }", "proxies-cut { at \"4s\"; for \"3s\"; "
+        String extraTrouble = List.of("zone-cut { at \"5s\"; for \"3s\"; zone \"south\" }", "proxies-cut { at \"4s\"; for \"3s\"; "
                 + "part 0.5 }", "controller-kill { at \"4s\"; for \"2s\"; controller 0 }", "roster-down { at \"4s\"; "
                 + "for \"4s\" }", "slow { at \"3s\"; for \"4s\"; part 0.3; size 4 }", "controller-stall { at \"4s\"; "
                 + "for \"2s\"; controller 0 }", "slow-reader { at \"2s\"; for \"6s\"; part 0.3; size 20 }",
@@ -111,7 +111,7 @@
                 }
                 """, seed, seed, Histories.FOLDER.resolve("site.kdl").toAbsolutePath(), controllers, proxies,
                 4 + random.nextInt(4), queue, 3 + random.nextInt(3), queue, 300 + random.nextInt(700),
-                1 + 8 * random.nextDouble(), random.nextBoolean() ? "north" : "south", more);
+                1 + 8 * random.nextDouble(), random.nextBoolean() ? "north" : "south", extraTrouble);
         return TestDays.parse(text);
     }
 
@@ -119,7 +119,7 @@
     @MethodSource("seeds")
     void generatedHistoryKeepsAndExercisesAllRules(long seed) throws IOException, ConfigException {
         DayFile day = generatedDay(seed);
-        // One proxy's messages seldom wait for one another.
+        // The messages of a single proxy seldom wait for one another.
         assertAccepted(DayRunner.simulate(day), day.proxies() > 1 ? RULES : RULES.subList(0, 4));
     }
 
@@ -130,30 +130,30 @@
     }
 
     private static long digest(long seed) throws IOException, ConfigException {
-        Evidence seen = DayRunner.simulate(generatedDay(seed)).evidence();
+        Evidence evidence = DayRunner.simulate(generatedDay(seed)).evidence();
         long digest = 1;
-        for (Evidence.TapEvent tap : seen.tapEvents()) {
+        for (Evidence.TapEvent tap : evidence.tapEvents()) {
             digest = 31 * digest + Arrays.hashCode(tap.bytes()) + tap.at() + tap.proxy();
         }
-        for (var entry : seen.ledger().entries()) {
+        for (var entry : evidence.ledger().entries()) {
             digest = 31 * digest + entry.id.hashCode() + entry.arrivedAt + entry.endedAt + entry.end.ordinal();
         }
-        return 31 * digest + seen.answers().hashCode();
+        return 31 * digest + evidence.answers().hashCode();
     }
 
     @Test
     void truncatedOrMalformedHistoryIsRefusedWithFileAndLine() throws IOException {
         Path file = Histories.FOLDER.resolve("one-proxy.kdl");
         String text = Files.readString(file);
-        ConfigException cut = assertThrows(ConfigException.class, () -> Histories.read("h.kdl", text.substring(0,
+        ConfigException truncated = assertThrows(ConfigException.class, () -> Histories.read("h.kdl", text.substring(0,
                 text.indexOf("troubles {") + 30)));
-        assertTrue(cut.problems().get(0).matches("h\\.kdl:[0-9]+:[0-9]+: .*"), cut.problems().toString());
+        assertTrue(truncated.problems().get(0).matches("h\\.kdl:[0-9]+:[0-9]+: .*"), truncated.problems().toString());
         ConfigException unknown = assertThrows(ConfigException.class, () -> Histories.read(file.toString(),
                 text.replace("crash {", "crush {")));
         assertTrue(unknown.problems().get(0).contains("one-proxy.kdl:") && unknown.problems().get(0).contains("crush"),
                 unknown.problems().toString());
-        ConfigException without = assertThrows(ConfigException.class, () -> Histories.read(file.toString(),
+        ConfigException withoutMeets = assertThrows(ConfigException.class, () -> Histories.read(file.toString(),
                 text.replace("meets", "means")));
-        assertTrue(without.problems().get(0).contains("meets"), without.problems().toString());
+        assertTrue(withoutMeets.problems().get(0).contains("meets"), withoutMeets.problems().toString());
     }
 }
--- a/src/test/java/rowanmoor/lab/RuleCheckerTest.java
+++ b/src/test/java/rowanmoor/lab/RuleCheckerTest.java
@@ -19,7 +19,7 @@
 import rowanmoor.standin.Ledger;
 import rowanmoor.standin.RosterServer;
 
-/** What the judge once did not see, from evidence written out by hand: proxy 0, controller 0, backend B. */
+/** Violations that the rule checker once missed, from hand-written evidence: proxy 0, controller 0, backend B. */
 class RuleCheckerTest {
 
     private static final long SECOND = 1_000_000_000L;
@@ -56,9 +56,9 @@
     void timeWithoutBackendCountsOnceABackendIsWarmBetweenTwoAnswers() throws ConfigException {
         rosterAnswers(100, Availability.READY, 100);
         proxyJoins(101);
-        RuleChecker.Verdict bare = verdict("no proxy without a backend", 120, List.of());
-        assertTrue(bare.broken(), bare.toString()); // warm at 108, bare for more than 3 s from there
-        assertEquals(111 * SECOND, bare.firstAt());
+        RuleChecker.Verdict verdict = verdict("no proxy without a backend", 120, List.of());
+        assertTrue(verdict.broken(), verdict.toString()); // warm at 108; without a backend for more than 3 s from then on
+        assertEquals(111 * SECOND, verdict.firstAt());
         assertFalse(verdict("no proxy without a backend", 110.9, List.of()).broken());
     }
 
--- a/src/test/java/rowanmoor/lab/SoakRunnerTest.java
+++ b/src/test/java/rowanmoor/lab/SoakRunnerTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Real proxy processes, stopped and started under load: fixed seeds, and a mutant that must be caught. */
+/** Stops and starts real proxy processes under load: with fixed seeds, and with a mutant that must be detected. */
 class SoakRunnerTest {
 
     @TempDir
@@ -17,16 +17,16 @@
 
     @Test
     void noRequestIsLostWhileProxiesRestart() throws InterruptedException {
-        List<String> told = new ArrayList<>();
-        assertTrue(new SoakRunner(directory, told::add).play(1, 3, 2), told::toString);
+        List<String> lines = new ArrayList<>();
+        assertTrue(new SoakRunner(directory, lines::add).play(1, 3, 2), lines::toString);
     }
 
-    /** A process that ends at once, with requests read and unanswered, though it was only told to stop. */
+    /** A process that was asked to stop is killed, with requests that it has read and not answered. */
     @Test
     void processKilledInsteadOfStoppedIsDetected() throws InterruptedException {
-        List<String> told = new ArrayList<>();
-        assertFalse(new SoakRunner(directory, told::add).play(3, 3, 1, SoakRun.StopMode.KILL_INSTEAD_OF_STOP), told::toString);
-        assertTrue(told.stream().anyMatch(line -> line.contains("never answered")), told::toString);
-        assertTrue(told.stream().anyMatch(line -> line.contains("--seeds 3..3")), told::toString);
+        List<String> lines = new ArrayList<>();
+        assertFalse(new SoakRunner(directory, lines::add).play(3, 3, 1, SoakRun.StopMode.KILL_INSTEAD_OF_STOP), lines::toString);
+        assertTrue(lines.stream().anyMatch(line -> line.contains("never answered")), lines::toString);
+        assertTrue(lines.stream().anyMatch(line -> line.contains("--seeds 3..3")), lines::toString);
     }
 }
--- a/src/test/java/rowanmoor/lab/TestDays.java
+++ b/src/test/java/rowanmoor/lab/TestDays.java
@@ -6,7 +6,7 @@
 import rowanmoor.config.ConfigException;
 import rowanmoor.config.Section;
 
-/** Days for tests: the sample with other troubles. */
+/** Days for tests: the sample day with other troubles. */
 final class TestDays {
 
     private TestDays() { }
@@ -19,7 +19,7 @@
         return DayFile.read(Section.parse("test.kdl", text));
     }
 
-    /** The sample of a length with only these troubles and no expectations. */
+    /** The sample day with another length, only the given troubles and no expectations. */
     static DayFile sampleWithTroubles(String length, String troubles) throws IOException, ConfigException {
         String text = sampleText();
         int from = text.indexOf("troubles {");
--- a/src/test/java/rowanmoor/perf/WireBenchmark.java
+++ b/src/test/java/rowanmoor/perf/WireBenchmark.java
@@ -26,7 +26,7 @@
 import rowanmoor.http.Message;
 import rowanmoor.http.MessageParser;
 
-/** Costs of one message on the wires; docs/measurements/running-controller.md has the command. */
+/** Measures the cost of encoding and decoding one message; docs/measurements/running-controller.md has the command. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -37,19 +37,19 @@
 
     private static final byte[] REQUEST = ("GET /preview/12345 HTTP/1.1\r\nHost: rowanmoor.test\r\n"
             + "x-work: 0.123456\r\nx-request-id: 12345.1\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1);
-    private static final byte[] ANSWER = ("HTTP/1.1 200 OK\r\nendpoint-load-metrics: TEXT cpu_utilization=0.5,"
+    private static final byte[] RESPONSE = ("HTTP/1.1 200 OK\r\nendpoint-load-metrics: TEXT cpu_utilization=0.5,"
             + " named_metrics.queue=3\r\nContent-Length: 5\r\n\r\ndone\n").getBytes(StandardCharsets.ISO_8859_1);
 
-    private final Frame bind = bind(25);
+    private final Frame bind = bindWithLines(25);
     private final Frame lines = new Frame.Update(1, 2, 3, 4, List.of(
             new Frame.SetLine(1, new Frame.Line(new Backend(5), 1)),
             new Frame.SetLine(1, new Frame.Line(new Backend(6), 1)), new Frame.Mark(7)));
     private final byte[] encodedBind = encoded(bind);
     private final byte[] encodedLines = encoded(lines);
 
-    private static Frame bind(int backends) {
+    private static Frame bindWithLines(int count) {
         List<Frame.Line> table = new ArrayList<>();
-        for (int i = 0; i < backends; i++) {
+        for (int i = 0; i < count; i++) {
             table.add(new Frame.Line(new Backend(1000 + i), 1.5));
         }
         return new Frame.Update(1, 2, 3, 4, List.of(new Frame.Bind(3, new Frame.Table(7, table,
@@ -90,6 +90,6 @@
 
     @Benchmark
     public Message parseResponse() throws HttpError {
-        return MessageParser.forResponses(MessageLimits.defaults()).next(ByteBuffer.wrap(ANSWER));
+        return MessageParser.forResponses(MessageLimits.defaults()).next(ByteBuffer.wrap(RESPONSE));
     }
 }
