--- a/src/main/java/rowanmoor/discovery/RosterClient.java
+++ b/src/main/java/rowanmoor/discovery/RosterClient.java
@@ -15,146 +15,156 @@
 import rowanmoor.net.Timer;
 
 /**
- * Asks a roster over Consul's HTTP API, with blocking queries while it is watched. When to ask again after
- * a failure is the module's to say: this client tells of it and stops.
+ * Queries a roster over Consul's HTTP API, with blocking queries while the list is watched. After a failure
+ * the client reports it and stops; the decision module decides when to query again.
  */
 public final class RosterClient {
 
-    private static final int ANSWER_MOST = 16 << 20;
-    private static final long SLACK = 1_000_000_000L;
-    private static final long CONNECT_WITHIN = 1_000_000_000L;
-    private static final long LEAST_GAP = 20_000_000L;
+    private static final int MAX_RESPONSE_BYTES = 16 << 20;
+    private static final long RESPONSE_SLACK_NS = 1_000_000_000L;
+    private static final long CONNECT_TIMEOUT_NS = 1_000_000_000L;
+    private static final long MIN_QUERY_GAP_NS = 20_000_000L;
 
     private final Loop loop;
-    private final InetSocketAddress at;
+    private final InetSocketAddress address;
     private final String path;
-    private final String asker;
-    private final long wait;
+    private final String userAgent;
+    private final long waitNs;
     private final List<String> zones;
     private final List<String> kinds;
     private final RosterView view;
-    private final LongSupplier wall;
-    private final Consumer<Members> told;
+    private final LongSupplier wallClock;
+    private final Consumer<Members> onMembers;
     private final Consumer<String> log;
     private ClientConnection connection;
-    private Timer patience;
+    private Timer responseTimer;
     private boolean watching;
-    private boolean asking;
+    private boolean queryPending;
     private long index;
 
-    public RosterClient(Loop loop, InetSocketAddress at, String service, String asker, long wait,
-            long emptyHold,
-            List<String> zones, List<String> kinds, LongSupplier wall, Consumer<Members> told,
-            Consumer<String> log) {
+    /**
+     * Creates a client that does not query yet.
+     *
+     * @param service name of the service whose instances are listed
+     * @param userAgent value of the User-Agent field
+     * @param waitNs how long the roster may hold a blocking query
+     * @param emptyListHoldNs how long an empty list must persist to be accepted
+     * @param wallClock milliseconds since 1970
+     * @param onMembers receives lists, changes and failures
+     */
+    public RosterClient(Loop loop, InetSocketAddress address, String service, String userAgent, long waitNs,
+            long emptyListHoldNs, List<String> zones, List<String> kinds, LongSupplier wallClock,
+            Consumer<Members> onMembers, Consumer<String> log) {
         this.loop = loop;
-        this.at = at;
+        this.address = address;
         this.path = "/v1/health/service/" + service;
-        this.asker = asker;
-        this.wait = wait;
+        this.userAgent = userAgent;
+        this.waitNs = waitNs;
         this.zones = zones;
         this.kinds = kinds;
-        this.view = new RosterView(emptyHold);
-        this.wall = wall;
-        this.told = told;
+        this.view = new RosterView(emptyListHoldNs);
+        this.wallClock = wallClock;
+        this.onMembers = onMembers;
         this.log = log;
     }
 
+    /** The translation of responses into member lists. */
     public RosterView view() {
         return view;
     }
 
-    /** Starts or stops to follow the list; starting is answered by exactly one event. */
+    /** Starts or stops watching the list; a start causes exactly one event, even if nothing changed. */
     public void setWatching(boolean on) {
         watching = on;
         index = 0;
         view.restart();
-        if (on && !asking) {
-            ask();
+        if (on && !queryPending) {
+            sendQuery();
         } else if (!on) {
             stop();
         }
     }
 
     private void stop() {
-        if (patience != null) {
-            patience.cancel();
+        if (responseTimer != null) {
+            responseTimer.cancel();
         }
-        asking = false;
+        queryPending = false;
         if (connection != null) {
             connection.cancel();
             connection = null;
         }
     }
 
-    private void ask() {
-        asking = true;
+    private void sendQuery() {
+        queryPending = true;
         if (connection == null || !connection.isAvailable()) {
-            connection = ClientConnection.open(loop, null, at, Connection.Options.defaults()
-                    .connectWithin(CONNECT_WITHIN), MessageLimits.defaults().body(ANSWER_MOST), c -> { });
+            connection = ClientConnection.open(loop, null, address, Connection.Options.defaults()
+                    .connectWithin(CONNECT_TIMEOUT_NS), MessageLimits.defaults().body(MAX_RESPONSE_BYTES), c -> { });
         }
-        String query = index == 0 ? "" : "?index=" + index + "&wait=" + wait / 1_000_000 + "ms";
-        // A roster may hold a question a sixteenth longer than asked (Consul, Blocking Queries).
-        long most = (index == 0 ? 0 : wait + wait / 16) + SLACK;
-        ClientConnection asked = connection;
-        patience = loop.after(most, () -> {
-            asked.cancel();
-            fail("no answer within " + most / 1_000_000 + " ms");
+        String query = index == 0 ? "" : "?index=" + index + "&wait=" + waitNs / 1_000_000 + "ms";
+        // A roster may hold a query for a sixteenth longer than requested (Consul, Blocking Queries).
+        long timeoutNs = (index == 0 ? 0 : waitNs + waitNs / 16) + RESPONSE_SLACK_NS;
+        ClientConnection queried = connection;
+        responseTimer = loop.after(timeoutNs, () -> {
+            queried.cancel();
+            fail("no response within " + timeoutNs / 1_000_000 + " ms");
         });
-        asked.send(Message.Request.get(path + query, "Host", at.getHostString() + ":" + at.getPort(),
-                "User-Agent", asker),
+        queried.send(Message.Request.get(path + query,
+                "Host", address.getHostString() + ":" + address.getPort(), "User-Agent", userAgent),
                 new ClientConnection.ResponseHandler() {
                     @Override
                     public void onResponse(Message.Response response) {
-                        patience.cancel();
-                        take(response);
+                        responseTimer.cancel();
+                        handleResponse(response);
                     }
 
                     @Override
                     public void onFailure(boolean neverRan, CloseReason why, String detail) {
-                        patience.cancel();
+                        responseTimer.cancel();
                         fail(why + ": " + detail);
                     }
                 });
     }
 
     private void fail(String why) {
-        asking = false;
+        queryPending = false;
         connection = null;
         watching = false;
         log.accept("roster: " + why);
-        told.accept(view.failed());
+        onMembers.accept(view.failed());
     }
 
-    private void take(Message.Response response) {
-        asking = false;
+    private void handleResponse(Message.Response response) {
+        queryPending = false;
         if (response.status() != 200) {
             fail("status " + response.status());
             return;
         }
-        RosterAnswer answer;
+        RosterResponse parsed;
         long newIndex;
         try {
-            answer = RosterAnswer.parse(response.body(), zones, kinds);
+            parsed = RosterResponse.parse(response.body(), zones, kinds);
             newIndex = Long.parseLong(response.fields().get("x-consul-index", "0"));
         } catch (IOException | NumberFormatException e) {
-            fail("an answer that cannot be read: " + e.getMessage());
+            fail("unreadable response: " + e.getMessage());
             return;
         }
-        answer.problems().forEach(p -> log.accept("roster: " + p));
-        RosterView.Step step = view.answer(loop.now(), wall.getAsLong(), newIndex, answer);
-        if (!step.usable()) {
-            fail("an empty list, not believed yet");
+        parsed.problems().forEach(p -> log.accept("roster: " + p));
+        RosterView.Result result = view.apply(loop.now(), wallClock.getAsLong(), newIndex, parsed);
+        if (!result.accepted()) {
+            fail("empty list, not accepted yet");
             return;
         }
-        index = step.index();
-        if (step.event() != null) {
-            told.accept(step.event());
+        index = result.index();
+        if (result.event() != null) {
+            onMembers.accept(result.event());
         }
         if (watching) {
-            // A roster that answers at once each time must not be asked in a spin.
-            loop.after(LEAST_GAP, () -> {
-                if (watching && !asking) {
-                    ask();
+            // The gap prevents a busy loop with a roster that answers every query at once.
+            loop.after(MIN_QUERY_GAP_NS, () -> {
+                if (watching && !queryPending) {
+                    sendQuery();
                 }
             });
         }
--- a/src/main/java/rowanmoor/lab/ResultStore.java
+++ b/src/main/java/rowanmoor/lab/ResultStore.java
@@ -33,8 +33,8 @@
             "/rowanmoor/FleetState.class", "/rowanmoor/FleetState$PathStats.class",
             "/rowanmoor/controller/Intake.class", "/rowanmoor/controller/Outbox.class",
             "/rowanmoor/host/TableStore.class", "/rowanmoor/host/TickRunner.class",
-            "/rowanmoor/host/Fanout.class", "/rowanmoor/emulator/Station.class",
-            "/rowanmoor/emulator/Agenda.class", "/rowanmoor/emulator/Model.class");
+            "/rowanmoor/host/Fanout.class", "/rowanmoor/emulator/SimulatedBackend.class",
+            "/rowanmoor/emulator/EventQueue.class", "/rowanmoor/emulator/Model.class");
 
     private final MVStore store;
     private final MVMap<String, String> results;
--- a/src/main/java/rowanmoor/platform/Peer.java
+++ b/src/main/java/rowanmoor/platform/Peer.java
@@ -13,51 +13,51 @@
 import rowanmoor.resp.RespWriter;
 
 /**
- * One connection at the controller's address. States: unjoined (neither joined nor named a zone), proxy,
- * collector, over. Whatever its peer does wrong costs this connection alone.
+ * One connection to the controller. States: unjoined (neither joined as a proxy nor named a zone), proxy,
+ * collector, ended. An error of the peer affects only this connection.
  */
 final class Peer implements ConnectionHandler {
 
-    /** What the service does with what peers bring. */
-    interface Owner {
+    /** Receives the peers' messages and ends. */
+    interface Listener {
 
-        /** A message; throws if it makes no sense. */
-        void heard(Peer peer, List<String> parts) throws MalformedMessageException;
+        /** Handles one message; throws if it is malformed. */
+        void onMessage(Peer peer, List<String> parts) throws MalformedMessageException;
 
-        /** A malformed message of a proxy or collector: it alone is dropped. */
-        void dropped(Peer peer, MalformedMessageException why);
+        /** A proxy or collector sent a malformed message, which was dropped; the connection stays open. */
+        void onMalformed(Peer peer, MalformedMessageException why);
 
-        /** Nothing more is heard of it. */
-        void over(Peer peer, String why);
+        /** The peer has ended: no further message of it follows. Called once. */
+        void onEnded(Peer peer, String why);
 
-        /** Its descriptor is free: at once, or after its last words were written. */
-        void closed(Peer peer);
+        /** The descriptor is free: at once, or after the final message was written. */
+        void onClosed(Peer peer);
     }
 
-    /** What it turned out to be. */
+    /** What the peer has joined as. */
     enum Role { UNJOINED, PROXY, COLLECTOR }
 
-    private static final int UNJOINED_BYTES = 4096;
-    private static final int PARTS_MOST = 256;
-    private static final int MARKS_KEPT = 512;
-    /** In how long its last words have to be taken, however slowly it reads. */
-    private static final long LAST_WORDS_WITHIN = 2_000_000_000L;
+    private static final int MAX_UNJOINED_MESSAGE_BYTES = 4096;
+    private static final int MAX_MESSAGE_PARTS = 256;
+    private static final int MAX_PENDING_MARKS = 512;
+    /** Limit for writing the final message, however slowly the peer reads. */
+    private static final long FINAL_WRITE_TIMEOUT_NS = 2_000_000_000L;
 
     private final Loop loop;
-    private final Owner owner;
-    private final long joinWithin;
-    private final RespReader reader = new RespReader(UNJOINED_BYTES, PARTS_MOST);
-    private final ArrayDeque<Integer> marks = new ArrayDeque<>();
+    private final Listener listener;
+    private final long joinTimeoutNs;
+    private final RespReader reader = new RespReader(MAX_UNJOINED_MESSAGE_BYTES, MAX_MESSAGE_PARTS);
+    private final ArrayDeque<Integer> pendingMarks = new ArrayDeque<>();
     private Connection connection;
-    private Timer patience; // for its joining, and after it is over for its last words
+    private Timer deadlineTimer; // for joining, and after the end for writing the final message
     private Role role = Role.UNJOINED;
     private int number = -1;
-    private boolean over;
+    private boolean ended;
 
-    Peer(Loop loop, Owner owner, long joinWithin) {
+    Peer(Loop loop, Listener listener, long joinTimeoutNs) {
         this.loop = loop;
-        this.owner = owner;
-        this.joinWithin = joinWithin;
+        this.listener = listener;
+        this.joinTimeoutNs = joinTimeoutNs;
     }
 
     Role role() {
@@ -69,55 +69,55 @@
         return number;
     }
 
-    /** From now on it is one of ours. */
-    void is(Role itsRole, int itsNumber) {
-        role = itsRole;
-        number = itsNumber;
-        patience.cancel();
+    /** Marks the peer as joined and allows it messages of full size. */
+    void assignRole(Role newRole, int newNumber) {
+        role = newRole;
+        number = newNumber;
+        deadlineTimer.cancel();
         reader.setMaxMessageBytes(RespReader.MAX_MESSAGE_BYTES);
     }
 
-    /** Remembers a mark that this stream was given. */
-    void marked(int mark) {
-        marks.add(mark);
-        if (marks.size() > MARKS_KEPT) {
-            marks.poll();
+    /** Adds a mark that was sent on this stream; only the newest {@code MAX_PENDING_MARKS} are kept. */
+    void addPendingMark(int mark) {
+        pendingMarks.add(mark);
+        if (pendingMarks.size() > MAX_PENDING_MARKS) {
+            pendingMarks.poll();
         }
     }
 
-    /** Whether this stream was given the mark and has not answered it yet. */
-    boolean answers(int mark) {
-        return marks.remove(mark);
+    /** Removes a pending mark; returns false if it was not sent on this stream or is acknowledged already. */
+    boolean acknowledge(int mark) {
+        return pendingMarks.remove(mark);
     }
 
     @Override
-    public void onOpen(Connection its) {
-        connection = its;
-        patience = loop.after(joinWithin, () -> end("it has not joined"));
+    public void onOpen(Connection source) {
+        connection = source;
+        deadlineTimer = loop.after(joinTimeoutNs, () -> endWithError("it has not joined"));
     }
 
     @Override
-    public void onData(Connection its, ByteBuffer bytes) {
+    public void onData(Connection source, ByteBuffer bytes) {
         try {
             while (bytes.hasRemaining() && connection.isOpen()) {
                 List<String> parts = reader.next(bytes);
                 if (parts != null) {
-                    take(parts);
+                    dispatch(parts);
                 }
             }
         } catch (RespException e) {
-            end(e.getMessage());
+            endWithError(e.getMessage());
         }
     }
 
-    private void take(List<String> parts) {
+    private void dispatch(List<String> parts) {
         try {
-            owner.heard(this, parts);
+            listener.onMessage(this, parts);
         } catch (MalformedMessageException e) {
             if (role == Role.UNJOINED) {
-                end(e.getMessage());
+                endWithError(e.getMessage());
             } else {
-                owner.dropped(this, e);
+                listener.onMalformed(this, e);
             }
         }
     }
@@ -126,59 +126,60 @@
         connection.send(RespWriter.encode(message));
     }
 
-    /** Bytes that wait to be written to it. */
-    long unread() {
+    /** Bytes waiting to be written to the peer. */
+    long queuedBytes() {
         return connection.queuedBytes();
     }
 
-    /** Says why, but to a collector, and ends. */
-    void end(String why) {
+    /** Sends the reason, except to a collector, and ends the connection. */
+    void endWithError(String why) {
         if (connection.isOpen()) {
             if (role != Role.COLLECTOR) {
                 send(List.of("error", "reason", why));
             }
             connection.closeGracefully();
-            over(why);
-            boundLastWords();
+            notifyEnded(why);
+            startFinalWriteTimer();
         }
     }
 
-    /** What has come by now is heard, though no turn has read it yet. */
-    void hearNow() {
+    /** Reads and handles what has arrived, without waiting for the loop's next turn. */
+    void readNow() {
         connection.readPending();
     }
 
-    private void boundLastWords() {
+    private void startFinalWriteTimer() {
         if (!connection.isClosed()) {
-            patience = loop.after(LAST_WORDS_WITHIN, () -> drop("its last words were not taken"));
+            deadlineTimer = loop.after(FINAL_WRITE_TIMEOUT_NS, () -> abort(
+                    "final message not read within " + FINAL_WRITE_TIMEOUT_NS / 1_000_000 + " ms"));
         }
     }
 
-    /** It has left with its end of the stream, whether or not it still takes what waits for it. */
+    /** The peer has left when it ends its side, whether or not it still reads what is queued for it. */
     @Override
-    public boolean onInputEnd(Connection its) {
-        over("ENDED: the peer ended");
-        boundLastWords();
+    public boolean onInputEnd(Connection source) {
+        notifyEnded("ENDED: the peer ended");
+        startFinalWriteTimer();
         return false;
     }
 
-    /** Closes at once. */
-    void drop(String why) {
+    /** Closes the connection at once. */
+    void abort(String why) {
         connection.close(CloseReason.LOCAL, why);
     }
 
     @Override
-    public void onClose(Connection its, CloseReason why, String detail) {
-        over(why + ": " + detail);
-        patience.cancel();
-        owner.closed(this);
+    public void onClose(Connection source, CloseReason why, String detail) {
+        notifyEnded(why + ": " + detail);
+        deadlineTimer.cancel();
+        listener.onClosed(this);
     }
 
-    private void over(String why) {
-        if (!over) {
-            over = true;
-            patience.cancel();
-            owner.over(this, why);
+    private void notifyEnded(String why) {
+        if (!ended) {
+            ended = true;
+            deadlineTimer.cancel();
+            listener.onEnded(this, why);
         }
     }
 }
--- a/src/test/java/rowanmoor/platform/SocketPlatform.java
+++ b/src/test/java/rowanmoor/platform/SocketPlatform.java
@@ -26,89 +26,89 @@
 import rowanmoor.resp.RespWriter;
 
 /**
- * A controller of the platform on real loopback sockets, with a catalog and peers that are scripted by plain
- * blocking sockets: the test says which byte comes when. Nothing sleeps; every wait has a bound.
+ * A controller on real loopback sockets, with a catalog and peers on blocking sockets, so that the test controls
+ * which byte arrives when. Nothing sleeps; every wait is bounded by {@code TIMEOUT_MS}.
  */
 final class SocketPlatform implements AutoCloseable {
 
-    static final int PATIENCE_MS = 20_000;
+    static final int TIMEOUT_MS = 20_000;
 
     final List<Throwable> faults;
     final List<String> log = new CopyOnWriteArrayList<>();
     final Loop loop;
-    final Service service;
-    final ConfigFile file; // null unless it was started from one
+    final PlatformController controller;
+    final ConfigFile configFile; // null unless started from a file
     private final Thread thread;
 
     SocketPlatform(ScriptedCatalog catalog, int sockets, Map<String, Object> known) throws IOException {
         this(config(catalog.address(), sockets, known), new CopyOnWriteArrayList<>(), null);
     }
 
-    /** One whose configuration is a file, or null. */
+    /** Uses the configuration file of {@code env}; without one if {@code env} is null. */
     SocketPlatform(PlatformConfig config, List<Throwable> faults, Map<String, String> env) throws IOException {
         this.faults = faults;
         loop = Loop.onSockets(faults::add);
-        file = env == null ? null : new ConfigFile(env, c -> loop.post(() -> reload(c)), log::add);
-        Runnable lookAgain = file == null ? () -> { } : file::lookAgain;
-        service = new Service(config, loop, System::currentTimeMillis, log::add, lookAgain);
+        configFile = env == null ? null : new ConfigFile(env, c -> loop.post(() -> reload(c)), log::add);
+        Runnable lookAgain = configFile == null ? () -> { } : configFile::checkForChange;
+        controller = new PlatformController(config, loop, System::currentTimeMillis, log::add, lookAgain);
         thread = new Thread(loop);
         thread.start();
     }
 
-    /** A controller started from a file as the program starts it. */
-    static SocketPlatform ofFile(Map<String, String> env) throws IOException {
+    /** Starts a controller from its configuration file, as the program does. */
+    static SocketPlatform fromFile(Map<String, String> env) throws IOException {
         return new SocketPlatform(PlatformConfig.read(env), new CopyOnWriteArrayList<>(), env);
     }
 
     private void reload(PlatformConfig config) {
-        service.reload(config);
+        controller.reload(config);
     }
 
     static PlatformConfig config(InetSocketAddress catalog, int sockets, Map<String, Object> known) {
-        return new PlatformConfig("n1", TestPlatform.ANY, catalog, 7, sockets, known, TestPlatform.told());
+        return new PlatformConfig("n1", InMemoryPlatform.LOOPBACK, catalog, 7, sockets, known, InMemoryPlatform.namedSettings());
     }
 
-    /** Asks something on the loop's thread. */
-    <T> T on(Callable<T> what) {
-        CompletableFuture<T> answer = new CompletableFuture<>();
+    /** Calls something on the loop's thread and returns its result. */
+    <T> T callOnLoop(Callable<T> call) {
+        CompletableFuture<T> result = new CompletableFuture<>();
         loop.post(() -> {
             try {
-                answer.complete(what.call());
+                result.complete(call.call());
             } catch (Exception e) {
-                answer.completeExceptionally(e);
+                result.completeExceptionally(e);
             }
         });
         try {
-            return answer.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+            return result.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException | ExecutionException | TimeoutException e) {
             throw new AssertionError(e);
         }
     }
 
-    /** Turns the loop until something holds there. */
-    void await(Callable<Boolean> holds) {
-        long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-        while (!on(holds)) {
+    /** Waits until a condition, checked on the loop's thread, holds. */
+    void awaitOnLoop(Callable<Boolean> condition) {
+        long until = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
+        while (!callOnLoop(condition)) {
             if (System.nanoTime() > until) {
-                throw new AssertionError("it never held; log: " + log);
+                throw new AssertionError("condition not met within " + TIMEOUT_MS + " ms; log: " + log);
             }
             Thread.onSpinWait();
         }
     }
 
-    /** Stands the loop still while a test puts bytes in place, so that it meets them all in one turn. */
-    void whileItStandsStill(Callable<Void> step) throws Exception {
-        CompletableFuture<Void> still = new CompletableFuture<>();
-        CompletableFuture<Void> on = new CompletableFuture<>();
+    /** Blocks the loop while the test sends bytes, so that the loop receives them all in one turn. */
+    void whileLoopIsBlocked(Callable<Void> step) throws Exception {
+        CompletableFuture<Void> blocked = new CompletableFuture<>();
+        CompletableFuture<Void> released = new CompletableFuture<>();
         loop.post(() -> {
-            still.complete(null);
-            on.join();
+            blocked.complete(null);
+            released.join();
         });
-        still.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+        blocked.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         try {
             step.call();
         } finally {
-            on.complete(null);
+            released.complete(null);
         }
     }
 
@@ -125,32 +125,32 @@
         }
     }
 
-    /** One connection to the controller's address. */
-    final class Peer implements AutoCloseable {
+    /** One connection to the controller. */
+    final class SocketPeer implements AutoCloseable {
         final Socket socket;
         private final RespReader reader = new RespReader(RespReader.MAX_MESSAGE_BYTES, 256);
-        private ByteBuffer read = ByteBuffer.allocate(0);
+        private ByteBuffer received = ByteBuffer.allocate(0);
 
-        Peer() throws IOException {
-            socket = new Socket(service.address().getAddress(), service.address().getPort());
-            socket.setSoTimeout(PATIENCE_MS);
+        SocketPeer() throws IOException {
+            socket = new Socket(controller.address().getAddress(), controller.address().getPort());
+            socket.setSoTimeout(TIMEOUT_MS);
         }
 
-        Peer say(String words) throws IOException {
-            ByteBuffer bytes = RespWriter.encode(List.of(words.split(" ")));
+        SocketPeer send(String message) throws IOException {
+            ByteBuffer bytes = RespWriter.encode(List.of(message.split(" ")));
             socket.getOutputStream().write(bytes.array(), bytes.arrayOffset() + bytes.position(), bytes.remaining());
             return this;
         }
 
-        Peer join(int number) throws IOException {
-            return say("hello node " + number + " locality north w 5.0 cold 1");
+        SocketPeer join(int number) throws IOException {
+            return send("hello node " + number + " locality north w 5.0 cold 1");
         }
 
-        /** The next message; null once the stream has ended. */
-        List<String> hear() throws IOException {
+        /** Returns the next message; null once the stream has ended. */
+        List<String> receive() throws IOException {
             try {
                 while (true) {
-                    List<String> message = read.hasRemaining() ? reader.next(read) : null;
+                    List<String> message = received.hasRemaining() ? reader.next(received) : null;
                     if (message != null) {
                         return message;
                     }
@@ -159,22 +159,22 @@
                     if (count < 0) {
                         return null;
                     }
-                    read = ByteBuffer.wrap(into, 0, count);
+                    received = ByteBuffer.wrap(into, 0, count);
                 }
             } catch (RespException e) {
                 throw new AssertionError(e);
             }
         }
 
-        /** The first message in which a field has a value that holds this text. */
-        List<String> hearWith(String field, String text) throws IOException {
-            for (List<String> message = hear(); message != null; message = hear()) {
+        /** Returns the next message with a field whose value contains the text. */
+        List<String> receiveWith(String field, String text) throws IOException {
+            for (List<String> message = receive(); message != null; message = receive()) {
                 int at = message.indexOf(field);
                 if (at > 0 && message.get(at + 1).contains(text)) {
                     return message;
                 }
             }
-            throw new AssertionError("ended before " + field + " " + text);
+            throw new AssertionError("stream ended before a message with " + field + " " + text);
         }
 
         void reset() throws IOException {
@@ -188,26 +188,26 @@
         }
     }
 
-    Peer peer() throws IOException {
-        return new Peer();
+    SocketPeer connectPeer() throws IOException {
+        return new SocketPeer();
     }
 
-    /** The catalog's address; the test takes each watch itself and says what it is told. */
+    /** A catalog whose watches the test accepts and answers itself. */
     static final class ScriptedCatalog implements AutoCloseable {
-        private final ServerSocket door = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        private final ServerSocket serverSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         private final List<Watch> watches = new ArrayList<>();
 
         ScriptedCatalog() throws IOException {
-            door.setSoTimeout(PATIENCE_MS);
+            serverSocket.setSoTimeout(TIMEOUT_MS);
         }
 
         InetSocketAddress address() {
-            return new InetSocketAddress(door.getInetAddress(), door.getLocalPort());
+            return new InetSocketAddress(serverSocket.getInetAddress(), serverSocket.getLocalPort());
         }
 
-        /** The next watch, whose question has been read and whose answer has not begun. */
-        Watch watch() throws IOException {
-            Watch watch = new Watch(door.accept());
+        /** Accepts the next watch; its request has been read and its response not begun. */
+        Watch acceptWatch() throws IOException {
+            Watch watch = new Watch(serverSocket.accept());
             watches.add(watch);
             return watch;
         }
@@ -217,49 +217,49 @@
             for (Watch watch : watches) {
                 watch.socket.close();
             }
-            door.close();
+            serverSocket.close();
         }
     }
 
-    /** One watch, at the catalog's end. */
+    /** The catalog's side of one watch. */
     static final class Watch {
         final Socket socket;
-        final String question;
+        final String requestLine;
         private final InputStream in;
         private final OutputStream out;
 
         Watch(Socket socket) throws IOException {
             this.socket = socket;
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
             in = socket.getInputStream();
             out = socket.getOutputStream();
             BufferedReader lines = new BufferedReader(new InputStreamReader(in, StandardCharsets.ISO_8859_1));
-            question = lines.readLine();
+            requestLine = lines.readLine();
             for (String line = lines.readLine(); !line.isEmpty(); line = lines.readLine()) {
                 continue;
             }
         }
 
-        Watch begin() throws IOException {
-            return raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        Watch sendHead() throws IOException {
+            return sendRaw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         }
 
-        Watch line(String line) throws IOException {
-            return raw(Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
+        Watch sendLine(String line) throws IOException {
+            return sendRaw(Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
         }
 
-        Watch tell(long generation, boolean reset, List<Map<String, Object>> entries) throws IOException {
-            return line(TestPlatform.text(TestPlatform.list(generation, reset, entries)));
+        Watch sendObject(long generation, boolean reset, List<Map<String, Object>> entries) throws IOException {
+            return sendLine(InMemoryPlatform.toJson(InMemoryPlatform.catalogObject(generation, reset, entries)));
         }
 
-        Watch raw(String bytes) throws IOException {
+        Watch sendRaw(String bytes) throws IOException {
             out.write(bytes.getBytes(StandardCharsets.ISO_8859_1));
             out.flush();
             return this;
         }
 
-        /** Waits until the controller has closed it. */
-        boolean isLeft() throws IOException {
+        /** Waits for the controller to close the watch; returns false on a timeout. */
+        boolean isClosedByController() throws IOException {
             try {
                 return in.read() < 0;
             } catch (java.net.SocketTimeoutException e) {
