--- a/src/main/java/rowanmoor/lab/ChildProcess.java
+++ b/src/main/java/rowanmoor/lab/ChildProcess.java
@@ -64,9 +64,9 @@
     }
 
     /** Pauses (SIGSTOP) or resumes (SIGCONT) the process. */
-    void setPaused(boolean on) throws IOException {
+    void setPaused(boolean paused) throws IOException {
         if (process.isAlive()) {
-            new ProcessBuilder("kill", on ? "-STOP" : "-CONT", Long.toString(process.pid())).start();
+            new ProcessBuilder("kill", paused ? "-STOP" : "-CONT", Long.toString(process.pid())).start();
         }
     }
 
--- a/src/main/java/rowanmoor/lab/ControllerLoops.java
+++ b/src/main/java/rowanmoor/lab/ControllerLoops.java
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public void start(int rank, InetSocketAddress roster, StartListener up) throws IOException {
+    public void start(int rank, InetSocketAddress roster, StartListener listener) throws IOException {
         Loop loop = net.newLoop(onFault);
         running.put(rank, loop);
         long epoch = ++starts;
@@ -45,7 +45,7 @@
         Controller controller = new Controller(config, loop, day.seed() * 31 + epoch, epoch,
                 () -> net.now() / NS_PER_MS);
         latestByRank.put(rank, controller);
-        up.started(rank, controller.address(), epoch);
+        listener.started(rank, controller.address(), epoch);
     }
 
     @Override
@@ -57,9 +57,9 @@
     }
 
     @Override
-    public void setPaused(int rank, boolean on) {
+    public void setPaused(int rank, boolean paused) {
         if (running.containsKey(rank)) {
-            net.setFrozen(running.get(rank), on);
+            net.setFrozen(running.get(rank), paused);
         }
     }
 
--- a/src/main/java/rowanmoor/lab/ControllerProcesses.java
+++ b/src/main/java/rowanmoor/lab/ControllerProcesses.java
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public void start(int rank, InetSocketAddress roster, StartListener up) throws IOException {
+    public void start(int rank, InetSocketAddress roster, StartListener listener) throws IOException {
         int start = ++starts;
         String name = "controller-" + rank + "-" + start;
         Path config = directory.resolve(name + ".kdl");
@@ -61,7 +61,7 @@
                 quoted(directory.resolve("capture").toAbsolutePath()), roster.getHostString(),
                 roster.getPort(), day.rosterWait() / 1_000_000, day.emptyHold() / 1_000_000));
         ChildProcess child = ChildProcess.start(name, "1g", directory.resolve(name + ".log"),
-                line -> handleLogLine(rank, line, up),
+                line -> handleLogLine(rank, line, listener),
                 "controller", "--config", config.toString(), "--seed",
                         Long.toString(day.seed() * 31 + start));
         running.put(rank, child);
@@ -72,7 +72,7 @@
         return path.toString().replace("\\", "\\\\").replace("\"", "\\\"");
     }
 
-    private void handleLogLine(int rank, String text, StartListener up) {
+    private void handleLogLine(int rank, String text, StartListener listener) {
         if (!text.startsWith("{")) {
             return;
         }
@@ -85,7 +85,7 @@
         if (line.has("at") && line.has("epoch")) {
             String at = line.get("at").asText();
             InetSocketAddress address = Section.parseAddress(at.replace("localhost", "127.0.0.1"));
-            up.started(rank, address, line.get("epoch").asLong());
+            listener.started(rank, address, line.get("epoch").asLong());
         } else if (line.has("decideP99us")) {
             ((ObjectNode) line).put("rank", rank);
             stats.add(line);
@@ -122,10 +122,10 @@
     }
 
     @Override
-    public void setPaused(int rank, boolean on) throws IOException {
+    public void setPaused(int rank, boolean paused) throws IOException {
         ChildProcess child = running.get(rank);
         if (child != null) {
-            child.setPaused(on);
+            child.setPaused(paused);
         }
     }
 
--- a/src/main/java/rowanmoor/lab/Controllers.java
+++ b/src/main/java/rowanmoor/lab/Controllers.java
@@ -14,13 +14,13 @@
     }
 
     /** Starts the controller of a rank with this roster server. */
-    void start(int rank, InetSocketAddress roster, StartListener up) throws IOException;
+    void start(int rank, InetSocketAddress roster, StartListener listener) throws IOException;
 
     /** Kills the controller without a shutdown. */
     void kill(int rank);
 
     /** Pauses or resumes the controller. */
-    void setPaused(int rank, boolean on) throws IOException;
+    void setPaused(int rank, boolean paused) throws IOException;
 
     /** Each controller's totals, by rank, as far as they are known. */
     List<Outcome.ControllerStats> totals();
--- a/src/main/java/rowanmoor/lab/Experiment.java
+++ b/src/main/java/rowanmoor/lab/Experiment.java
@@ -249,8 +249,7 @@
         private List<Run> runs(Variant v, double rate) {
             Fleet fleet = fleet(v);
             String text = (liveDirectory == null ? "" : "live/") + rate + "/" + v.backends() + "/"
-                    + v.troubles() + "/"
-                    + length + "/" + Arrays.toString(mixes.get(v.mix()));
+                    + v.troubles() + "/" + length + "/" + Arrays.toString(mixes.get(v.mix()));
             return IntStream.rangeClosed(1, seeds).mapToObj(seed -> new Run(v, rate, seed,
                     store.key(fleet.bytes(), text, seed))).toList();
         }
--- a/src/main/java/rowanmoor/lab/Fuzzer.java
+++ b/src/main/java/rowanmoor/lab/Fuzzer.java
@@ -82,12 +82,12 @@
             long allocated = threads.getCurrentThreadAllocatedBytes() - before;
             maxAllocated = Math.max(maxAllocated, allocated);
             if (allocated > MAX_ALLOCATED_BYTES) {
-                return new Result(tried, rejected, rejections, maxAllocated, allocated + " bytes on "
-                        + hex(input));
+                return new Result(tried, rejected, rejections, maxAllocated,
+                        allocated + " bytes allocated for " + hex(input));
             }
             if (target != Target.KDL && !whole.equals(parseResult(input, 1 + random.nextInt(16)))) {
-                return new Result(tried, rejected, rejections, maxAllocated, "pieces differ on "
-                        + hex(input));
+                return new Result(tried, rejected, rejections, maxAllocated,
+                        "result depends on how the input is split, for " + hex(input));
             }
         }
         return new Result(tried, rejected, rejections, maxAllocated, null);
@@ -103,8 +103,7 @@
             switch (target) {
                 case CHANNEL -> channel(input, maxPiece, result);
                 case KDL -> result.add(rowanmoor.kdl.KdlParser.parse(new String(input,
-                        StandardCharsets.UTF_8))
-                        .toString());
+                        StandardCharsets.UTF_8)).toString());
                 default -> http(input, maxPiece, result);
             }
         } catch (ChannelException | HttpError | KdlException e) {
@@ -150,8 +149,8 @@
     private List<ByteBuffer> pieces(byte[] input, int maxPiece) {
         List<ByteBuffer> pieces = new ArrayList<>();
         for (int at = 0; at < input.length;) {
-            int count = Math.min(input.length - at, maxPiece >= input.length ? maxPiece : 1
-                    + random.nextInt(maxPiece));
+            int count = Math.min(input.length - at, maxPiece >= input.length ? maxPiece
+                    : 1 + random.nextInt(maxPiece));
             pieces.add(ByteBuffer.wrap(input, at, count));
             at += count;
         }
--- a/src/main/java/rowanmoor/lab/ProxyBenchmark.java
+++ b/src/main/java/rowanmoor/lab/ProxyBenchmark.java
@@ -48,8 +48,7 @@
      * @param seconds from the first request until the last response
      */
     public record Step(int lines, double rate, Histogram direct, Histogram viaProxy, long failed,
-            double cpuMicros,
-            double allocatedBytes, double seconds) {
+            double cpuMicros, double allocatedBytes, double seconds) {
 
         @Override
         public String toString() {
@@ -192,11 +191,12 @@
             return;
         }
         proxiedInFlight += idle == proxiedConnections ? 1 : 0;
-        ClientConnection kept = idle.pollLast();
-        while (kept != null && !kept.isAvailable()) {
-            kept = idle.pollLast();
+        ClientConnection reusable = idle.pollLast();
+        while (reusable != null && !reusable.isAvailable()) {
+            reusable = idle.pollLast();
         }
-        ClientConnection connection = kept != null ? kept : ClientConnection.open(clientLoop, null, to,
+        ClientConnection connection = reusable != null ? reusable
+                : ClientConnection.open(clientLoop, null, to,
                 Connection.Options.defaults(), MessageLimits.defaults(), c -> { });
         connection.send(Message.Request.get("/x", "Host", "h"), new ClientConnection.ResponseHandler() {
             @Override
--- a/src/main/java/rowanmoor/lab/ResultStore.java
+++ b/src/main/java/rowanmoor/lab/ResultStore.java
@@ -26,9 +26,8 @@
 
     private static final ObjectMapper JSON = new ObjectMapper();
     // The classes whose code determines a result; other classes of their packages change along with these.
-    private static final List<Class<?>> CODE_CLASSES =
-            List.of(RoutingPolicy.class, Driver.class, Router.class,
-            Emulator.class);
+    private static final List<Class<?>> CODE_CLASSES = List.of(
+            RoutingPolicy.class, Driver.class, Router.class, Emulator.class);
     private static final List<String> CODE_RESOURCES = List.of(
             "/rowanmoor/FleetState.class", "/rowanmoor/FleetState$PathStats.class",
             "/rowanmoor/controller/Intake.class", "/rowanmoor/controller/Outbox.class",
--- a/src/main/java/rowanmoor/lab/TestBed.java
+++ b/src/main/java/rowanmoor/lab/TestBed.java
@@ -66,10 +66,10 @@
     private final SplittableRandom troubleRandom;
 
     /** @param wallClockMs milliseconds since 1970, in which the roster states start times */
-    TestBed(DayFile day, Loop stage, Loop clientLoop, ProxyHost proxyHost, Controllers controllers,
+    TestBed(DayFile day, Loop mainLoop, Loop clientLoop, ProxyHost proxyHost, Controllers controllers,
             LongSupplier wallClockMs) throws IOException {
         this.day = day;
-        this.mainLoop = stage;
+        this.mainLoop = mainLoop;
         this.clientLoop = clientLoop;
         this.proxyHost = proxyHost;
         this.controllers = controllers;
@@ -78,13 +78,13 @@
         this.proxyWeightsMilli = proxyWeights();
         buildBackends();
         this.proxyAddresses = buildProxies();
-        this.start = stage.now() + day.settle();
+        this.start = mainLoop.now() + day.settle();
         for (int rank = 0; rank < day.controllerZones().size(); rank++) {
             startController(rank);
         }
         day.troubles().forEach(this::schedule);
-        stage.at(start + Math.min(day.rise(), day.length() / 2), () -> measureUtilization(false));
-        stage.at(start + day.length(), () -> measureUtilization(true));
+        mainLoop.at(start + Math.min(day.rise(), day.length() / 2), () -> measureUtilization(false));
+        mainLoop.at(start + day.length(), () -> measureUtilization(true));
         buildClients();
     }
 
@@ -105,8 +105,7 @@
         for (DayFile.BackendGroup group : day.groups()) {
             for (int i = 0; i < group.count(); i++) {
                 BackendServer server = new BackendServer(mainLoop, anyPort(), group.spec(),
-                        group.connections(),
-                        random.split(), ledger);
+                        group.connections(), random.split(), ledger);
                 int spread = number++ % day.site().zones().size();
                 int zone = group.zone() >= 0 ? group.zone() : spread;
                 backends.add(server);
@@ -144,8 +143,7 @@
                     proxyLinks.stream().map(Link::address).toList(), p / zones % proxyLinks.size(),
                     300 * NS_PER_MS, 3 * NS_PER_SECOND,
                     table.stream().map(Addresses::toSocketAddress).toList(), 15 * NS_PER_SECOND,
-                    250 * NS_PER_MS, 4096,
-                            ForwardingPolicy.defaults()));
+                    250 * NS_PER_MS, 4096, ForwardingPolicy.defaults()));
         }
         return proxyHost.start(configs, standingTables, random.nextLong());
     }
--- a/src/test/java/rowanmoor/lab/DayRunnerTest.java
+++ b/src/test/java/rowanmoor/lab/DayRunnerTest.java
@@ -44,7 +44,8 @@
 
     @Test
     void allBackendsCanDrainAtOnce() throws IOException, ConfigException {
-        DayResult played = runAndAssertPassed(TestDays.sampleWithTroubles("16s", "drain { at \"4s\"; for \"6s\"; zone \"north\"; part 1 }; "
+        DayResult played = runAndAssertPassed(TestDays.sampleWithTroubles("16s",
+                "drain { at \"4s\"; for \"6s\"; zone \"north\"; part 1 }; "
                 + "drain { at \"4s\"; for \"6s\"; zone \"south\"; part 1 }"));
         long drainedBy = played.evidence().start() + 7_000_000_000L;
         assertTrue(played.evidence().ledger().entries().stream().noneMatch(e -> e.arrivedAt > drainedBy
@@ -63,7 +64,8 @@
     @Test
     void proxiesContinueWhenControllersAreKilledInTheMiddleOfAChange() throws IOException, ConfigException {
         // A change at the moment of the kill: only some of the proxies have received its message.
-        DayResult played = runAndAssertPassed(TestDays.sampleWithTroubles("14s", "drain { at \"4s\"; for \"5s\"; zone \"south\"; part 0.5 }; "
+        DayResult played = runAndAssertPassed(TestDays.sampleWithTroubles("14s",
+                "drain { at \"4s\"; for \"5s\"; zone \"south\"; part 0.5 }; "
                 + "controller-kill { at \"4.03s\"; for \"2s\"; controller 0 }; "
                 + "controller-kill { at \"4.03s\"; for \"2s\"; controller 1 }"));
         long drained = played.evidence().start() + 4_000_000_000L;
@@ -77,14 +79,16 @@
 
     @Test
     void proxiesOfAPausedControllerMoveToTheOther() throws IOException, ConfigException {
-        DayResult played = runAndAssertPassed(TestDays.sampleWithTroubles("16s", "controller-stall { at \"3s\"; for \"8s\"; controller 0 }; "
+        DayResult played = runAndAssertPassed(TestDays.sampleWithTroubles("16s",
+                "controller-stall { at \"3s\"; for \"8s\"; controller 0 }; "
                 + "proxies-cut { at \"12s\"; for \"3s\"; part 0.5 }"));
         assertTrue(played.service(-1) > 0.95, DayReport.text(played));
     }
 
     @Test
     void slowReaderDoesNotDelayOtherProxies() throws IOException, ConfigException {
-        DayResult played = runAndAssertPassed(TestDays.sampleWithTroubles("14s", "slow-reader { at \"2s\"; for \"12s\"; part 0.1; size 1 }; "
+        DayResult played = runAndAssertPassed(TestDays.sampleWithTroubles("14s",
+                "slow-reader { at \"2s\"; for \"12s\"; part 0.1; size 1 }; "
                 + "drain { at \"6s\"; for \"5s\"; zone \"north\"; part 0.4 }"));
         assertTrue(played.service(-1) > 0.95, DayReport.text(played));
     }
--- a/src/test/java/rowanmoor/lab/FrameRelay.java
+++ b/src/test/java/rowanmoor/lab/FrameRelay.java
@@ -22,20 +22,21 @@
     private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
     private final Loop loop;
-    private final Controllers real;
+    private final Controllers delegate;
     private final UnaryOperator<Frame> change;
 
-    FrameRelay(Loop loop, Controllers real, UnaryOperator<Frame> change) {
+    FrameRelay(Loop loop, Controllers delegate, UnaryOperator<Frame> change) {
         this.loop = loop;
-        this.real = real;
+        this.delegate = delegate;
         this.change = change;
     }
 
     @Override
-    public void start(int rank, InetSocketAddress roster, StartListener up) throws IOException {
-        real.start(rank, roster, (startedRank, address, epoch) -> {
+    public void start(int rank, InetSocketAddress roster, StartListener listener) throws IOException {
+        delegate.start(rank, roster, (startedRank, address, epoch) -> {
             try {
-                up.started(startedRank, loop.listen(ANY, Connection.Options.defaults(), c -> new ProxySide(address)).address(), epoch);
+                listener.started(startedRank, loop.listen(ANY, Connection.Options.defaults(),
+                        c -> new ProxySide(address)).address(), epoch);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -44,22 +45,22 @@
 
     @Override
     public java.util.List<rowanmoor.emulator.Outcome.ControllerStats> totals() {
-        return real.totals();
+        return delegate.totals();
     }
 
     @Override
     public void kill(int rank) {
-        real.kill(rank);
+        delegate.kill(rank);
     }
 
     @Override
-    public void setPaused(int rank, boolean on) throws IOException {
-        real.setPaused(rank, on);
+    public void setPaused(int rank, boolean paused) throws IOException {
+        delegate.setPaused(rank, paused);
     }
 
     @Override
     public void close() {
-        real.close();
+        delegate.close();
     }
 
     private final class ProxySide implements ConnectionHandler {
@@ -73,7 +74,8 @@
         @Override
         public void onOpen(Connection proxy) {
             FrameReader reader = new FrameReader(ChannelLimits.defaults());
-            controllerConnection = loop.connect(null, controllerAddress, Connection.Options.defaults(), new ConnectionHandler() {
+            controllerConnection = loop.connect(null, controllerAddress, Connection.Options.defaults(),
+                    new ConnectionHandler() {
                 @Override
                 public void onData(Connection controller, ByteBuffer bytes) {
                     try {
--- a/src/test/java/rowanmoor/lab/HistoriesTest.java
+++ b/src/test/java/rowanmoor/lab/HistoriesTest.java
@@ -23,7 +23,7 @@
 
 /**
  * Runs the rule checker on histories that the real controller, policy, channel and proxies play on an in-memory
- * network. The checker gets the evidence alrejection. A history that does not exercise its rules fails the test.
+ * network. The checker gets the evidence alone. A history that does not exercise its rules fails the test.
  */
 class HistoriesTest {
 
