--- a/src/main/java/rowanmoor/cli/CaptureCommands.java
+++ b/src/main/java/rowanmoor/cli/CaptureCommands.java
@@ -12,8 +12,8 @@
 import picocli.CommandLine.Spec;
 import rowanmoor.capture.Capture;
 
-/** {@code rowanmoor capture ...}: a capture is a directory of segments, or one of them. */
-@Command(name = "capture", description = "Reads, cuts, scales and exports captured load.",
+/** {@code rowanmoor capture ...}. A capture is a directory of segment files, or a single segment file. */
+@Command(name = "capture", description = "Inspects, cuts, scales and exports captured load.",
         mixinStandardHelpOptions = true)
 final class CaptureCommands {
 
@@ -28,48 +28,53 @@
         return capture;
     }
 
-    private int said(String format, Object... arguments) {
+    private int print(String format, Object... arguments) {
         PrintWriter out = spec.commandLine().getOut();
         out.printf(Locale.ROOT, format, arguments);
         out.flush();
         return 0;
     }
 
-    @Command(name = "info", description = "Tells what a capture holds, and what of it cannot be read.")
+    @Command(name = "info",
+            description = "Prints a summary of a capture and lists records that cannot be read.")
     int info(@Parameters(paramLabel = "CAPTURE") Path path) throws IOException {
         Capture.Info info = read(path).info();
         double seconds = (info.to() - info.from()) / 1e9;
-        return said("%d records of %d controllers over %.1f s: %d requests (%.1f/s), %d tries, %d proxies,"
+        return print("%d records of %d controllers over %.1f s: %d requests (%.1f/s), %d tries, %d proxies,"
                 + " %d backends, %d records dropped%nrequests by class: %s%n", info.records(),
-                        info.controllers(),
-                seconds, info.requests(), seconds > 0 ? info.requests() / seconds : 0, info.tries(),
-                        info.proxies(),
-                info.backends(), info.dropped(), info.requestsByClass());
+                info.controllers(), seconds, info.requests(), seconds > 0 ? info.requests() / seconds : 0,
+                info.tries(), info.proxies(), info.backends(), info.dropped(), info.requestsByClass());
     }
 
-    @Command(name = "cut", description = "Keeps a stretch, in seconds from the beginning.")
+    @Command(name = "cut", description = "Copies a time range of a capture.")
     int cut(@Parameters(paramLabel = "CAPTURE") Path path, @Parameters(paramLabel = "TO") Path to,
-            @Option(names = "--from", defaultValue = "0") double from,
-            @Option(names = "--until", required = true) double until) throws IOException {
+            @Option(names = "--from", defaultValue = "0", paramLabel = "SECONDS",
+                    description = "start of the range, in seconds from the start of the capture;"
+                            + " default ${DEFAULT-VALUE}") double from,
+            @Option(names = "--until", required = true, paramLabel = "SECONDS",
+                    description = "end of the range, in seconds from the start of the capture") double until)
+            throws IOException {
         Capture part = read(path).cut((long) (from * 1e9), (long) (until * 1e9));
         part.write(to);
-        return said("%d records in %s%n", part.records().size(), to);
+        return print("%d records in %s%n", part.records().size(), to);
     }
 
-    @Command(name = "scale", description = "Multiplies requests and tries.")
+    @Command(name = "scale",
+            description = "Copies a capture with its requests and tries multiplied by a factor.")
     int scale(@Parameters(paramLabel = "CAPTURE") Path path, @Parameters(paramLabel = "TO") Path to,
-            @Option(names = "--by", required = true) double factor) throws IOException {
+            @Option(names = "--by", required = true, paramLabel = "FACTOR",
+                    description = "factor, 0 to 1000") double factor) throws IOException {
         if (!(factor >= 0 && factor <= 1000)) {
-            throw new IOException("--by is out of range: " + factor + ", not within 0 to 1000");
+            throw new IOException("--by is out of range: " + factor + " is not within 0 to 1000");
         }
         Capture scaled = read(path).scale(factor);
         scaled.write(to);
-        return said("%d requests in %s%n", scaled.info().requests(), to);
+        return print("%d requests in %s%n", scaled.info().requests(), to);
     }
 
     @Command(name = "export", description = "Writes CSV (requests by second, zone and class) or JSON lines.")
     int export(@Parameters(paramLabel = "CAPTURE") Path path, @Parameters(paramLabel = "TO") Path to,
-            @Option(names = "--json", description = "JSON lines, every record") boolean json)
+            @Option(names = "--json", description = "writes every record as a JSON line") boolean json)
             throws IOException {
         Capture capture = read(path);
         try (var out = Files.newBufferedWriter(to)) {
@@ -79,6 +84,6 @@
                 capture.exportCsv(out);
             }
         }
-        return said("%s written%n", to);
+        return print("%s written%n", to);
     }
 }
--- a/src/main/java/rowanmoor/cli/Commands.java
+++ b/src/main/java/rowanmoor/cli/Commands.java
@@ -42,15 +42,19 @@
 import rowanmoor.proxy.Tap;
 import rowanmoor.proxy.TapFile;
 
-/** The command line's sub-commands. Exit codes: 0 well, 1 it failed, 2 the arguments are wrong. */
+/** Subcommands of the command line. Exit codes: 0 success, 1 failure, 2 invalid arguments. */
 @Command(name = "rowanmoor", mixinStandardHelpOptions = true, version = "rowanmoor 0.2.0-SNAPSHOT",
-        description = "Publishes routing tables to a fleet of plain proxies.",
+        description = "Publishes routing tables to a fleet of proxies.",
         subcommands = {CommandLine.HelpCommand.class, CaptureCommands.class, PlanCommand.class})
 public final class Commands {
 
-    private static final double WARM_SECONDS = 4;
-    private static final int STOP_SECONDS = 3700;
-    static final String LOG_LEVEL = "rowanmoor.log.level";
+    private static final double WARM_UP_REQUESTS_PER_SECOND = 2000;
+    private static final double WARM_UP_SECONDS = 4;
+    /** Longer than the maximum of {@code stop-within}, 1 h. */
+    private static final int STOP_TIMEOUT_SECONDS = 3700;
+    /** Time for the last messages to be sent before the loop stops. */
+    private static final long FLUSH_NS = 200_000_000L;
+    static final String LOG_LEVEL_PROPERTY = "rowanmoor.log.level";
 
     @Spec
     private CommandSpec spec;
@@ -61,12 +65,12 @@
         try {
             return commandLine().execute(args);
         } finally {
-            endLog();
+            stopLogging();
         }
     }
 
-    /** What is logged is written by a thread of its own: its last lines must not be lost. */
-    private static void endLog() {
+    /** Stops logging, which flushes the queue of the appender thread so that no last lines are lost. */
+    private static void stopLogging() {
         if (org.slf4j.LoggerFactory.getILoggerFactory() instanceof ch.qos.logback.classic.LoggerContext log) {
             log.stop();
         }
@@ -74,10 +78,10 @@
 
     static CommandLine commandLine() {
         return new CommandLine(new Commands()).registerConverter(Fuzz.Target.class,
-                Commands::target).setExecutionExceptionHandler((e, line, parsed) -> {
-            // What a command's method throws comes wrapped.
-            Throwable cause = e instanceof CommandLine.ExecutionException && e.getCause() != null ? e
-                    .getCause() : e;
+                Commands::parseTarget).setExecutionExceptionHandler((e, line, parsed) -> {
+            // picocli wraps exceptions that are thrown by a command method.
+            Throwable cause = e instanceof CommandLine.ExecutionException && e.getCause() != null
+                    ? e.getCause() : e;
             line.getErr().println("rowanmoor: " + (cause instanceof ConfigException
                     || cause instanceof IOException
                     ? cause.getMessage() : cause.toString()));
@@ -85,41 +89,42 @@
         });
     }
 
-    private static Fuzz.Target target(String word) {
+    private static Fuzz.Target parseTarget(String word) {
         for (Fuzz.Target target : Fuzz.Target.values()) {
             if (target.toString().equals(word)) {
                 return target;
             }
         }
-        throw new CommandLine.TypeConversionException("there are " + List.of(Fuzz.Target.values()));
+        throw new CommandLine.TypeConversionException("must be one of " + List.of(Fuzz.Target.values()));
     }
 
     private PrintWriter out() {
         return spec.commandLine().getOut();
     }
 
-    @Command(name = "benchlink", description = "Decides on the bench's wire, on standard input and output.")
+    @Command(name = "benchlink", description = "Serves the bench's protocol on standard input and output.")
     int benchlink() {
         return Main.benchlink(System.in, System.out, System.err);
     }
 
-    @Command(name = "serve", description = "Runs one controller of the platform, as GW_CONFIG says.")
+    @Command(name = "serve",
+            description = "Runs a controller of the platform with the configuration file in GW_CONFIG.")
     int serve() {
         return PlatformServer.run(System.getenv(), System.err);
     }
 
     @Command(name = "rehearse",
-            description = "Serves invented peers for a moment; the build records what a start needs.")
+            description = "Serves simulated peers for a short time; the build records the loaded classes.")
     int rehearse() {
         return PlatformServer.rehearse(System.err);
     }
 
-    @Command(name = "check", description = "Reads settings and days, and tells everything that is wrong.")
+    @Command(name = "check", description = "Reads settings and day files and lists all problems.")
     int check(@Parameters(paramLabel = "FILE", arity = "1..*") List<Path> files) throws IOException {
         List<String> problems = new ArrayList<>();
         for (Path file : files) {
             try {
-                String kind = checkOne(file);
+                String kind = checkFile(file);
                 out().println(file + ": " + kind + ", nothing wrong");
             } catch (ConfigException e) {
                 problems.addAll(e.problems());
@@ -130,7 +135,7 @@
         return problems.isEmpty() ? 0 : 1;
     }
 
-    private static String checkOne(Path file) throws ConfigException, IOException {
+    private static String checkFile(Path file) throws ConfigException, IOException {
         Section root = Section.read(file);
         if (root.has("day")) {
             DayFile.read(file);
@@ -154,36 +159,40 @@
             root.throwIfInvalid();
             return "a site";
         }
-        throw new ConfigException(List.of(file + ":1:1: has no day, controller, proxy or site"));
+        throw new ConfigException(
+                List.of(file + ":1:1: has no day, controller, proxy, experiment or site block"));
     }
 
-    @Command(name = "controller", description = "Runs a controller until it is stopped.")
+    @Command(name = "controller", description = "Runs a controller until the process is stopped.")
     int controller(@Option(names = "--config", required = true, paramLabel = "FILE") Path file,
-            @Option(names = "--seed", description = "seeds the decisions; drawn if left out") Long seed)
+            @Option(names = "--seed", paramLabel = "SEED",
+                    description = "seed for decisions; random by default") Long seed)
             throws ConfigException, IOException {
         ControllerConfig config = ControllerConfig.read(file);
-        Loop loop = Loop.onSockets(Commands::onFault);
-        // Two starts of one controller must never share an epoch: the clock and chance together see to it.
+        Loop loop = Loop.onSockets(Commands::logHandlerFailure);
+        // Two starts of a controller must never share an epoch, so it combines the clock and random bits.
         long epoch = System.currentTimeMillis() << 20 | new SplittableRandom().nextInt(1 << 20);
         Controller controller = new Controller(config, loop, seed == null ? epoch : seed, epoch,
                 System::currentTimeMillis);
-        runUntilStopped(loop, then -> {
+        runUntilStopped(loop, whenDone -> {
             controller.stop();
-            then.run();
+            whenDone.run();
         }, controller::closeFiles);
         return 0;
     }
 
-    @Command(name = "proxy", description = "Runs a file's proxies, on one loop, until they are stopped.")
+    @Command(name = "proxy",
+            description = "Runs the proxies of a file on one event loop until the process is stopped.")
     int proxy(@Option(names = "--config", required = true, paramLabel = "FILE") Path file,
-            @Option(names = "--seed", description = "seeds their choices; drawn if left out") Long seed,
+            @Option(names = "--seed", paramLabel = "SEED",
+                    description = "seed for the choice of backends; random by default") Long seed,
             @Option(names = "--tap", paramLabel = "FILE",
-                    description = "keeps what is read of the channel") Path
-                    taps) throws ConfigException, IOException {
+                    description = "records the messages that are read from the channel") Path
+                    tapFile) throws ConfigException, IOException {
         List<ProxyConfig> configs = ProxyConfig.read(file);
-        Loop loop = Loop.onSockets(Commands::onFault);
+        Loop loop = Loop.onSockets(Commands::logHandlerFailure);
         SplittableRandom random = seed == null ? new SplittableRandom() : new SplittableRandom(seed);
-        TapFile tap = taps == null ? null : new TapFile(taps);
+        TapFile tap = tapFile == null ? null : new TapFile(tapFile);
         List<Proxy> proxies = new ArrayList<>();
         for (ProxyConfig config : configs) {
             Proxy proxy = Proxy.start(config, loop, random.split(), tap == null ? Tap.NONE : tap);
@@ -191,68 +200,70 @@
             out().println("proxy " + config.number() + " listens on " + proxy.address());
         }
         out().flush();
-        runUntilStopped(loop, then -> {
+        runUntilStopped(loop, whenDone -> {
             int[] open = {proxies.size()};
             proxies.forEach(p -> p.stop(() -> {
                 if (--open[0] == 0) {
-                    then.run();
+                    whenDone.run();
                 }
             }));
         }, tap == null ? () -> { } : tap);
         return 0;
     }
 
-    private static void onFault(Throwable cause) {
+    private static void logHandlerFailure(Throwable cause) {
         org.slf4j.LoggerFactory.getLogger(Loop.class).error("a handler threw", cause);
     }
 
     /**
-     * Runs a loop on this thread. When the process is asked to end, what stops it says when it is done; its
-     * last words have a fifth of a second, then the loop ends and the last things are done.
+     * Runs an event loop on this thread until the process is asked to end. {@code stop} then starts the
+     * shutdown and calls its argument when it is done; 0.2 s later, which lets the last messages be sent, the
+     * loop stops and {@code files} is closed.
      */
-    private static void runUntilStopped(Loop loop, Consumer<Runnable> stop, Closeable last)
+    private static void runUntilStopped(Loop loop, Consumer<Runnable> stop, Closeable files)
             throws IOException {
         CountDownLatch ended = new CountDownLatch(1);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            loop.post(() -> stop.accept(() -> loop.after(200_000_000L, loop::stop)));
+            loop.post(() -> stop.accept(() -> loop.after(FLUSH_NS, loop::stop)));
             try {
-                ended.await(STOP_SECONDS, TimeUnit.SECONDS);
+                ended.await(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }));
         loop.run();
-        last.close();
-        endLog(); // the process ends as soon as its hooks have
+        files.close();
+        stopLogging(); // the process exits as soon as its shutdown hooks end
         ended.countDown();
     }
 
     @Command(name = "day",
-            description = "Plays a day on stand-ins and judges it by what crossed the sockets.")
+            description = "Plays a day on stand-ins and judges it by the traffic on the sockets.")
     int day(@Parameters(paramLabel = "FILE", arity = "0..1") Path file,
             @Option(names = "--from-bench", paramLabel = "DAY.json",
-                    description = "plays a day drawn by the bench")
-                    Path bench,
-            @Option(names = "--scale", defaultValue = "0.3",
-                    description = "part of that day's fleet and rate") double
-                    scale,
-            @Option(names = "--seed", description = "in place of the file's") Long seed,
+                    description = "plays a day generated by the bench")
+                    Path benchDay,
+            @Option(names = "--scale", defaultValue = "0.3", paramLabel = "FRACTION",
+                    description = "fraction of the bench day's fleet and rate, above 0 and up to 1;"
+                            + " default ${DEFAULT-VALUE}") double scale,
+            @Option(names = "--seed", paramLabel = "SEED", description = "replaces the seed of the file")
+                    Long seed,
             @Option(names = "--report", paramLabel = "DIR",
-                    description = "keeps tables, JSON lines, charts") Path
-                    report,
-            @Option(names = "--simulated", description = "in memory and in simulated time") boolean simulated)
+                    description = "directory for tables, JSON lines and charts") Path report,
+            @Option(names = "--simulated", description = "runs in memory and in simulated time")
+                    boolean simulated)
             throws ConfigException, IOException, InterruptedException {
-        // Controllers' own lines go to files; what proxies here would log drowns the report.
-        if (System.getProperty(LOG_LEVEL) == null) {
-            System.setProperty(LOG_LEVEL, "OFF");
+        // Controllers log to files; log lines of the proxies in this process would clutter the report.
+        if (System.getProperty(LOG_LEVEL_PROPERTY) == null) {
+            System.setProperty(LOG_LEVEL_PROPERTY, "OFF");
         }
-        if ((file == null) == (bench == null) || !(scale > 0 && scale <= 1)) {
+        if ((file == null) == (benchDay == null) || !(scale > 0 && scale <= 1)) {
             throw new CommandLine.ParameterException(spec.commandLine(),
                     "day takes a FILE or --from-bench DAY.json, and --scale above 0 and up to 1");
         }
         Path directory = report == null ? Files.createTempDirectory("rowanmoor-day") : report;
         Files.createDirectories(directory);
-        Path dayFile = file == null ? convert(bench, scale, directory) : file;
+        Path dayFile = file == null ? writeBenchDay(benchDay, scale, directory) : file;
         DayFile day = DayFile.read(dayFile);
         DayFile seeded = seed == null ? day : day.seed(seed);
         Played played = simulated ? Player.simulate(seeded) : Player.play(seeded, dayFile, directory);
@@ -266,11 +277,13 @@
     }
 
     @Command(name = "soak",
-            description = "Stops, kills and starts real proxy processes under load, as seeds draw it.")
-    int soak(@Option(names = "--seeds", defaultValue = "1..4", paramLabel = "A..B") String seeds,
-            @Option(names = "--lanes", defaultValue = "2", description = "seeds at a time") int lanes,
+            description = "Stops, kills and restarts proxy processes under load, as drawn from seeds.")
+    int soak(@Option(names = "--seeds", defaultValue = "1..4", paramLabel = "A..B",
+                    description = "range of seeds; default ${DEFAULT-VALUE}") String seeds,
+            @Option(names = "--lanes", defaultValue = "2", paramLabel = "N",
+                    description = "seeds run in parallel; default ${DEFAULT-VALUE}") int lanes,
             @Option(names = "--report", paramLabel = "DIR",
-                    description = "keeps settings and logs") Path report)
+                    description = "directory for settings and logs") Path report)
             throws IOException, InterruptedException {
         if (!seeds.matches("\\d{1,9}\\.\\.\\d{1,9}") || lanes < 1) {
             throw new CommandLine.ParameterException(spec.commandLine(),
@@ -287,28 +300,29 @@
     }
 
     @Command(name = "experiment",
-            description = "Plays a grid of fleets, mixes, rates and seeds, or searches it.")
+            description = "Plays all combinations of fleets, mixes, rates and seeds, or searches for a rate.")
     int experiment(@Parameters(paramLabel = "FILE") Path file,
-            @Option(names = "--store", defaultValue = "results.mv",
-                    description = "keeps results for reruns") Path
-                    store,
+            @Option(names = "--store", defaultValue = "results.mv", paramLabel = "FILE",
+                    description = "file that keeps results for later runs; default ${DEFAULT-VALUE}")
+                    Path store,
             @Option(names = "--report", paramLabel = "DIR",
-                    description = "writes CSV and a chart") Path report,
+                    description = "directory for CSV and a chart") Path report,
             @Option(names = "--live",
-                    description = "on stand-ins, proxies and controllers that run here") boolean live)
+                    description = "runs stand-ins, proxies and controllers instead of the emulator")
+                    boolean live)
             throws ConfigException, IOException {
         PrintWriter err = spec.commandLine().getErr();
         Consumer<String> progress = line -> {
             err.print("\r" + line);
             err.flush();
         };
-        Experiment asked = Experiment.read(file);
-        if (live && System.getProperty(LOG_LEVEL) == null) {
-            System.setProperty(LOG_LEVEL, "OFF");
+        Experiment experiment = Experiment.read(file);
+        if (live && System.getProperty(LOG_LEVEL_PROPERTY) == null) {
+            System.setProperty(LOG_LEVEL_PROPERTY, "OFF");
         }
-        Experiment.Grid grid = live ? asked.runLive(store, Files.createTempDirectory("rowanmoor-live"),
-                progress)
-                : asked.run(store, progress);
+        Experiment.Grid grid = live
+                ? experiment.runLive(store, Files.createTempDirectory("rowanmoor-live"), progress)
+                : experiment.run(store, progress);
         err.println();
         out().print(Experiment.table(grid));
         out().flush();
@@ -319,36 +333,38 @@
         return 0;
     }
 
-    @Command(name = "emulate", description = "Plays a day file in the emulator and tells what clients met.")
+    @Command(name = "emulate",
+            description = "Plays a day file in the emulator and prints the outcome for clients.")
     int emulate(@Parameters(paramLabel = "FILE") Path file,
-            @Option(names = "--seed", defaultValue = "1") long seed) throws ConfigException {
+            @Option(names = "--seed", defaultValue = "1", paramLabel = "SEED",
+                    description = "default ${DEFAULT-VALUE}") long seed) throws ConfigException {
         Models.Modelled modelled = Models.of(DayFile.read(file), seed);
         modelled.leftOut().forEach(l -> out().println("left out: " + l));
-        long before = System.nanoTime();
+        long start = System.nanoTime();
         Outcome outcome = Emulator.play(modelled.model(), seed);
-        double seconds = (System.nanoTime() - before) / 1e9;
-        double simulated = (modelled.model().settle() + modelled.model().length()) / 1e9;
+        double seconds = (System.nanoTime() - start) / 1e9;
+        double simulatedSeconds = (modelled.model().settle() + modelled.model().length()) / 1e9;
         for (int c = 0; c < outcome.classes().size(); c++) {
             Outcome.ClassMet met = outcome.classes().get(c);
             out().printf("%-16s offered %d, good %d, late %d, failed %d; by level %d, no line %d;"
                     + " p50 %.1f ms, p99 %.1f ms%n", modelled.model().site().classNames().get(c),
-                            met.offered, met.good,
-                    met.late, met.failed, met.byLevel, met.noLine,
+                    met.offered, met.good, met.late, met.failed, met.byLevel, met.noLine,
                     met.latency.getValueAtPercentile(50) / 1000.0,
-                            met.latency.getValueAtPercentile(99) / 1000.0);
+                    met.latency.getValueAtPercentile(99) / 1000.0);
         }
         out().printf("service by worth %.3f, worst 10 s %.3f; most lines waiting %.0f;"
                 + " held time off by %.1e%n",
                 outcome.service(), outcome.worst(10), outcome.controllers().stream().mapToDouble(m ->
                         m.mostLines).max().orElse(0), outcome.littleOff());
-        out().printf("%d events, %.1f times as fast as the day%n", outcome.events(), simulated / seconds);
+        out().printf("%d events, %.1f times as fast as the day%n", outcome.events(),
+                simulatedSeconds / seconds);
         out().flush();
         return 0;
     }
 
-    /** Writes the bench's day as a day file, and says what of it cannot be played. */
-    private Path convert(Path bench, double scale, Path directory) throws IOException {
-        BenchDay.Converted converted = BenchDay.convert(bench, scale);
+    /** Converts a bench day to a day file and prints what of it cannot be played. */
+    private Path writeBenchDay(Path benchDay, double scale, Path directory) throws IOException {
+        BenchDay.Converted converted = BenchDay.convert(benchDay, scale);
         Path file = directory.resolve("from-bench.kdl");
         Files.writeString(file, converted.text());
         out().println("day file: " + file);
@@ -358,30 +374,36 @@
     }
 
     @Command(name = "fuzz",
-            description = "Feeds a parser mutants of sound inputs, until it fails or time is up.")
+            description = "Feeds mutants of valid inputs to a parser until it fails or the time is up.")
     int fuzz(@Parameters(paramLabel = "PARSER", description = "${COMPLETION-CANDIDATES}") Fuzz.Target target,
-            @Option(names = "--seconds", defaultValue = "10") int seconds,
-            @Option(names = "--seed", defaultValue = "1") long seed) {
+            @Option(names = "--seconds", defaultValue = "10", paramLabel = "SECONDS",
+                    description = "length of the run; default ${DEFAULT-VALUE}") int seconds,
+            @Option(names = "--seed", defaultValue = "1", paramLabel = "SEED",
+                    description = "default ${DEFAULT-VALUE}") long seed) {
         long end = System.nanoTime() + seconds * 1_000_000_000L;
         Fuzz.Found found = new Fuzz(target, seed).run(Long.MAX_VALUE, () -> System.nanoTime() < end);
         out().printf("%s, seed %d: %d inputs, %d refused, at most %d bytes allocated for one%n", target, seed,
                 found.inputs(), found.refused(), found.mostAllocated());
-        found.refusals().forEach((why, times) -> out().printf("%10d  %s%n", times, why));
+        found.refusals().forEach((reason, count) -> out().printf("%10d  %s%n", count, reason));
         out().println(found.failure() == null ? "nothing found" : "FAILED: " + found.failure());
         out().flush();
         return found.failure() == null ? 0 : 1;
     }
 
     @Command(name = "proxy-load",
-            description = "Measures what a proxy adds, on loopback sockets, beside going straight.")
-    int proxyLoad(@Option(names = "--lines", defaultValue = "16", split = ",") List<Integer> lines,
-            @Option(names = "--rates", defaultValue = "1000,4000", split = ",") List<Double> rates,
-            @Option(names = "--seconds", defaultValue = "5") double seconds,
-            @Option(names = "--over-only", description = "nothing goes straight") boolean overOnly)
-            throws IOException, ConfigException, InterruptedException {
+            description = "Measures the latency that a proxy adds to requests on loopback sockets.")
+    int proxyLoad(@Option(names = "--lines", defaultValue = "16", split = ",", paramLabel = "N",
+                    description = "lines in the proxy's table; default ${DEFAULT-VALUE}")
+                    List<Integer> lines,
+            @Option(names = "--rates", defaultValue = "1000,4000", split = ",", paramLabel = "RATE",
+                    description = "requests per second; default ${DEFAULT-VALUE}") List<Double> rates,
+            @Option(names = "--seconds", defaultValue = "5", paramLabel = "SECONDS",
+                    description = "length of each step; default ${DEFAULT-VALUE}") double seconds,
+            @Option(names = "--over-only", description = "sends requests through the proxy only")
+                    boolean overOnly) throws IOException, ConfigException, InterruptedException {
         for (int count : lines) {
             ProxyLoad load = new ProxyLoad(count, !overOnly);
-            load.step(2000, WARM_SECONDS); // compiles, and is not counted
+            load.step(WARM_UP_REQUESTS_PER_SECOND, WARM_UP_SECONDS); // lets the JIT compile; not reported
             for (double rate : rates) {
                 out().println(load.step(rate, seconds));
                 out().flush();
@@ -394,7 +416,7 @@
     }
 
     @Command(name = "replay",
-            description = "Feeds a controller's trace to a new instance and compares orders.")
+            description = "Feeds a controller's trace to a new instance and compares the actions.")
     int replay(@Parameters(paramLabel = "TRACE") Path trace) throws IOException {
         Trace.ReplayResult replay = Trace.replay(trace);
         out().println(replay.ticks() + " ticks, " + replay.events() + " events, " + replay.actions()
--- a/src/main/java/rowanmoor/cli/Main.java
+++ b/src/main/java/rowanmoor/cli/Main.java
@@ -10,16 +10,16 @@
 import rowanmoor.platform.PlatformServer;
 
 /**
- * Where the program starts. The bench's adapter and the platform's controller are started here, without
- * picocli and Logback, whose start they need not wait for; all else is picocli's, in {@link Commands}.
+ * Entry point of the program. {@code benchlink}, {@code serve} and {@code rehearse} are started here, without
+ * loading picocli and Logback, which would delay their start; {@link Commands} handles everything else.
  */
 public final class Main {
 
     private Main() { }
 
     public static void main(String[] args) {
-        String only = args.length == 1 ? args[0] : "";
-        System.exit(switch (only) {
+        String onlyArgument = args.length == 1 ? args[0] : "";
+        System.exit(switch (onlyArgument) {
             case "benchlink" -> benchlink(System.in, System.out, System.err);
             case "serve" -> PlatformServer.run(System.getenv(), System.err);
             case "rehearse" -> PlatformServer.rehearse(System.err);
@@ -27,10 +27,11 @@
         });
     }
 
-    /** Decides on the bench's wire until the input ends; answers the exit code. */
+    /** Serves the bench's protocol until the end of the input; returns the exit code. */
     static int benchlink(InputStream in, OutputStream out, PrintStream err) {
         try {
-            new BenchServer().serve(new BufferedInputStream(in, 1 << 16), new BufferedOutputStream(out, 1 << 16));
+            new BenchServer().serve(new BufferedInputStream(in, 1 << 16),
+                    new BufferedOutputStream(out, 1 << 16));
             return 0;
         } catch (IOException | IllegalArgumentException e) {
             err.println("rowanmoor: " + e.getMessage());
--- a/src/main/java/rowanmoor/cli/PlanCommand.java
+++ b/src/main/java/rowanmoor/cli/PlanCommand.java
@@ -31,231 +31,243 @@
 import rowanmoor.plan.Runs;
 import rowanmoor.plan.Trial;
 
-/** {@code rowanmoor plan}: asks the planner about a fleet, in the emulator. */
+/** {@code rowanmoor plan}: capacity planning for a fleet by runs of the emulator. */
 @Command(name = "plan",
-        description = "Tells what breaks first, how many backends hold the load, what a loss does.",
+        description = "Finds what breaks first, how many backends the load needs, and the effect of losses.",
         mixinStandardHelpOptions = true)
 final class PlanCommand implements Callable<Integer> {
 
-    private static final long SECOND = 1_000_000_000L;
+    private static final long NS_PER_SECOND = 1_000_000_000L;
 
     @Spec
     private CommandSpec spec;
 
     @Parameters(paramLabel = "FLEET", arity = "1..*",
-            description = "day files; their troubles are not played."
-            + " More than one only with --verify")
-    private List<Path> fleets;
+            description = "day files; their troubles are ignored; more than one only with --verify")
+    private List<Path> dayFiles;
 
-    @Option(names = "--verify", description = "forecasts, then raises load in steps on stand-ins, proxies and"
-            + " controllers that run here, and says how far off the forecasts were")
+    @Option(names = "--verify", description = "forecasts, then raises the load in steps on stand-ins, proxies"
+            + " and controllers on this machine, and prints the errors of the forecasts")
     private boolean verify;
 
-    @Option(names = "--drawn", paramLabel = "SEED", description = "--verify: two fleets drawn by a seed, too")
-    private Long drawn;
+    @Option(names = "--drawn", paramLabel = "SEED",
+            description = "--verify: adds two fleets drawn from a seed")
+    private Long drawnFleetsSeed;
 
-    @Option(names = "--simulated", description = "--verify: in memory and simulated time instead of sockets")
+    @Option(names = "--simulated", description = "--verify: runs in memory and in simulated time")
     private boolean simulated;
 
-    @Option(names = "--abreast", defaultValue = "2", description = "--verify: fleets played at a time")
-    private int abreast;
+    @Option(names = "--abreast", defaultValue = "2", paramLabel = "N",
+            description = "--verify: fleets played in parallel; default ${DEFAULT-VALUE}")
+    private int parallelFleets;
 
-    @Option(names = "--report", paramLabel = "DIR", description = "writes the report there")
-    private Path report;
+    @Option(names = "--report", paramLabel = "DIR", description = "directory for the report")
+    private Path reportDirectory;
 
     @Option(names = "--load", paramLabel = "CAPTURE",
-            description = "estimates rate, mix, proxies, work and repeats from captured load")
-    private Path load;
+            description = "estimates rate, mix, proxies, work and retries from captured load")
+    private Path captureFile;
 
-    @Option(names = "--rate", description = "requests a second, in place of the file's")
-    private Double rate;
+    @Option(names = "--rate", paramLabel = "RATE", description = "requests per second; replaces the file's")
+    private Double requestsPerSecond;
 
-    @Option(names = "--service", defaultValue = "0.95",
-            description = "least part of the worth answered in time")
-    private double service;
+    @Option(names = "--service", defaultValue = "0.95", paramLabel = "FRACTION",
+            description = "minimum fraction of the worth answered in time; default ${DEFAULT-VALUE}")
+    private double minService;
 
-    @Option(names = "--worst", defaultValue = "0", description = "the same over the worst ten seconds")
-    private double worst;
+    @Option(names = "--worst", defaultValue = "0", paramLabel = "FRACTION",
+            description = "the same for the worst ten seconds; default ${DEFAULT-VALUE}")
+    private double minWorstService;
 
-    @Option(names = "--seeds", defaultValue = "3")
+    @Option(names = "--seeds", defaultValue = "3", paramLabel = "N",
+            description = "number of seeds per measurement; default ${DEFAULT-VALUE}")
     private int seeds;
 
-    @Option(names = "--seconds", defaultValue = "30", description = "length of a run")
+    @Option(names = "--seconds", defaultValue = "30", paramLabel = "SECONDS",
+            description = "length of a run; default ${DEFAULT-VALUE}")
     private int seconds;
 
-    @Option(names = "--zones-lost", description = "how many backends: with each zone lost in turn, too")
-    private boolean zonesLost;
+    @Option(names = "--zones-lost", description = "sizes the fleet for the loss of each zone in turn")
+    private boolean withZoneLoss;
 
-    @Option(names = "--sensitivity", description = "how the breaking rate moves with one input at a time")
+    @Option(names = "--sensitivity",
+            description = "varies one input at a time to see its effect on the breaking rate")
     private boolean sensitivity;
 
     @Override
     public Integer call() throws ConfigException, IOException, InterruptedException {
         if (verify) {
-            return verified();
+            return verifyForecasts();
         }
-        if (fleets.size() > 1) {
+        if (dayFiles.size() > 1) {
             throw new CommandLine.ParameterException(spec.commandLine(),
-                    "one FLEET is planned for at a time");
+                    "plan takes one FLEET, or several with --verify");
         }
-        return planned();
+        return plan();
     }
 
-    private int planned() throws ConfigException, IOException {
-        Path fleet = fleets.get(0);
+    private int plan() throws ConfigException, IOException {
+        Path fleet = dayFiles.get(0);
         DayFile day = DayFile.read(fleet);
-        Model model = Models.of(day, 1).model().troubles(List.of()).length(seconds * SECOND);
+        Model model = Models.of(day, 1).model().troubles(List.of()).length(seconds * NS_PER_SECOND);
         Runs runs = (m, which) -> which.parallelStream().map(s -> Emulator.play(m, s)).toList();
-        say("goal: service %.3f%s", service, worst > 0 ? String.format(Locale.ROOT, ", worst 10 s %.3f",
-                worst) : "");
+        printLine("goal: service %.3f%s", minService, minWorstService > 0
+                ? String.format(Locale.ROOT, ", worst 10 s %.3f", minWorstService) : "");
         List<Estimator.Estimate> estimates = new ArrayList<>();
         List<String> notes = new ArrayList<>();
-        if (load != null) {
-            Capture capture = Capture.read(load);
+        if (captureFile != null) {
+            Capture capture = Capture.read(captureFile);
             capture.problems().forEach(p -> notes.add("capture: " + p));
-            Estimator.Estimated found = new Estimator(model, runs, 1).from(capture.records());
-            model = found.model();
-            estimates.addAll(found.estimates());
-            notes.addAll(found.notes());
+            Estimator.Estimated estimated = new Estimator(model, runs, 1).from(capture.records());
+            model = estimated.model();
+            estimates.addAll(estimated.estimates());
+            notes.addAll(estimated.notes());
         }
-        if (rate != null) {
-            model = model.rate(rate);
+        if (requestsPerSecond != null) {
+            model = model.rate(requestsPerSecond);
         }
-        List<String[]> given = given(model, fleet, estimates);
-        estimates.forEach(e -> say("%-34s %9.3f %-2s (%.3f to %.3f) from %s: %s", e.what(), e.value(),
-                e.unit(),
-                e.low(), e.high(), load, e.from()));
-        given.forEach(g -> say("%-34s %s, from %s", g[0], g[1], g[2]));
-        notes.forEach(n -> say("note: %s", n));
-        Planner planner = new Planner(new Goal(service, worst), runs, seeds);
-        Planner.Breaks breaks = breaks(planner, model);
+        List<String[]> given = givenInputs(model, fleet, estimates);
+        estimates.forEach(e -> printLine("%-34s %9.3f %-2s (%.3f to %.3f) from %s: %s", e.what(), e.value(),
+                e.unit(), e.low(), e.high(), captureFile, e.from()));
+        given.forEach(g -> printLine("%-34s %s, from %s", g[0], g[1], g[2]));
+        notes.forEach(n -> printLine("note: %s", n));
+        Planner planner = new Planner(new Goal(minService, minWorstService), runs, seeds);
+        Planner.Breaks breaks = printBreakingRate(planner, model);
         boolean broken = breaks.rate().count() > 0 && breaks.rate().mean() > 0;
-        List<Planner.Sensitivity> moves = (sensitivity || report != null) && broken
+        List<Planner.Sensitivity> moves = (sensitivity || reportDirectory != null) && broken
                 ? planner.sensitivity(model, breaks.rate().mean()) : List.of();
-        moves.forEach(s -> say("  the breaking rate moves by %+.0f%% with %s", 100 * s.change(), s.input()));
-        Planner.Enough enough = howMany(planner, model);
-        List<Planner.Loss> losses = planner.losses(model.length(50 * SECOND), 10 * SECOND, 15 * SECOND);
+        moves.forEach(s -> printLine("  the breaking rate moves by %+.0f%% with %s", 100 * s.change(),
+                s.input()));
+        Planner.Enough enough = printBackendCount(planner, model);
+        List<Planner.Loss> losses = planner.losses(model.length(50 * NS_PER_SECOND), 10 * NS_PER_SECOND,
+                15 * NS_PER_SECOND);
         for (Planner.Loss l : losses) {
-            say("loss of %-32s before %.3f, during %.3f, worst 10 s %.3f, back after %s%s;"
+            printLine("loss of %-32s before %.3f, during %.3f, worst 10 s %.3f, back after %s%s;"
                     + " queue at %.0f%% of limit",
-                    l.what(), l.before(), l.during(), l.worst(), l.recovery() < 0 ? "never"
-                            : Math.round(l.recovery()) + " s", l.jammed() ? ", STAYS JAMMED" : "",
+                    l.what(), l.before(), l.during(), l.worst(),
+                    l.recovery() < 0 ? "never" : Math.round(l.recovery()) + " s",
+                    l.jammed() ? ", STAYS JAMMED" : "",
                     100 * l.queueOfLimit());
         }
-        if (report != null) {
+        if (reportDirectory != null) {
             System.setProperty("java.awt.headless", "true");
-            PlanReport.write(new PlanReport.Plan(day.name(), new Goal(service, worst), model.rate(),
-                    model.machines().size(), given, estimates, notes, breaks, broken
-                            ? planner.curve(model, breaks.rate().mean()) : List.of(), enough, zonesLost,
-                    losses, moves), report);
-            say("report: %s", report.resolve("plan.html"));
+            PlanReport.write(new PlanReport.Plan(day.name(), new Goal(minService, minWorstService),
+                    model.rate(), model.machines().size(), given, estimates, notes, breaks,
+                    broken ? planner.curve(model, breaks.rate().mean()) : List.of(), enough, withZoneLoss,
+                    losses, moves), reportDirectory);
+            printLine("report: %s", reportDirectory.resolve("plan.html"));
         }
         return 0;
     }
 
-    /** What was not estimated: figures of the file or of the command line. */
-    private List<String[]> given(Model model, Path fleet, List<Estimator.Estimate> estimates) {
+    /**
+     * Returns the inputs that were not estimated but taken from the file or the command line: name, value and
+     * source.
+     */
+    private List<String[]> givenInputs(Model model, Path fleet, List<Estimator.Estimate> estimates) {
         List<String[]> all = new ArrayList<>();
         String file = fleet.toString();
-        if (rate != null || estimates.isEmpty()) {
-            all.add(new String[] {"rate", text("%.1f/s", model.rate()), rate != null ? "--rate" : file});
+        if (requestsPerSecond != null || estimates.isEmpty()) {
+            all.add(new String[] {"rate", format("%.1f/s", model.rate()),
+                requestsPerSecond != null ? "--rate" : file});
         }
-        boolean worked = estimates.stream().anyMatch(e -> e.what().startsWith("work of"));
+        boolean workEstimated = estimates.stream().anyMatch(e -> e.what().startsWith("work of"));
         for (int c = 0; c < model.shares().length; c++) {
             String name = model.site().classNames().get(c);
-            if (!worked) {
-                all.add(new String[] {"work of " + name, text("%.1f ms, spread %.2f", 1000 * model.work()[c],
-                        model.cv()[c]), file});
+            if (!workEstimated) {
+                all.add(new String[] {"work of " + name, format("%.1f ms, spread %.2f",
+                        1000 * model.work()[c], model.cv()[c]), file});
             }
             if (estimates.isEmpty()) {
-                all.add(new String[] {"share of " + name, text("%.3f", model.shares()[c]), file});
+                all.add(new String[] {"share of " + name, format("%.3f", model.shares()[c]), file});
             }
-            var its = model.site().classes().get(c);
-            all.add(new String[] {name, text("worth %.1f, aim %d ms, deadline %d ms, %s", its.worth(),
-                    its.aim() / 1_000_000, its.deadline() / 1_000_000, its.idempotency()), file});
+            var spec = model.site().classes().get(c);
+            all.add(new String[] {name, format("worth %.1f, aim %d ms, deadline %d ms, %s", spec.worth(),
+                    spec.aim() / 1_000_000, spec.deadline() / 1_000_000, spec.idempotency()), file});
         }
         all.add(new String[] {"clients",
-                text("up to %d repeats after %d ms, a try up to %.2f of the deadline",
+                format("up to %d repeats after %d ms, a try up to %.2f of the deadline",
                 model.retries(), model.backoff() / 1_000_000, model.tryShare()), file});
         java.util.TreeMap<String, Integer> counts = new java.util.TreeMap<>();
         for (Model.Machine m : model.machines()) {
-            counts.merge(text("%s in %s: %d cores of speed %.2f, %d slots, room for %d more, %s connections",
+            counts.merge(format(
+                    "%s in %s: %d cores of speed %.2f, %d slots, room for %d more, %s connections",
                     model.site().kinds().get(m.kind()), model.site().zones().get(m.zone()), m.cores(),
                     m.speed(), m.slots(), m.queue(), m.connections() == 0 ? "any number of"
                             : Integer.toString(m.connections())), 1, Integer::sum);
         }
-        counts.forEach((what, n) -> all.add(new String[] {"backends", n + " " + what, file}));
-        all.add(new String[] {"channel", text("%.0f lines a second, at most %.0f waiting",
+        counts.forEach((machine, n) -> all.add(new String[] {"backends", n + " " + machine, file}));
+        all.add(new String[] {"channel", format("%.0f lines a second, at most %.0f waiting",
                 model.site().channel().linesPerSecond(), model.site().channel().maxBacklog()), file});
         return all;
     }
 
-    private static String text(String format, Object... arguments) {
+    private static String format(String format, Object... arguments) {
         return String.format(Locale.ROOT, format, arguments);
     }
 
-    private int verified() throws ConfigException, IOException, InterruptedException {
-        Path directory = report == null ? Files.createTempDirectory("rowanmoor-verify") : report;
+    private int verifyForecasts() throws ConfigException, IOException, InterruptedException {
+        Path directory = reportDirectory == null ? Files.createTempDirectory("rowanmoor-verify")
+                : reportDirectory;
         Files.createDirectories(directory);
-        List<Path> all = new ArrayList<>(fleets);
-        for (int n = 1; drawn != null && n <= 2; n++) {
+        List<Path> all = new ArrayList<>(dayFiles);
+        for (int n = 1; drawnFleetsSeed != null && n <= 2; n++) {
             Path file = directory.resolve("drawn-" + n + ".kdl");
-            Files.writeString(file, DrawnFleet.draw("drawn " + n, 2 * drawn + n));
+            Files.writeString(file, DrawnFleet.draw("drawn " + n, 2 * drawnFleetsSeed + n));
             all.add(file);
         }
-        if (System.getProperty(Commands.LOG_LEVEL) == null) {
-            System.setProperty(Commands.LOG_LEVEL, "OFF");
+        if (System.getProperty(Commands.LOG_LEVEL_PROPERTY) == null) {
+            System.setProperty(Commands.LOG_LEVEL_PROPERTY, "OFF");
         }
-        List<Trial> trials = new Verifier(new Goal(service, worst), simulated ? Verifier.Ways.SIMULATED
-                : Verifier.Ways.SOCKETS, seconds * SECOND, abreast, directory, line -> say("%s",
-                        line)).run(all);
+        List<Trial> trials = new Verifier(new Goal(minService, minWorstService),
+                simulated ? Verifier.Ways.SIMULATED : Verifier.Ways.SOCKETS, seconds * NS_PER_SECOND,
+                parallelFleets, directory, line -> printLine("%s", line)).run(all);
         String table = Verifier.table(trials);
         Files.writeString(directory.resolve("accuracy.txt"), table);
-        say("%n%s", table.stripTrailing());
-        say("forecasts.json (written first), verified.json and the runs are in %s", directory);
+        printLine("%n%s", table.stripTrailing());
+        printLine("forecasts.json (written first), verified.json and the runs are in %s", directory);
         return 0;
     }
 
-    private void say(String format, Object... arguments) {
+    private void printLine(String format, Object... arguments) {
         PrintWriter out = spec.commandLine().getOut();
         out.printf(Locale.ROOT, format + "%n", arguments);
         out.flush();
     }
 
-    private Planner.Breaks breaks(Planner planner, Model model) {
+    private Planner.Breaks printBreakingRate(Planner planner, Model model) {
         Planner.Breaks breaks = planner.whatBreaks(model);
         if (breaks.rate().count() == 0) {
-            say("what breaks first: %s", breaks.note());
+            printLine("what breaks first: %s", breaks.note());
             return breaks;
         }
-        say("breaks at %.0f requests a second (95%%: %.0f to %.0f over %d seeds; %d runs);"
+        printLine("breaks at %.0f requests a second (95%%: %.0f to %.0f over %d seeds; %d runs);"
                 + " the rate now is %.0f%s",
                 breaks.rate().mean(), breaks.rate().low(), breaks.rate().high(), breaks.rate().count(),
                 breaks.runs(), model.rate(), breaks.note().isEmpty() ? "" : "; " + breaks.note());
         for (int i = 0; i < Math.min(3, breaks.findings().size()); i++) {
             Finding f = breaks.findings().get(i);
-            say("  %d. %s, %s: %s (pressure %.2f)", i + 1, f.resource(), f.place(), f.evidence(),
+            printLine("  %d. %s, %s: %s (pressure %.2f)", i + 1, f.resource(), f.place(), f.evidence(),
                     f.pressure());
         }
         return breaks;
     }
 
-    private Planner.Enough howMany(Planner planner, Model model) {
+    private Planner.Enough printBackendCount(Planner planner, Model model) {
         List<Function<Model, List<Model.Trouble>>> lost = new ArrayList<>();
-        for (int z = 0; zonesLost && z < model.site().zones().size(); z++) {
+        for (int z = 0; withZoneLoss && z < model.site().zones().size(); z++) {
             int zone = z;
-            lost.add(m -> List.of(new Model.Trouble(Model.Kind.BACKENDS_DIE, 5 * SECOND, 15 * SECOND,
-                    Planner.zone(m, zone), 1)));
+            lost.add(m -> List.of(new Model.Trouble(Model.Kind.BACKENDS_DIE, 5 * NS_PER_SECOND,
+                    15 * NS_PER_SECOND, Planner.zone(m, zone), 1)));
         }
         Planner.Enough enough = planner.howMany(model, lost);
         if (enough.count() < 0 || !enough.note().isEmpty()) {
-            say("how many: %s (%d runs)", enough.note(), enough.runs());
+            printLine("how many: %s (%d runs)", enough.note(), enough.runs());
         } else {
-            say("how many: %d backends hold %.0f/s%s; service %.3f, on fresh seeds %.3f"
+            printLine("how many: %d backends hold %.0f/s%s; service %.3f, on fresh seeds %.3f"
                     + " (%d runs; there are %d now)",
-                    enough.count(), model.rate(), zonesLost ? " with each zone lost in turn" : "",
-                            enough.service(),
-                    enough.freshService(), enough.runs(), model.machines().size());
+                    enough.count(), model.rate(), withZoneLoss ? " with each zone lost in turn" : "",
+                    enough.service(), enough.freshService(), enough.runs(), model.machines().size());
         }
         return enough;
     }
--- a/src/main/java/rowanmoor/cli/QueuedAppender.java
+++ b/src/main/java/rowanmoor/cli/QueuedAppender.java
@@ -8,30 +8,33 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Hands log lines to a thread of its own and never waits: a loop that logs must not stand still because
- * nobody reads its standard error. What does not fit is dropped; the next line that does tells how many were.
+ * Log appender that writes on a separate thread and never blocks the caller: an event loop must not stall
+ * because standard error is not read. Lines that do not fit into the queue are dropped; the next line that
+ * fits is preceded by one with the number of dropped lines.
  */
 public final class QueuedAppender extends AsyncAppender {
 
-    private final AtomicLong dropped = new AtomicLong();
+    private static final int MAX_FLUSH_MS = 1000;
+
+    private final AtomicLong droppedLines = new AtomicLong();
 
     public QueuedAppender() {
         setNeverBlock(true);
         setDiscardingThreshold(0);
-        setMaxFlushTime(1000);
+        setMaxFlushTime(MAX_FLUSH_MS);
     }
 
     @Override
     protected void append(ILoggingEvent event) {
         if (getRemainingCapacity() < 2) {
-            dropped.incrementAndGet();
+            droppedLines.incrementAndGet();
             return;
         }
-        long lost = dropped.getAndSet(0);
-        if (lost > 0) {
+        long dropped = droppedLines.getAndSet(0);
+        if (dropped > 0) {
             super.append(new LoggingEvent(QueuedAppender.class.getName(), ((LoggerContext) getContext())
                     .getLogger(QueuedAppender.class), Level.WARN, "log lines dropped: {}", null,
-                    new Object[] {lost}));
+                    new Object[] {dropped}));
         }
         super.append(event);
     }
--- a/src/main/java/rowanmoor/cli/package-info.java
+++ b/src/main/java/rowanmoor/cli/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The command line. Thread rule: a command runs its loop on the main thread; {@code QueuedAppender} writes
- * log lines on a thread of its own.
+ * Command line. A command runs its event loop on the main thread; {@code QueuedAppender} writes log lines
+ * on a separate thread.
  */
 package rowanmoor.cli;
--- a/src/main/java/rowanmoor/config/CaptureConfig.java
+++ b/src/main/java/rowanmoor/config/CaptureConfig.java
@@ -3,21 +3,23 @@
 import java.nio.file.Path;
 
 /**
- * Where and how much load is captured: the {@code capture} block of a controller.
+ * Directory and limits of captured load: the {@code capture} block of a controller.
  *
- * @param maxSegmentBytes a segment is closed at this size
- * @param maxSegmentNs and after this time, ns
- * @param maxTotalBytes the oldest segments are deleted beyond this
- * @param queueCapacity records that may wait to be written
+ * @param maxSegmentBytes size at which a segment is closed
+ * @param maxSegmentNs age at which a segment is closed
+ * @param maxTotalBytes total size beyond which the oldest segments are deleted
+ * @param queueCapacity maximum number of records waiting to be written
  */
-public record CaptureConfig(Path directory, long maxSegmentBytes, long maxSegmentNs, long maxTotalBytes, int queueCapacity) {
+public record CaptureConfig(Path directory, long maxSegmentBytes, long maxSegmentNs, long maxTotalBytes,
+        int queueCapacity) {
 
-    static CaptureConfig read(Section c) {
-        CaptureConfig config = new CaptureConfig(Path.of(c.string("dir")),
-                c.integer("segment-bytes", 1024, 1 << 30, 16 << 20),
-                c.durationNs("segment-for", "1s", "24h", "10min"),
-                (long) c.number("total-bytes", 1024, 1e15, 1 << 30), c.integer("queue", 1, 1 << 20, 16384));
-        c.rejectUnknownKeys();
+    static CaptureConfig read(Section section) {
+        CaptureConfig config = new CaptureConfig(Path.of(section.string("dir")),
+                section.integer("segment-bytes", 1024, 1 << 30, 16 << 20),
+                section.durationNs("segment-for", "1s", "24h", "10min"),
+                (long) section.number("total-bytes", 1024, 1e15, 1 << 30),
+                section.integer("queue", 1, 1 << 20, 16384));
+        section.rejectUnknownKeys();
         return config;
     }
 }
--- a/src/main/java/rowanmoor/config/ConfigException.java
+++ b/src/main/java/rowanmoor/config/ConfigException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** All that is wrong with a file. */
+/** All problems found in a configuration file. */
 public final class ConfigException extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -13,7 +13,7 @@
         this.problems = List.copyOf(problems);
     }
 
-    /** One line each: {@code file:line:column: key: what}. */
+    /** Returns one line for each problem, in the form {@code file:line:column: key: problem}. */
     public List<String> problems() {
         return problems;
     }
--- a/src/main/java/rowanmoor/config/Site.java
+++ b/src/main/java/rowanmoor/config/Site.java
@@ -9,160 +9,183 @@
 import rowanmoor.ControlApi.AdmissionMode;
 import rowanmoor.ControlApi.Channel;
 import rowanmoor.ControlApi.ClassSpec;
-import rowanmoor.ControlApi.Idempotency;
 import rowanmoor.ControlApi.DedupScope;
+import rowanmoor.ControlApi.Idempotency;
 import rowanmoor.ControlApi.ReportColumns;
 import rowanmoor.ControlApi.RetryPolicy;
 import rowanmoor.ControlApi.Rules;
 import rowanmoor.ControlApi.Settings;
 
 /**
- * What all controllers and proxies of a site agree on: the {@code site} block.
+ * Configuration that all controllers and proxies of a site share: the {@code site} block.
  *
- * @param pathPrefixes by class: the path prefix of its requests
+ * @param zones names of the zones, in order of their indices
+ * @param kinds names of the kinds of backends, in order of their indices
+ * @param classNames names of the request classes, in order of their indices
+ * @param pathPrefixes path prefix of the requests of each class
  * @param loadColumns names of the load figures, in the order in which reports carry them
+ * @param backendChoice how proxies pick a backend
+ * @param retryPolicy retry policy of proxies for which no level sets one
+ * @param tryTimeoutAims timeout of a try that another may follow, as a multiple of the class's aim
+ * @param standingBackends number of backends in the table that a proxy uses before any controller sends one
+ * @param ejectAfterFailures failures in a row after which a proxy avoids a backend; 0 for never
+ * @param ejectNs how long a proxy then avoids the backend
+ * @param proxies expected number of proxies in the site
+ * @param probesAllowed whether controllers may probe backends
+ * @param reportIntervalNs time between reports of a proxy
+ * @param reportLinesPerSecond report lines that a controller receives per second
+ * @param crossZonePrice cost of sending a request to another zone
  */
 public record Site(List<String> zones, List<String> kinds, List<String> classNames, List<String> pathPrefixes,
-        List<ClassSpec> classes, List<String> loadColumns, BackendChoice backendChoice, AdmissionMode admission, RetryPolicy retryPolicy,
-        double tryTimeoutAims, int standingBackends, int ejectAfterFailures, long ejectNs, int proxies, boolean probesAllowed, long reportIntervalNs,
+        List<ClassSpec> classes, List<String> loadColumns, BackendChoice backendChoice,
+        AdmissionMode admission, RetryPolicy retryPolicy, double tryTimeoutAims, int standingBackends,
+        int ejectAfterFailures, long ejectNs, int proxies, boolean probesAllowed, long reportIntervalNs,
         double reportLinesPerSecond, double crossZonePrice, Rules rules, Channel channel) {
 
     /** How a proxy picks a line of its table. */
     public enum BackendChoice {
-        /** At random by weight. */
+        /** At random, by weight. */
         WEIGHTED_RANDOM,
-        /** Draws two by weight and takes the one with fewer of its own requests out. */
+        /** Draws two by weight and takes the one with fewer requests in flight from this proxy. */
         POWER_OF_TWO,
-        /** Evenly by weight, in turn. */
+        /** Evenly in turn, by weight. */
         ROUND_ROBIN
     }
 
-    private static final Set<String> COLUMNS = Set.of("inflight", "queue", "busy", "latency-ms", "rate",
+    private static final Set<String> LOAD_COLUMNS = Set.of("inflight", "queue", "busy", "latency-ms", "rate",
             "fail-rate");
-    private static final int CLASSES_MOST = 16;
-    private static final int ZONES_MOST = 64;
-    private static final int PROXIES_MOST = 65534;
+    private static final int MAX_CLASSES = 16;
+    private static final int MAX_NAMES = 64;
+    private static final int MAX_PROXIES = 65534;
 
-    /** The block of a file, or with {@code site-from "FILE"} that of another, beside it. */
+    /**
+     * Returns the {@code site} block of a document, or of the file that {@code site-from "FILE"} names,
+     * relative to the document's file.
+     */
     public static Site of(Section root) throws ConfigException {
         if (!root.has("site-from")) {
             return read(root.section("site"));
         }
-        Path other = Path.of(root.fileName()).resolveSibling(root.string("site-from"));
-        Section its = Section.read(other);
-        Site site = read(its.section("site"));
-        its.throwIfInvalid();
+        Path siteFile = Path.of(root.fileName()).resolveSibling(root.string("site-from"));
+        Section siteRoot = Section.read(siteFile);
+        Site site = read(siteRoot.section("site"));
+        siteRoot.throwIfInvalid();
         return site;
     }
 
-    /** Reads the block. */
-    static Site read(Section s) {
-        List<String> zones = s.strings("zones", true);
-        List<String> kinds = s.strings("kinds", true);
-        unique(s, "zones", zones);
-        unique(s, "kinds", kinds);
+    static Site read(Section section) {
+        List<String> zones = section.strings("zones", true);
+        List<String> kinds = section.strings("kinds", true);
+        checkNames(section, "zones", zones);
+        checkNames(section, "kinds", kinds);
         List<String> names = new ArrayList<>();
         List<String> prefixes = new ArrayList<>();
         List<ClassSpec> classes = new ArrayList<>();
-        for (Section c : s.sections("class")) {
-            names.add(c.label());
-            prefixes.add(c.string("prefix"));
-            classes.add(classSpec(c, zones, kinds));
+        for (Section block : section.sections("class")) {
+            names.add(block.label());
+            prefixes.add(block.string("prefix"));
+            classes.add(readClass(block, zones, kinds));
         }
-        if (classes.isEmpty() || classes.size() > CLASSES_MOST) {
-            s.addProblem("class", "1 to " + CLASSES_MOST + " are needed, not " + classes.size());
+        if (classes.isEmpty() || classes.size() > MAX_CLASSES) {
+            section.addProblem("class", "needs 1 to " + MAX_CLASSES + " blocks, not " + classes.size());
         }
-        unique(s, "class", names);
-        unique(s, "class", prefixes);
-        List<String> columns = s.strings("load-report", false);
-        columns.stream().filter(c -> !COLUMNS.contains(c)).forEach(c -> s.addProblem("load-report",
-                "an unknown figure: " + c + "; there are " + String.join(", ", new TreeSet<>(COLUMNS))));
+        checkNames(section, "class", names);
+        checkNames(section, "class", prefixes);
+        List<String> columns = section.strings("load-report", false);
+        columns.stream().filter(c -> !LOAD_COLUMNS.contains(c)).forEach(c -> section.addProblem("load-report",
+                "unknown figure: " + c + "; known figures: "
+                + String.join(", ", new TreeSet<>(LOAD_COLUMNS))));
         Site site = new Site(zones, kinds, names, prefixes, classes, columns,
-                s.oneOf("choice", Map.of("weighted", BackendChoice.WEIGHTED_RANDOM, "two", BackendChoice.POWER_OF_TWO, "round",
-                        BackendChoice.ROUND_ROBIN),
+                section.oneOf("choice", Map.of("weighted", BackendChoice.WEIGHTED_RANDOM, "two",
+                        BackendChoice.POWER_OF_TWO, "round", BackendChoice.ROUND_ROBIN),
                         BackendChoice.POWER_OF_TWO),
-                s.oneOf("admission", Map.of("share", AdmissionMode.SHARE, "rate", AdmissionMode.RATE, "off",
-                        AdmissionMode.OFF), AdmissionMode.RATE),
-                s.oneOf("retry", Map.of("never", RetryPolicy.NEVER, "once-unrun", RetryPolicy.ONCE_UNRUN, "once",
-                        RetryPolicy.ONCE, "twice", RetryPolicy.TWICE), RetryPolicy.ONCE_UNRUN),
-                s.number("try-aims", 0.1, 10, 1.2), s.integer("standing", 1, 64, 5),
-                s.integer("ejects", 0, 100, 5), s.durationNs("eject-for", "0s", "60s", "4s"),
-                s.integer("proxies", 1, PROXIES_MOST), s.bool("probes", true),
-                s.durationNs("period", "100ms", "60s", "1s"), s.ratePerSecond("intake", 1, 1e6),
-                s.number("cross-zone-price", 0, 1, 0.05), rules(s.section("rules")),
-                        channel(s.section("channel")));
-        s.rejectUnknownKeys();
+                section.oneOf("admission", Map.of("share", AdmissionMode.SHARE, "rate",
+                        AdmissionMode.RATE, "off", AdmissionMode.OFF), AdmissionMode.RATE),
+                section.oneOf("retry", Map.of("never", RetryPolicy.NEVER, "once-unrun",
+                        RetryPolicy.ONCE_UNRUN, "once", RetryPolicy.ONCE, "twice", RetryPolicy.TWICE),
+                        RetryPolicy.ONCE_UNRUN),
+                section.number("try-aims", 0.1, 10, 1.2), section.integer("standing", 1, 64, 5),
+                section.integer("ejects", 0, 100, 5), section.durationNs("eject-for", "0s", "60s", "4s"),
+                section.integer("proxies", 1, MAX_PROXIES), section.bool("probes", true),
+                section.durationNs("period", "100ms", "60s", "1s"), section.ratePerSecond("intake", 1, 1e6),
+                section.number("cross-zone-price", 0, 1, 0.05), readRules(section.section("rules")),
+                readChannel(section.section("channel")));
+        section.rejectUnknownKeys();
         return site;
     }
 
-    private static void unique(Section s, String key, List<String> names) {
+    private static void checkNames(Section section, String key, List<String> names) {
         if (names.stream().distinct().count() < names.size()) {
-            s.addProblem(key, "a name stands twice: " + String.join(", ", names));
+            section.addProblem(key, "duplicate name: " + String.join(", ", names));
         }
-        if (names.size() > ZONES_MOST) {
-            s.addProblem(key, "more than " + ZONES_MOST);
+        if (names.size() > MAX_NAMES) {
+            section.addProblem(key, "has more than " + MAX_NAMES + " names");
         }
     }
 
-    private static ClassSpec classSpec(Section c, List<String> zones, List<String> kinds) {
-        long aim = c.durationNs("aim", "1ms", "1h");
-        long deadline = c.durationNs("deadline", "1ms", "1h");
+    private static ClassSpec readClass(Section section, List<String> zones, List<String> kinds) {
+        long aim = section.durationNs("aim", "1ms", "1h");
+        long deadline = section.durationNs("deadline", "1ms", "1h");
         if (deadline < aim) {
-            c.addProblem("deadline", "is before the aim");
+            section.addProblem("deadline", "is less than the aim");
         }
-        ClassSpec spec = new ClassSpec(aim, deadline, c.number("worth", 0, 1e6, 1),
-                c.number("late-worth", 0, 1, 0),
-                c.oneOf("effect", Map.of("safe", Idempotency.SAFE, "keyed", Idempotency.KEYED, "unsafe", Idempotency.UNSAFE),
-                        null),
-                c.oneOf("group", Map.of("all", DedupScope.ALL, "zone", DedupScope.ZONE, "cell", DedupScope.CELL), DedupScope.ALL),
-                c.durationNs("window", "0s", "1h", "5s"), c.bool("write", false), false,
-                places(c, "only-zones", zones), places(c, "only-kinds", kinds));
-        c.rejectUnknownKeys();
+        ClassSpec spec = new ClassSpec(aim, deadline, section.number("worth", 0, 1e6, 1),
+                section.number("late-worth", 0, 1, 0),
+                section.oneOf("effect", Map.of("safe", Idempotency.SAFE, "keyed", Idempotency.KEYED, "unsafe",
+                        Idempotency.UNSAFE), null),
+                section.oneOf("group", Map.of("all", DedupScope.ALL, "zone", DedupScope.ZONE, "cell",
+                        DedupScope.CELL), DedupScope.ALL),
+                section.durationNs("window", "0s", "1h", "5s"), section.bool("write", false), false,
+                readIndexes(section, "only-zones", zones), readIndexes(section, "only-kinds", kinds));
+        section.rejectUnknownKeys();
         return spec;
     }
 
-    private static Set<Integer> places(Section c, String key, List<String> names) {
-        Set<Integer> places = new TreeSet<>();
-        for (String name : c.strings(key, false)) {
+    private static Set<Integer> readIndexes(Section section, String key, List<String> names) {
+        Set<Integer> indexes = new TreeSet<>();
+        for (String name : section.strings(key, false)) {
             if (!names.contains(name)) {
-                c.addProblem(key, "is not known: " + name);
+                section.addProblem(key, "unknown name: " + name);
             }
-            places.add(names.indexOf(name));
+            indexes.add(names.indexOf(name));
         }
-        return places;
+        return indexes;
     }
 
-    private static Rules rules(Section r) {
-        Rules rules = new Rules(r.durationNs("bare", "100ms", "60s"), r.durationNs("drain-grace", "100ms", "60s"),
-                r.durationNs("cold", "0s", "10min"),
-                r.number("cold-from", 0.01, 1), r.number("fall-multiple", 1, 100),
-                r.durationNs("fall-span", "100ms", "60s"), r.durationNs("ask-within", "1s", "10min", "10s"));
-        r.rejectUnknownKeys();
+    private static Rules readRules(Section section) {
+        Rules rules = new Rules(section.durationNs("bare", "100ms", "60s"),
+                section.durationNs("drain-grace", "100ms", "60s"),
+                section.durationNs("cold", "0s", "10min"),
+                section.number("cold-from", 0.01, 1), section.number("fall-multiple", 1, 100),
+                section.durationNs("fall-span", "100ms", "60s"),
+                section.durationNs("ask-within", "1s", "10min", "10s"));
+        section.rejectUnknownKeys();
         return rules;
     }
 
-    private static Channel channel(Section c) {
-        Channel channel = new Channel(c.ratePerSecond("pace", 1, 1e7), c.number("head", 0, 1000, 4),
-                c.number("backlog", 1, 1e7), c.integer("messages-most", 0, 10000, 0),
-                c.durationNs("messages-over", "1s", "10min", "10s"), c.durationNs("late", "0s", "10s"),
-                c.durationNs("latest", "0s", "30s"));
-        c.rejectUnknownKeys();
+    private static Channel readChannel(Section section) {
+        Channel channel = new Channel(section.ratePerSecond("pace", 1, 1e7),
+                section.number("head", 0, 1000, 4), section.number("backlog", 1, 1e7),
+                section.integer("messages-most", 0, 10000, 0),
+                section.durationNs("messages-over", "1s", "10min", "10s"),
+                section.durationNs("late", "0s", "10s"), section.durationNs("latest", "0s", "30s"));
+        section.rejectUnknownKeys();
         return channel;
     }
 
-    /** What one instance of the module is told at its start. */
+    /** Returns the settings of an instance of the routing policy. */
     public Settings settings(int instances) {
-        return new Settings(instances, zones.size(), classes, true, probesAllowed, admission, ejectAfterFailures, proxies, 0,
-                reportIntervalNs, reportLinesPerSecond, crossZonePrice, new ReportColumns(loadColumns.indexOf("queue"),
-                        loadColumns.indexOf("busy")), rules, channel);
+        return new Settings(instances, zones.size(), classes, true, probesAllowed, admission,
+                ejectAfterFailures, proxies, 0, reportIntervalNs, reportLinesPerSecond, crossZonePrice,
+                new ReportColumns(loadColumns.indexOf("queue"), loadColumns.indexOf("busy")), rules, channel);
     }
 
-    /** The class of a request's path, or -1: the longest prefix decides. */
+    /** Returns the index of the class with the longest prefix of a request's path, or -1. */
     public int classIndex(String path) {
         int best = -1;
         for (int c = 0; c < pathPrefixes.size(); c++) {
-            boolean fits = path.startsWith(pathPrefixes.get(c));
-            if (fits && (best < 0 || pathPrefixes.get(c).length() > pathPrefixes.get(best).length())) {
+            boolean matches = path.startsWith(pathPrefixes.get(c));
+            if (matches && (best < 0 || pathPrefixes.get(c).length() > pathPrefixes.get(best).length())) {
                 best = c;
             }
         }
--- a/src/main/java/rowanmoor/config/package-info.java
+++ b/src/main/java/rowanmoor/config/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Settings. Job: map KDL documents to records, naming file, line and key of everything that is wrong, all
- * at once. Thread rule: reading is done before any loop runs; records do not change.
+ * Configuration files. Maps KDL documents to records and reports all problems at once, each with file, line
+ * and key. Files are read before any event loop starts; the records are immutable.
  */
 package rowanmoor.config;
--- a/src/main/java/rowanmoor/kdl/KdlParser.java
+++ b/src/main/java/rowanmoor/kdl/KdlParser.java
@@ -8,33 +8,37 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Reads a whole document. Nesting is bounded, so that hostile text cannot exhaust the stack. */
+/** Recursive-descent parser. Nesting is limited, so that malicious text cannot exhaust the stack. */
 public final class KdlParser {
 
-    private static final int DEPTH_MOST = 128;
-    private static final int EXPONENT_DIGITS = 4;
-    private static final int END = -1;
-    private static final Set<String> BARE_KEYWORDS = Set.of("true", "false", "null", "inf", "-inf", "nan");
-    private static final String NOT_IN_IDENTIFIERS = "\\/(){};[]\"#=";
+    private static final int MAX_DEPTH = 128;
+    private static final int MAX_EXPONENT_DIGITS = 4;
+    private static final int END_OF_TEXT = -1;
+    private static final Set<String> RESERVED_WORDS = Set.of("true", "false", "null", "inf", "-inf", "nan");
+    private static final String NON_IDENTIFIER_CHARS = "\\/(){};[]\"#=";
 
     private final int[] text;
-    private int at;
+    private int position;
     private int depth;
 
     private KdlParser(String source) {
         text = source.codePoints().toArray();
     }
 
-    /** The nodes of a document. */
+    /**
+     * Returns the top-level nodes of a document.
+     *
+     * @throws KdlException if the text is not a valid KDL 2.0 document
+     */
     public static List<Node> parse(String source) throws KdlException {
         KdlParser parser = new KdlParser(source);
         parser.checkCharacters();
         if (parser.peek() == 0xfeff) {
-            parser.at++;
+            parser.position++;
         }
-        List<Node> nodes = parser.nodes(false);
-        if (parser.peek() != END) {
-            throw parser.error("a closing brace without its opening one");
+        List<Node> nodes = parser.parseNodes(false);
+        if (parser.peek() != END_OF_TEXT) {
+            throw parser.error("a closing brace without an opening brace");
         }
         return nodes;
     }
@@ -46,38 +50,38 @@
     }
 
     private int peek(int ahead) {
-        return at + ahead < text.length ? text[at + ahead] : END;
+        return position + ahead < text.length ? text[position + ahead] : END_OF_TEXT;
     }
 
-    private boolean starts(String what) {
-        for (int i = 0; i < what.length(); i++) {
-            if (peek(i) != what.charAt(i)) {
+    private boolean lookingAt(String expected) {
+        for (int i = 0; i < expected.length(); i++) {
+            if (peek(i) != expected.charAt(i)) {
                 return false;
             }
         }
         return true;
     }
 
-    private KdlException error(String what) {
-        return error(at, what);
+    private KdlException error(String problem) {
+        return error(position, problem);
     }
 
-    private KdlException error(int place, String what) {
-        return new KdlException(line(place), column(place), what);
+    private KdlException error(int offset, String problem) {
+        return new KdlException(line(offset), column(offset), problem);
     }
 
-    private int line(int place) {
+    private int line(int offset) {
         int line = 1;
-        for (int i = 0; i < Math.min(place, text.length); i++) {
+        for (int i = 0; i < Math.min(offset, text.length); i++) {
             boolean crLf = text[i] == '\r' && i + 1 < text.length && text[i + 1] == '\n';
             line += isNewline(text[i]) && !crLf ? 1 : 0;
         }
         return line;
     }
 
-    private int column(int place) {
+    private int column(int offset) {
         int column = 1;
-        for (int i = Math.min(place, text.length) - 1; i >= 0 && !isNewline(text[i]); i--) {
+        for (int i = Math.min(offset, text.length) - 1; i >= 0 && !isNewline(text[i]); i--) {
             column++;
         }
         return column;
@@ -86,11 +90,11 @@
     private void checkCharacters() throws KdlException {
         for (int i = 0; i < text.length; i++) {
             int c = text[i];
-            boolean banned = c < 9 || c > 13 && c < 32 || c == 0x7f || c >= 0xd800 && c <= 0xdfff
+            boolean forbidden = c < 9 || c > 13 && c < 32 || c == 0x7f || c >= 0xd800 && c <= 0xdfff
                     || c == 0x200e || c == 0x200f || c >= 0x202a && c <= 0x202e
                     || c >= 0x2066 && c <= 0x2069 || c == 0xfeff && i > 0;
-            if (banned) {
-                throw error(i, String.format("the character U+%04X may not stand in a document", c));
+            if (forbidden) {
+                throw error(i, String.format("character U+%04X is not allowed in a document", c));
             }
         }
     }
@@ -105,109 +109,109 @@
     }
 
     private static boolean isIdentifierChar(int c) {
-        return c != END && !isSpace(c) && !isNewline(c) && NOT_IN_IDENTIFIERS.indexOf(c) < 0;
+        return c != END_OF_TEXT && !isSpace(c) && !isNewline(c) && NON_IDENTIFIER_CHARS.indexOf(c) < 0;
     }
 
     private static boolean isDigit(int c) {
         return c >= '0' && c <= '9';
     }
 
-    // ---- space and comments -----------------------------------------------------------------------------
+    // ---- white space and comments -----------------------------------------------------------------------
 
-    private void newline() {
-        at += peek() == '\r' && peek(1) == '\n' ? 2 : 1;
+    private void skipNewline() {
+        position += peek() == '\r' && peek(1) == '\n' ? 2 : 1;
     }
 
-    /** Spaces and block comments; true if there were any. */
-    private boolean space() throws KdlException {
-        int from = at;
+    /** Skips spaces and block comments; returns whether there were any. */
+    private boolean skipSpace() throws KdlException {
+        int start = position;
         while (true) {
             if (isSpace(peek())) {
-                at++;
-            } else if (starts("/*")) {
-                blockComment();
+                position++;
+            } else if (lookingAt("/*")) {
+                skipBlockComment();
             } else {
-                return at > from;
+                return position > start;
             }
         }
     }
 
-    /** Space within a node: also lines continued by a backslash. */
-    private boolean nodeSpace() throws KdlException {
-        int from = at;
-        while (space() || peek() == '\\') {
+    /** Skips space within a node, including line continuations (a backslash at the end of a line). */
+    private boolean skipNodeSpace() throws KdlException {
+        int start = position;
+        while (skipSpace() || peek() == '\\') {
             if (peek() == '\\') {
-                continueLine();
+                skipLineContinuation();
             }
         }
-        return at > from;
+        return position > start;
     }
 
-    private void continueLine() throws KdlException {
-        int from = at++;
-        space();
-        if (starts("//")) {
-            lineComment();
+    private void skipLineContinuation() throws KdlException {
+        int start = position++;
+        skipSpace();
+        if (lookingAt("//")) {
+            skipLineComment();
         }
         if (isNewline(peek())) {
-            newline();
-        } else if (peek() != END) {
-            throw error(from, "after a backslash the line must end");
+            skipNewline();
+        } else if (peek() != END_OF_TEXT) {
+            throw error(start, "a backslash must be at the end of its line");
         }
     }
 
-    /** Space between nodes: also newlines and whole-line comments. */
-    private void lineSpace() throws KdlException {
+    /** Skips space between nodes, including newlines and single-line comments. */
+    private void skipLineSpace() throws KdlException {
         while (true) {
             if (isNewline(peek())) {
-                newline();
-            } else if (starts("//")) {
-                lineComment();
-            } else if (!nodeSpace()) {
+                skipNewline();
+            } else if (lookingAt("//")) {
+                skipLineComment();
+            } else if (!skipNodeSpace()) {
                 return;
             }
         }
     }
 
-    private void lineComment() {
-        while (peek() != END && !isNewline(peek())) {
-            at++;
+    private void skipLineComment() {
+        while (peek() != END_OF_TEXT && !isNewline(peek())) {
+            position++;
         }
     }
 
-    private void blockComment() throws KdlException {
-        int from = at;
-        at += 2;
+    private void skipBlockComment() throws KdlException {
+        int start = position;
+        position += 2;
         for (int open = 1; open > 0;) {
-            if (starts("*/")) {
+            if (lookingAt("*/")) {
                 open--;
-                at += 2;
-            } else if (starts("/*")) {
+                position += 2;
+            } else if (lookingAt("/*")) {
                 open++;
-                at += 2;
-            } else if (peek() == END) {
-                throw error(from, "a comment is not closed");
+                position += 2;
+            } else if (peek() == END_OF_TEXT) {
+                throw error(start, "comment is not closed");
             } else {
-                at++;
+                position++;
             }
         }
     }
 
     // ---- nodes ------------------------------------------------------------------------------------------
 
-    private List<Node> nodes(boolean inBlock) throws KdlException {
-        if (++depth > DEPTH_MOST) {
-            throw error("blocks are nested more than " + DEPTH_MOST + " deep");
+    private List<Node> parseNodes(boolean inBlock) throws KdlException {
+        if (++depth > MAX_DEPTH) {
+            throw error("blocks are nested more than " + MAX_DEPTH + " levels deep");
         }
         List<Node> nodes = new ArrayList<>();
         while (true) {
-            lineSpace();
-            if (peek() == END || peek() == '}') {
+            skipLineSpace();
+            if (peek() == END_OF_TEXT || peek() == '}') {
                 break;
             }
-            boolean dropped = slashDash();
-            Node node = node(inBlock);
-            if (!dropped) {
+            boolean skipped = skipSlashDash();
+            Node node = parseNode(inBlock);
+            if (!skipped) {
                 nodes.add(node);
             }
         }
@@ -215,165 +219,165 @@
         return nodes;
     }
 
-    private boolean slashDash() throws KdlException {
-        if (!starts("/-")) {
+    private boolean skipSlashDash() throws KdlException {
+        if (!lookingAt("/-")) {
             return false;
         }
-        at += 2;
-        lineSpace();
+        position += 2;
+        skipLineSpace();
         return true;
     }
 
-    private Node node(boolean inBlock) throws KdlException {
-        String type = annotation();
-        int from = at;
-        String name = string("a node's name");
+    private Node parseNode(boolean inBlock) throws KdlException {
+        String type = parseAnnotation();
+        int start = position;
+        String name = parseString("a node name");
         List<Value> arguments = new ArrayList<>();
         Map<String, Value> properties = new LinkedHashMap<>();
         List<Node> children = null;
         boolean blockSeen = false;
         while (true) {
-            boolean spaced = nodeSpace();
-            boolean dropped = slashDash();
+            boolean spaced = skipNodeSpace();
+            boolean skipped = skipSlashDash();
             int c = peek();
             if (c == '{') {
-                List<Node> block = block();
-                if (!dropped && children != null) {
-                    throw error("a second block of children");
+                List<Node> block = parseBlock();
+                if (!skipped && children != null) {
+                    throw error("a node has more than one block of children");
                 }
-                children = dropped ? children : block;
+                children = skipped ? children : block;
                 blockSeen = true;
-            } else if (!dropped && endsNode(inBlock)) {
+            } else if (!skipped && skipNodeEnd(inBlock)) {
                 return new Node(type, name, arguments, properties, children == null ? List.of() : children,
-                        line(from), column(from));
+                        line(start), column(start));
             } else {
                 if (blockSeen) {
-                    throw error("after a node's children the node must end");
+                    throw error("a node must end after its children");
                 }
-                if (!spaced && !dropped) {
-                    throw error("a space is missing before " + shown());
+                if (!spaced && !skipped) {
+                    throw error("missing space before " + describeCurrent());
                 }
-                entry(arguments, properties, dropped);
+                parseEntry(arguments, properties, skipped);
             }
         }
     }
 
-    private boolean endsNode(boolean inBlock) {
+    private boolean skipNodeEnd(boolean inBlock) {
         int c = peek();
-        if (c == END || inBlock && c == '}') {
+        if (c == END_OF_TEXT || inBlock && c == '}') {
             return true;
         }
         if (c == ';') {
-            at++;
+            position++;
             return true;
         }
         if (isNewline(c)) {
-            newline();
+            skipNewline();
             return true;
         }
-        if (starts("//")) {
-            lineComment();
+        if (lookingAt("//")) {
+            skipLineComment();
             return true;
         }
         return false;
     }
 
-    private List<Node> block() throws KdlException {
-        int from = at++;
-        List<Node> children = nodes(true);
+    private List<Node> parseBlock() throws KdlException {
+        int start = position++;
+        List<Node> children = parseNodes(true);
         if (peek() != '}') {
-            throw error(from, "a block is not closed");
+            throw error(start, "block is not closed");
         }
-        at++;
+        position++;
         return children;
     }
 
-    private String shown() {
-        return peek() == END ? "the end" : "'" + Character.toString(peek()) + "'";
+    private String describeCurrent() {
+        return peek() == END_OF_TEXT ? "the end of the document" : "'" + Character.toString(peek()) + "'";
     }
 
-    private String annotation() throws KdlException {
+    private String parseAnnotation() throws KdlException {
         if (peek() != '(') {
             return null;
         }
-        at++;
-        nodeSpace();
-        String type = string("a type");
-        nodeSpace();
+        position++;
+        skipNodeSpace();
+        String type = parseString("a type");
+        skipNodeSpace();
         if (peek() != ')') {
-            throw error("a type annotation is not closed");
+            throw error("type annotation is not closed");
         }
-        at++;
-        nodeSpace();
+        position++;
+        skipNodeSpace();
         return type;
     }
 
-    private void entry(List<Value> arguments, Map<String, Value> properties, boolean dropped)
+    private void parseEntry(List<Value> arguments, Map<String, Value> properties, boolean skipped)
             throws KdlException {
-        int from = at;
+        int start = position;
         boolean annotated = peek() == '(';
-        Value value = value();
-        int end = at;
-        if (!annotated && value.isText()) {
-            nodeSpace();
+        Value value = parseValue();
+        int end = position;
+        if (!annotated && value.isString()) {
+            skipNodeSpace();
             if (peek() == '=') {
-                at++;
-                nodeSpace();
-                Value its = value();
-                if (!dropped) {
-                    properties.put((String) value.content(), its);
+                position++;
+                skipNodeSpace();
+                Value propertyValue = parseValue();
+                if (!skipped) {
+                    properties.put((String) value.content(), propertyValue);
                 }
                 return;
             }
-            at = end;
+            position = end;
         }
         if (peek() == '=') {
-            throw error(from, "a property's name must be a string without annotation");
+            throw error(start, "a property name must be a string without type annotation");
         }
-        if (!dropped) {
+        if (!skipped) {
             arguments.add(value);
         }
     }
 
     // ---- values -----------------------------------------------------------------------------------------
 
-    private Value value() throws KdlException {
-        String type = annotation();
-        int from = at;
+    private Value parseValue() throws KdlException {
+        String type = parseAnnotation();
+        int start = position;
         Object content;
         int sign = peek() == '+' || peek() == '-' ? 1 : 0;
         if (isDigit(peek(sign))) {
-            content = number();
+            content = parseNumber();
         } else if (peek() == '#' && peek(1) != '"' && peek(1) != '#') {
-            content = keyword();
+            content = parseKeyword();
         } else {
-            content = string("a value");
+            content = parseString("a value");
         }
-        return new Value(type, content, line(from), column(from));
+        return new Value(type, content, line(start), column(start));
     }
 
-    private Object keyword() throws KdlException {
-        int from = at++;
+    private Object parseKeyword() throws KdlException {
+        int start = position++;
         StringBuilder word = new StringBuilder();
         while (isIdentifierChar(peek())) {
-            word.appendCodePoint(text[at++]);
+            word.appendCodePoint(text[position++]);
         }
         return switch (word.toString()) {
             case "true" -> true;
             case "false" -> false;
             case "null" -> null;
-            case "inf" -> Value.Special.INFINITY;
-            case "-inf" -> Value.Special.MINUS_INFINITY;
-            case "nan" -> Value.Special.NOT_A_NUMBER;
-            default -> throw error(from, "an unknown keyword: #" + word);
+            case "inf" -> Value.SpecialNumber.INFINITY;
+            case "-inf" -> Value.SpecialNumber.MINUS_INFINITY;
+            case "nan" -> Value.SpecialNumber.NOT_A_NUMBER;
+            default -> throw error(start, "unknown keyword: #" + word);
         };
     }
 
-    private Object number() throws KdlException {
-        int from = at;
+    private Object parseNumber() throws KdlException {
+        int start = position;
         StringBuilder word = new StringBuilder();
         while (isIdentifierChar(peek())) {
-            word.appendCodePoint(text[at++]);
+            word.appendCodePoint(text[position++]);
         }
         String all = word.toString();
         boolean minus = all.startsWith("-");
@@ -382,90 +386,90 @@
                 : digits.startsWith("0b") ? 2 : 10;
         if (radix == 10) {
             if (!digits.matches("[0-9][0-9_]*(\\.[0-9][0-9_]*)?([eE][+-]?[0-9][0-9_]*)?")) {
-                throw error(from, "not a number: " + all);
+                throw error(start, "not a number: " + all);
             }
             int e = digits.toLowerCase(java.util.Locale.ROOT).indexOf('e');
-            if (e >= 0 && digits.substring(e + 1).replaceAll("[+_-]", "").length() > EXPONENT_DIGITS) {
-                throw error(from, "an exponent of more than " + EXPONENT_DIGITS + " digits");
+            if (e >= 0 && digits.substring(e + 1).replaceAll("[+_-]", "").length() > MAX_EXPONENT_DIGITS) {
+                throw error(start, "exponent has more than " + MAX_EXPONENT_DIGITS + " digits");
             }
-            BigDecimal size = new BigDecimal(digits.replace("_", ""));
-            return minus ? size.negate() : size;
+            BigDecimal magnitude = new BigDecimal(digits.replace("_", ""));
+            return minus ? magnitude.negate() : magnitude;
         }
         String body = digits.substring(2);
         String allowed = radix == 16 ? "0123456789abcdefABCDEF" : radix == 8 ? "01234567" : "01";
-        boolean fits = !body.isEmpty() && body.charAt(0) != '_'
+        boolean valid = !body.isEmpty() && body.charAt(0) != '_'
                 && body.chars().allMatch(c -> c == '_' || allowed.indexOf(c) >= 0);
-        if (!fits) {
-            throw error(from, "not a number: " + all);
+        if (!valid) {
+            throw error(start, "not a number: " + all);
         }
-        BigDecimal size = new BigDecimal(new BigInteger(body.replace("_", ""), radix));
-        return minus ? size.negate() : size;
+        BigDecimal magnitude = new BigDecimal(new BigInteger(body.replace("_", ""), radix));
+        return minus ? magnitude.negate() : magnitude;
     }
 
-    private String string(String what) throws KdlException {
+    private String parseString(String expected) throws KdlException {
         if (peek() == '"') {
-            return starts("\"\"\"") ? multiLine(0) : quoted();
+            return lookingAt("\"\"\"") ? parseMultiLine(0) : parseQuoted();
         }
         if (peek() == '#') {
-            return raw();
+            return parseRaw();
         }
-        return identifier(what);
+        return parseIdentifier(expected);
     }
 
-    private String identifier(String what) throws KdlException {
-        int from = at;
+    private String parseIdentifier(String expected) throws KdlException {
+        int start = position;
         StringBuilder word = new StringBuilder();
         while (isIdentifierChar(peek())) {
-            word.appendCodePoint(text[at++]);
+            word.appendCodePoint(text[position++]);
         }
         String all = word.toString();
         if (all.isEmpty()) {
-            throw error("here stands " + shown() + " and not " + what);
+            throw error("expected " + expected + ", found " + describeCurrent());
         }
-        if (BARE_KEYWORDS.contains(all)) {
-            throw error(from, "the bare word " + all + " is reserved: write #" + all + " or quote it");
+        if (RESERVED_WORDS.contains(all)) {
+            throw error(start, "reserved word " + all + ": write #" + all + " or quote it");
         }
         if (all.matches("[+-]?\\.?[0-9].*")) {
-            throw error(from, "a bare word may not look like a number: " + all);
+            throw error(start, "an identifier must not look like a number: " + all);
         }
         return all;
     }
 
-    private String quoted() throws KdlException {
-        int from = at++;
+    private String parseQuoted() throws KdlException {
+        int start = position++;
         StringBuilder out = new StringBuilder();
         while (peek() != '"') {
-            if (peek() == END || isNewline(peek())) {
-                throw error(from, "a string is not closed on its line");
+            if (peek() == END_OF_TEXT || isNewline(peek())) {
+                throw error(start, "string is not closed on its line");
             }
             if (peek() == '\\') {
                 if (!skipEscapedSpace()) {
-                    escape(out);
+                    parseEscape(out);
                 }
             } else {
-                out.appendCodePoint(text[at++]);
+                out.appendCodePoint(text[position++]);
             }
         }
-        at++;
+        position++;
         return out.toString();
     }
 
-    /** A backslash before white space stands for none of it. */
+    /** Skips a backslash and the white space after it, which are not part of the string. */
     private boolean skipEscapedSpace() {
         if (!isSpace(peek(1)) && !isNewline(peek(1))) {
             return false;
         }
-        at++;
+        position++;
         while (isSpace(peek()) || isNewline(peek())) {
-            at++;
+            position++;
         }
         return true;
     }
 
-    private void escape(StringBuilder out) throws KdlException {
-        int from = at++;
+    private void parseEscape(StringBuilder out) throws KdlException {
+        int start = position++;
         int c = peek();
-        at++;
+        position++;
         switch (c) {
             case 'n' -> out.append('\n');
             case 'r' -> out.append('\r');
@@ -475,54 +479,54 @@
             case 's' -> out.append(' ');
             case '"' -> out.append('"');
             case '\\' -> out.append('\\');
-            case 'u' -> out.appendCodePoint(unicode(from));
-            default -> throw error(from, "an unknown escape");
+            case 'u' -> out.appendCodePoint(parseUnicodeEscape(start));
+            default -> throw error(start, "unknown escape sequence");
         }
     }
 
-    private int unicode(int from) throws KdlException {
-        int close = at + 1;
+    private int parseUnicodeEscape(int start) throws KdlException {
+        int close = position + 1;
         while (close < text.length && Character.digit(text[close], 16) >= 0 && text[close] < 128) {
             close++;
         }
-        int digits = close - at - 1;
+        int digits = close - position - 1;
         if (peek() != '{' || digits < 1 || digits > 6 || close >= text.length || text[close] != '}') {
-            throw error(from, "an escape is not \\u{1 to 6 hexadecimal digits}");
+            throw error(start, "invalid escape sequence: expected \\u{1 to 6 hexadecimal digits}");
         }
-        int code = Integer.parseInt(new String(text, at + 1, digits), 16);
+        int code = Integer.parseInt(new String(text, position + 1, digits), 16);
         if (code > 0x10ffff || code >= 0xd800 && code <= 0xdfff) {
-            throw error(from, "an escape names no character");
+            throw error(start, "escape sequence is not a Unicode scalar value");
         }
-        at = close + 1;
+        position = close + 1;
         return code;
     }
 
-    private String raw() throws KdlException {
-        int from = at;
+    private String parseRaw() throws KdlException {
+        int start = position;
         int hashes = 0;
         while (peek() == '#') {
             hashes++;
-            at++;
+            position++;
         }
         if (peek() != '"') {
-            throw error(from, "a raw string has no opening quote");
+            throw error(start, "raw string has no opening quote");
         }
-        if (starts("\"\"\"")) {
-            return multiLine(hashes);
+        if (lookingAt("\"\"\"")) {
+            return parseMultiLine(hashes);
         }
-        at++;
+        position++;
         StringBuilder out = new StringBuilder();
-        while (!closes(1, hashes)) {
-            if (peek() == END || isNewline(peek())) {
-                throw error(from, "a raw string is not closed on its line");
+        while (!atClosingDelimiter(1, hashes)) {
+            if (peek() == END_OF_TEXT || isNewline(peek())) {
+                throw error(start, "raw string is not closed on its line");
             }
-            out.appendCodePoint(text[at++]);
+            out.appendCodePoint(text[position++]);
         }
-        at += 1 + hashes;
+        position += 1 + hashes;
         return out.toString();
     }
 
-    private boolean closes(int quotes, int hashes) {
+    private boolean atClosingDelimiter(int quotes, int hashes) {
         for (int i = 0; i < quotes + hashes; i++) {
             if (peek(i) != (i < quotes ? '"' : '#')) {
                 return false;
@@ -531,69 +535,69 @@
         return true;
     }
 
-    /** A string over lines; the white space before its closing quotes is taken off each line. */
-    private String multiLine(int hashes) throws KdlException {
-        int from = at;
-        at += 3;
+    /** Parses a multi-line string; the white space before its closing quotes is removed from each line. */
+    private String parseMultiLine(int hashes) throws KdlException {
+        int start = position;
+        position += 3;
         if (!isNewline(peek())) {
-            throw error(from, "after three quotes the line must end");
+            throw error(start, "a multi-line string must start with a newline after its quotes");
         }
-        newline();
+        skipNewline();
         List<StringBuilder> lines = new ArrayList<>(List.of(new StringBuilder()));
-        while (!closes(3, hashes)) {
+        while (!atClosingDelimiter(3, hashes)) {
             StringBuilder last = lines.get(lines.size() - 1);
-            if (peek() == END) {
-                throw error(from, "a string over lines is not closed");
+            if (peek() == END_OF_TEXT) {
+                throw error(start, "multi-line string is not closed");
             } else if (isNewline(peek())) {
-                newline();
+                skipNewline();
                 lines.add(new StringBuilder());
             } else if (hashes == 0 && peek() == '\\') {
-                // White space goes before lines are measured, other escapes after.
+                // Escaped white space is removed before dedenting; other escapes are resolved after it.
                 if (!skipEscapedSpace()) {
-                    last.appendCodePoint(text[at++]);
-                    if (peek() != END) {
-                        last.appendCodePoint(text[at++]);
+                    last.appendCodePoint(text[position++]);
+                    if (peek() != END_OF_TEXT) {
+                        last.appendCodePoint(text[position++]);
                     }
                 }
             } else {
-                last.appendCodePoint(text[at++]);
+                last.appendCodePoint(text[position++]);
             }
         }
-        at += 3 + hashes;
+        position += 3 + hashes;
         String indent = lines.remove(lines.size() - 1).toString();
         if (!indent.codePoints().allMatch(KdlParser::isSpace)) {
-            throw error(from, "only white space may stand before the closing quotes of a string over lines");
+            throw error(start, "only white space may precede the closing quotes of a multi-line string");
         }
         List<String> dedented = new ArrayList<>();
         for (StringBuilder line : lines) {
-            dedented.add(dedent(line.toString(), indent, from));
+            dedented.add(dedent(line.toString(), indent, start));
         }
         String joined = String.join("\n", dedented);
-        return hashes > 0 ? joined : unescape(joined, from);
+        return hashes > 0 ? joined : unescape(joined, start);
     }
 
-    private String dedent(String line, String indent, int from) throws KdlException {
+    private String dedent(String line, String indent, int start) throws KdlException {
         if (line.codePoints().allMatch(KdlParser::isSpace)) {
             return "";
         }
         if (!line.startsWith(indent)) {
-            throw error(from, "a line of this string is indented less than its closing quotes");
+            throw error(start, "a line of the string is indented less than its closing quotes");
         }
         return line.substring(indent.length());
     }
 
-    private String unescape(String body, int from) throws KdlException {
+    private String unescape(String body, int start) throws KdlException {
         KdlParser inner = new KdlParser(body);
         StringBuilder out = new StringBuilder();
-        while (inner.peek() != END) {
+        while (inner.peek() != END_OF_TEXT) {
             if (inner.peek() == '\\') {
                 try {
-                    inner.escape(out);
+                    inner.parseEscape(out);
                 } catch (KdlException e) {
-                    throw error(from, "a string over lines has an unknown escape");
+                    throw error(start, "multi-line string has an unknown escape sequence");
                 }
             } else {
-                out.appendCodePoint(inner.text[inner.at++]);
+                out.appendCodePoint(inner.text[inner.position++]);
             }
         }
         return out.toString();
--- a/src/main/java/rowanmoor/kdl/Node.java
+++ b/src/main/java/rowanmoor/kdl/Node.java
@@ -4,10 +4,11 @@
 import java.util.Map;
 
 /**
- * One node. Of a property given twice the later value counts, as the specification has it.
+ * One node. If a property is given more than once, the last value applies, as the specification requires.
  *
- * @param type the annotation, or null
- * @param line where its name stands, from 1
+ * @param type type annotation, or null
+ * @param line line of the node's name, from 1
+ * @param column column of the node's name, from 1
  */
 public record Node(String type, String name, List<Value> arguments, Map<String, Value> properties,
         List<Node> children, int line, int column) {
--- a/src/main/java/rowanmoor/kdl/Value.java
+++ b/src/main/java/rowanmoor/kdl/Value.java
@@ -2,13 +2,20 @@
 
 import java.math.BigDecimal;
 
-/** One argument or property value, with its annotation (or null) and its place. */
+/**
+ * One argument or property value.
+ *
+ * @param type type annotation, or null
+ * @param content a {@link String}, {@link BigDecimal}, {@link Boolean} or {@link SpecialNumber}, or null
+ * @param line line of the value, from 1
+ * @param column column of the value, from 1
+ */
 public record Value(String type, Object content, int line, int column) {
 
-    /** The three numbers that no decimal can say. */
-    public enum Special { INFINITY, MINUS_INFINITY, NOT_A_NUMBER }
+    /** Numbers that {@link BigDecimal} cannot represent. */
+    public enum SpecialNumber { INFINITY, MINUS_INFINITY, NOT_A_NUMBER }
 
-    public boolean isText() {
+    public boolean isString() {
         return content instanceof String;
     }
 
@@ -16,11 +23,11 @@
         return content instanceof BigDecimal;
     }
 
-    public boolean isFlag() {
+    public boolean isBoolean() {
         return content instanceof Boolean;
     }
 
-    /** As it would be quoted in a message. */
+    /** Returns the value as error messages show it. */
     @Override
     public String toString() {
         return content == null ? "#null" : content instanceof Boolean b ? "#" + b
--- a/src/test/java/rowanmoor/cli/MainTest.java
+++ b/src/test/java/rowanmoor/cli/MainTest.java
@@ -23,39 +23,39 @@
     private final StringWriter err = new StringWriter();
 
     private int run(String... args) {
-        CommandLine line = Commands.commandLine();
-        line.setOut(new PrintWriter(out));
-        line.setErr(new PrintWriter(err));
-        return line.execute(args);
+        CommandLine commandLine = Commands.commandLine();
+        commandLine.setOut(new PrintWriter(out));
+        commandLine.setErr(new PrintWriter(err));
+        return commandLine.execute(args);
     }
 
     @Test
-    void benchlinkEndsWellWithTheInputAndBadlyWithinABatch() {
-        var written = new ByteArrayOutputStream();
-        PrintStream stream = new PrintStream(written);
+    void benchlinkSucceedsAtEndOfInputAndFailsWithinABatch() {
+        var output = new ByteArrayOutputStream();
+        PrintStream stream = new PrintStream(output);
         assertEquals(0, Main.benchlink(new ByteArrayInputStream(new byte[0]), stream, stream));
         assertEquals(1, Main.benchlink(new ByteArrayInputStream(new byte[5]), stream, stream));
-        assertTrue(written.toString().startsWith("rowanmoor: "), written.toString());
+        assertTrue(output.toString().startsWith("rowanmoor: "), output.toString());
     }
 
     @Test
-    void anUnknownCommandIsSaidAndCostsTwo() {
+    void unknownCommandIsNamedAndExitsWithTwo() {
         assertEquals(2, run("nonsense"));
         assertTrue(err.toString().contains("nonsense"), err.toString());
     }
 
     @Test
-    void aCommandThatFailsSaysWhyInItsFilesTerms(@TempDir Path dir) throws IOException {
+    void failedCommandNamesFileLineAndColumn(@TempDir Path dir) throws IOException {
         Path bad = dir.resolve("bad.kdl");
         Files.writeString(bad, "day {\n  length 5\n");
         assertEquals(1, run("day", bad.toString()));
-        assertTrue(err.toString().startsWith("rowanmoor: " + bad + ":1:5: a block is not closed"), err.toString());
+        assertTrue(err.toString().startsWith("rowanmoor: " + bad + ":1:5: block is not closed"), err.toString());
         assertEquals(1, run("capture", "info", dir.resolve("nothing").toString()));
         assertEquals(2, run("day"));
     }
 
     @Test
-    void allSamplesAreRight() throws IOException {
+    void checkAcceptsAllSampleFiles() throws IOException {
         for (String folder : List.of("days", "days/verify", "conf")) {
             try (Stream<Path> files = Files.list(Path.of(folder))) {
                 for (Path file : files.filter(Files::isRegularFile).toList()) {
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void aPlanIsWrittenAsOnePageThatSaysWhenceItsFiguresCome(@TempDir Path dir) throws IOException {
+    void planReportIsOnePageWithSourcesOfItsFigures(@TempDir Path dir) throws IOException {
         assertEquals(0, run("plan", "days/verify/waiting-room.kdl", "--seconds", "6", "--seeds", "1", "--report",
                 dir.toString()), err.toString());
         String page = Files.readString(dir.resolve("plan.html"));
@@ -78,29 +78,30 @@
     }
 
     @Test
-    void forecastsAreWrittenDownAndThenHeldAgainstSteps(@TempDir Path dir) throws IOException {
+    void forecastsAreStoredBeforeTheyAreVerified(@TempDir Path dir) throws IOException {
         assertEquals(0, run("plan", "--verify", "days/verify/waiting-room.kdl", "--simulated", "--seconds", "8",
                 "--service", "0.9", "--report", dir.toString()), err.toString());
         assertTrue(Files.readString(dir.resolve("forecasts.json")).contains("\"sha256\""));
-        String said = out.toString();
-        assertTrue(said.indexOf("forecast: no waiting room") < said.indexOf("no waiting room: "), said);
-        assertTrue(Files.readString(dir.resolve("accuracy.txt")).contains(" of 1 forecasts right"), said);
-        assertTrue(Files.readString(dir.resolve("verified.json")).contains("\"verdict\" : {"), said);
+        String output = out.toString();
+        assertTrue(output.indexOf("forecast: no waiting room") < output.indexOf("no waiting room: "), output);
+        assertTrue(Files.readString(dir.resolve("accuracy.txt")).contains(" of 1 forecasts right"), output);
+        assertTrue(Files.readString(dir.resolve("verified.json")).contains("\"verdict\" : {"), output);
         assertEquals(2, run("plan", "days/verify/even.kdl", "days/verify/confined.kdl"));
     }
 
     @Test
-    void everythingWrongWithAFileIsToldAtOnceWithItsPlace(@TempDir Path dir) throws IOException {
+    void checkReportsAllProblemsWithLineAndColumn(@TempDir Path dir) throws IOException {
         Path bad = dir.resolve("bad.kdl");
         Files.writeString(bad, Files.readString(Path.of("days/bad-day.kdl"))
                 .replace("bare \"3s\"", "bare 3").replace("proxies 8\n    period", "proxys 8\n    period")
                 .replace("rate \"140/s\"", "rate \"140\"").replace("cold-from 0.2\n", "cold-from 2\n"));
         assertEquals(1, run("check", bad.toString()));
-        String said = err.toString();
-        for (String part : List.of("site.rules.bare: takes a time with its unit", "site.proxies: is missing",
-                "site.proxys: is not a key here", "load.rate: takes a rate", "cold-from: is out of range")) {
-            assertTrue(said.contains(part), part + " is not in:\n" + said);
+        String output = err.toString();
+        for (String part : List.of("site.rules.bare: must be a duration with a unit", "site.proxies: is missing",
+                "site.proxys: is not a known key", "load.rate: must be a rate with a unit",
+                "cold-from: is out of range")) {
+            assertTrue(output.contains(part), part + " is not in:\n" + output);
         }
-        assertTrue(said.lines().allMatch(l -> l.matches(".*bad\\.kdl:[0-9]+:[0-9]+: .*")), said);
+        assertTrue(output.lines().allMatch(l -> l.matches(".*bad\\.kdl:[0-9]+:[0-9]+: .*")), output);
     }
 }
--- a/src/test/java/rowanmoor/cli/QueuedAppenderTest.java
+++ b/src/test/java/rowanmoor/cli/QueuedAppenderTest.java
@@ -15,53 +15,54 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
+/** A slow or blocked reader of standard error must not block the threads that log. */
 @Timeout(30)
 class QueuedAppenderTest {
 
     @Test
-    void aReaderThatStopsHoldsNoLoopUpAndTheLossIsToldOnceItReads() throws InterruptedException {
+    void blockedReaderDoesNotBlockLoggingAndDroppedLinesAreReported() throws InterruptedException {
         LoggerContext context = new LoggerContext();
         context.setMDCAdapter(new LogbackMDCAdapter());
-        CountDownLatch stuck = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
-        List<String> read = new CopyOnWriteArrayList<>();
+        CountDownLatch readerBlocked = new CountDownLatch(1);
+        CountDownLatch releaseReader = new CountDownLatch(1);
+        List<String> writtenLines = new CopyOnWriteArrayList<>();
         AppenderBase<ILoggingEvent> reader = new AppenderBase<>() {
             @Override
             protected void append(ILoggingEvent event) {
-                stuck.countDown();
+                readerBlocked.countDown();
                 try {
-                    goOn.await();
+                    releaseReader.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
-                read.add(event.getFormattedMessage());
+                writtenLines.add(event.getFormattedMessage());
             }
         };
         reader.setContext(context);
         reader.start();
-        QueuedAppender queue = new QueuedAppender();
-        queue.setContext(context);
-        queue.setQueueSize(16);
-        queue.addAppender(reader);
-        queue.start();
+        QueuedAppender appender = new QueuedAppender();
+        appender.setContext(context);
+        appender.setQueueSize(16);
+        appender.addAppender(reader);
+        appender.start();
         Logger log = context.getLogger("a loop");
-        log.addAppender(queue);
+        log.addAppender(appender);
         log.info("first");
-        stuck.await();
+        readerBlocked.await();
         for (int i = 0; i < 1000; i++) {
-            log.info("line {}", i); // the test's limit of time is the check that none of these waits
+            log.info("line {}", i); // the timeout of the test checks that none of these calls blocks
         }
-        goOn.countDown();
-        while (queue.getNumberOfElementsInQueue() > 0) {
+        releaseReader.countDown();
+        while (appender.getNumberOfElementsInQueue() > 0) {
             TimeUnit.MILLISECONDS.sleep(1);
         }
         log.info("last");
         context.stop();
-        assertEquals("first", read.get(0));
-        assertEquals("last", read.get(read.size() - 1));
-        String told = read.get(read.size() - 2);
-        assertTrue(told.startsWith("log lines dropped: "), told);
-        int lost = Integer.parseInt(told.substring(told.indexOf(':') + 2));
-        assertEquals(1000, lost + read.size() - 3, "every line was written or counted");
+        assertEquals("first", writtenLines.get(0));
+        assertEquals("last", writtenLines.get(writtenLines.size() - 1));
+        String report = writtenLines.get(writtenLines.size() - 2);
+        assertTrue(report.startsWith("log lines dropped: "), report);
+        int dropped = Integer.parseInt(report.substring(report.indexOf(':') + 2));
+        assertEquals(1000, dropped + writtenLines.size() - 3, "every line was written or counted");
     }
 }
--- a/src/test/java/rowanmoor/kdl/KdlTest.java
+++ b/src/test/java/rowanmoor/kdl/KdlTest.java
@@ -16,12 +16,12 @@
 
 class KdlTest {
 
-    private static Object first(String value) throws KdlException {
+    private static Object parseFirstArgument(String value) throws KdlException {
         return KdlParser.parse("n " + value).get(0).arguments().get(0).content();
     }
 
     @Test
-    void nodesHaveArgumentsPropertiesChildrenAndAnnotations() throws KdlException {
+    void nodesHaveArgumentsPropertiesChildrenAndTypeAnnotations() throws KdlException {
         List<Node> nodes = KdlParser.parse("(t)node 1 (u)\"two\" key=#true key=#false { child; other 3 }; last");
         Node node = nodes.get(0);
         assertEquals("t", node.type());
@@ -49,21 +49,21 @@
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {"10|10", "-1_000.5e+2|-100050", "0xFf|255", "-0b1_01|-5", "0o17|15"})
     void numbers(String text, String number) throws KdlException {
-        assertEquals(0, new BigDecimal(number).compareTo((BigDecimal) first(text)));
+        assertEquals(0, new BigDecimal(number).compareTo((BigDecimal) parseFirstArgument(text)));
     }
 
     @Test
     void strings() throws KdlException {
-        assertEquals("a\n\"\\ \u00e9", first("\"a\\n\\\"\\\\\\s\\u{e9}\""));
-        assertEquals("ab", first("\"a\\   \n   b\""));
-        assertEquals("a\\n\"", first("#\"a\\n\"\"#"));
-        assertEquals("one\n  two\n\nthree", first("\"\"\"\n   one\n     two\n\n   three\n   \"\"\""));
-        assertEquals("a\\tb", first("##\"\"\"\n a\\tb\n \"\"\"##"));
-        assertEquals("a\tb", first("\"\"\"\n a\\tb\n \"\"\""));
-        assertEquals("bare-word", first("bare-word"));
-        assertEquals("-", first("-"));
-        assertEquals(null, first("#null"));
-        assertEquals(Value.Special.MINUS_INFINITY, first("#-inf"));
+        assertEquals("a\n\"\\ \u00e9", parseFirstArgument("\"a\\n\\\"\\\\\\s\\u{e9}\""));
+        assertEquals("ab", parseFirstArgument("\"a\\   \n   b\""));
+        assertEquals("a\\n\"", parseFirstArgument("#\"a\\n\"\"#"));
+        assertEquals("one\n  two\n\nthree", parseFirstArgument("\"\"\"\n   one\n     two\n\n   three\n   \"\"\""));
+        assertEquals("a\\tb", parseFirstArgument("##\"\"\"\n a\\tb\n \"\"\"##"));
+        assertEquals("a\tb", parseFirstArgument("\"\"\"\n a\\tb\n \"\"\""));
+        assertEquals("bare-word", parseFirstArgument("bare-word"));
+        assertEquals("-", parseFirstArgument("-"));
+        assertEquals(null, parseFirstArgument("#null"));
+        assertEquals(Value.SpecialNumber.MINUS_INFINITY, parseFirstArgument("#-inf"));
     }
 
     @ParameterizedTest
@@ -71,7 +71,7 @@
         "a 1=2", "a (t", "a /* x", "a \\ x", "a \"\\q\"", "a \"\\u{110000}\"", "a \"\"\"x\"\"\"",
         "a \"\"\"\n  x\n y\n  \"\"\"", "a {} 1", "a {} {}", "a\"b\"", "a 0x", "a 1__e", "a 1e99999",
         "a \u0001", "(t)", "/-", "a 1\"b\"", "=", "a #\"x\""})
-    void whatIsNoDocumentIsRefusedWithItsPlace(String text) {
+    void invalidDocumentIsRejectedWithLineAndColumn(String text) {
         KdlException error = assertThrows(KdlException.class, () -> KdlParser.parse(text));
         assertTrue(error.line() >= 1 && error.column() >= 1);
     }
@@ -83,12 +83,12 @@
     }
 
     @Test
-    void deepNestingIsRefusedAndDoesNotExhaustTheStack() {
+    void deepNestingIsRejectedWithoutStackOverflow() {
         assertThrows(KdlException.class, () -> KdlParser.parse("a{".repeat(100_000)));
     }
 
     @Property(seed = "23")
-    void anyTextIsReadOrRefused(@ForAll long seed, @ForAll String noise) {
+    void anyTextIsParsedOrRejected(@ForAll long seed, @ForAll String noise) {
         String[] parts = {"a", " ", "\"", "\"\"\"", "#", "\\", "\n", "{", "}", "(", ")", "/-", "/*", "*/", "//",
             "=", "1", "0x", "e", "-", "#true", ";", "\\u{41}", noise};
         Random random = new Random(seed);
--- a/src/test/java/rowanmoor/red/KnownRed.java
+++ b/src/test/java/rowanmoor/red/KnownRed.java
@@ -7,38 +7,39 @@
 import org.opentest4j.TestAbortedException;
 
 /**
- * Runs the tests that KNOWN-RED.txt lists like all others; a failure of theirs is printed and passed over, a pass
- * fails the build. Found by the service file of the test resources.
+ * JUnit extension for the tests that KNOWN-RED.txt lists. They run like all others, but their failures are printed
+ * and reported as aborted, and a listed test that passes fails the build. Registered by a service file in the test
+ * resources.
  */
 public final class KnownRed implements TestExecutionExceptionHandler, AfterTestExecutionCallback {
 
-    private final RedList list;
-    private final Consumer<String> out;
+    private final KnownRedList list;
+    private final Consumer<String> printer;
 
     public KnownRed() {
-        this(RedList.OF_PROJECT, System.out::println);
+        this(KnownRedList.PROJECT_LIST, System.out::println);
     }
 
-    KnownRed(RedList list, Consumer<String> out) {
+    KnownRed(KnownRedList list, Consumer<String> out) {
         this.list = list;
-        this.out = out;
+        this.printer = out;
     }
 
     @Override
     public void handleTestExecutionException(ExtensionContext context, Throwable failure) throws Throwable {
-        RedList.Line line = list.lineOf(context.getRequiredTestMethod()).orElse(null);
-        if (line == null || failure instanceof TestAbortedException) {
+        KnownRedList.ListedTest entry = list.entryFor(context.getRequiredTestMethod()).orElse(null);
+        if (entry == null || failure instanceof TestAbortedException) {
             throw failure;
         }
-        out.accept("KNOWN RED " + line.test() + ": " + line.cause() + " (" + line.issue() + "): " + failure);
-        throw new TestAbortedException("known red, " + line.issue() + ": " + failure.getMessage());
+        printer.accept("KNOWN RED " + entry.testName() + ": " + entry.cause() + " (" + entry.issue() + "): " + failure);
+        throw new TestAbortedException("known red, " + entry.issue() + ": " + failure.getMessage());
     }
 
     @Override
     public void afterTestExecution(ExtensionContext context) {
         if (context.getExecutionException().isEmpty()) {
-            list.lineOf(context.getRequiredTestMethod()).ifPresent(line -> {
-                throw new AssertionError("passes: take the line out of KNOWN-RED.txt: " + line.test());
+            list.entryFor(context.getRequiredTestMethod()).ifPresent(entry -> {
+                throw new AssertionError("passes: remove its line from KNOWN-RED.txt: " + entry.testName());
             });
         }
     }
