--- a/src/main/java/rowanmoor/cli/CaptureCommands.java
+++ b/src/main/java/rowanmoor/cli/CaptureCommands.java
@@ -39,7 +39,7 @@
             description = "Prints a summary of a capture and lists records that cannot be read.")
     int info(@Parameters(paramLabel = "CAPTURE") Path path) throws IOException {
         Capture.Info info = read(path).info();
-        double seconds = (info.to() - info.from()) / 1e9;
+        double seconds = (info.endNs() - info.startNs()) / 1e9;
         return print("%d records of %d controllers over %.1f s: %d requests (%.1f/s), %d tries, %d proxies,"
                 + " %d backends, %d records dropped%nrequests by class: %s%n", info.records(),
                 info.controllers(), seconds, info.requests(), seconds > 0 ? info.requests() / seconds : 0,
--- a/src/main/java/rowanmoor/cli/PlanCommand.java
+++ b/src/main/java/rowanmoor/cli/PlanCommand.java
@@ -20,15 +20,15 @@
 import rowanmoor.emulator.Emulator;
 import rowanmoor.emulator.Model;
 import rowanmoor.lab.DayFile;
-import rowanmoor.lab.DrawnFleet;
-import rowanmoor.lab.Models;
+import rowanmoor.lab.RandomFleet;
+import rowanmoor.lab.EmulatorModels;
 import rowanmoor.lab.PlanReport;
-import rowanmoor.lab.Verifier;
+import rowanmoor.lab.ForecastVerifier;
 import rowanmoor.plan.Estimator;
 import rowanmoor.plan.Finding;
 import rowanmoor.plan.Goal;
 import rowanmoor.plan.Planner;
-import rowanmoor.plan.Runs;
+import rowanmoor.plan.SimulationRunner;
 import rowanmoor.plan.Trial;
 
 /** {@code rowanmoor plan}: capacity planning for a fleet by runs of the emulator. */
@@ -109,8 +109,8 @@
     private int plan() throws ConfigException, IOException {
         Path fleet = dayFiles.get(0);
         DayFile day = DayFile.read(fleet);
-        Model model = Models.of(day, 1).model().troubles(List.of()).length(seconds * NS_PER_SECOND);
-        Runs runs = (m, which) -> which.parallelStream().map(s -> Emulator.play(m, s)).toList();
+        Model model = EmulatorModels.of(day, 1).model().withFaults(List.of()).withDurationNs(seconds * NS_PER_SECOND);
+        SimulationRunner runs = (m, which) -> which.parallelStream().map(s -> Emulator.run(m, s)).toList();
         printLine("goal: service %.3f%s", minService, minWorstService > 0
                 ? String.format(Locale.ROOT, ", worst 10 s %.3f", minWorstService) : "");
         List<Estimator.Estimate> estimates = new ArrayList<>();
@@ -118,42 +118,42 @@
         if (captureFile != null) {
             Capture capture = Capture.read(captureFile);
             capture.problems().forEach(p -> notes.add("capture: " + p));
-            Estimator.Estimated estimated = new Estimator(model, runs, 1).from(capture.records());
+            Estimator.Result estimated = new Estimator(model, runs, 1).estimate(capture.records());
             model = estimated.model();
             estimates.addAll(estimated.estimates());
             notes.addAll(estimated.notes());
         }
         if (requestsPerSecond != null) {
-            model = model.rate(requestsPerSecond);
+            model = model.withRequestsPerSecond(requestsPerSecond);
         }
         List<String[]> given = givenInputs(model, fleet, estimates);
-        estimates.forEach(e -> printLine("%-34s %9.3f %-2s (%.3f to %.3f) from %s: %s", e.what(), e.value(),
-                e.unit(), e.low(), e.high(), captureFile, e.from()));
+        estimates.forEach(e -> printLine("%-34s %9.3f %-2s (%.3f to %.3f) from %s: %s", e.name(), e.value(),
+                e.unit(), e.low(), e.high(), captureFile, e.source()));
         given.forEach(g -> printLine("%-34s %s, from %s", g[0], g[1], g[2]));
         notes.forEach(n -> printLine("note: %s", n));
         Planner planner = new Planner(new Goal(minService, minWorstService), runs, seeds);
-        Planner.Breaks breaks = printBreakingRate(planner, model);
-        boolean broken = breaks.rate().count() > 0 && breaks.rate().mean() > 0;
+        Planner.BreakingPoint breaks = printBreakingRate(planner, model);
+        boolean broken = breaks.rate().sampleCount() > 0 && breaks.rate().mean() > 0;
         List<Planner.Sensitivity> moves = (sensitivity || reportDirectory != null) && broken
                 ? planner.sensitivity(model, breaks.rate().mean()) : List.of();
-        moves.forEach(s -> printLine("  the breaking rate moves by %+.0f%% with %s", 100 * s.change(),
+        moves.forEach(s -> printLine("  the breaking rate moves by %+.0f%% with %s", 100 * s.relativeChange(),
                 s.input()));
-        Planner.Enough enough = printBackendCount(planner, model);
-        List<Planner.Loss> losses = planner.losses(model.length(50 * NS_PER_SECOND), 10 * NS_PER_SECOND,
+        Planner.FleetSize enough = printBackendCount(planner, model);
+        List<Planner.LossImpact> losses = planner.evaluateLosses(model.withDurationNs(50 * NS_PER_SECOND), 10 * NS_PER_SECOND,
                 15 * NS_PER_SECOND);
-        for (Planner.Loss l : losses) {
+        for (Planner.LossImpact l : losses) {
             printLine("loss of %-32s before %.3f, during %.3f, worst 10 s %.3f, back after %s%s;"
                     + " queue at %.0f%% of limit",
-                    l.what(), l.before(), l.during(), l.worst(),
-                    l.recovery() < 0 ? "never" : Math.round(l.recovery()) + " s",
-                    l.jammed() ? ", STAYS JAMMED" : "",
-                    100 * l.queueOfLimit());
+                    l.name(), l.before(), l.during(), l.worstService(),
+                    l.recoverySeconds() < 0 ? "never" : Math.round(l.recoverySeconds()) + " s",
+                    l.metastable() ? ", STAYS JAMMED" : "",
+                    100 * l.queueFraction());
         }
         if (reportDirectory != null) {
             System.setProperty("java.awt.headless", "true");
             PlanReport.write(new PlanReport.Plan(day.name(), new Goal(minService, minWorstService),
-                    model.rate(), model.machines().size(), given, estimates, notes, breaks,
-                    broken ? planner.curve(model, breaks.rate().mean()) : List.of(), enough, withZoneLoss,
+                    model.requestsPerSecond(), model.backends().size(), given, estimates, notes, breaks,
+                    broken ? planner.serviceCurve(model, breaks.rate().mean()) : List.of(), enough, withZoneLoss,
                     losses, moves), reportDirectory);
             printLine("report: %s", reportDirectory.resolve("plan.html"));
         }
@@ -168,18 +168,18 @@
         List<String[]> all = new ArrayList<>();
         String file = fleet.toString();
         if (requestsPerSecond != null || estimates.isEmpty()) {
-            all.add(new String[] {"rate", format("%.1f/s", model.rate()),
+            all.add(new String[] {"rate", format("%.1f/s", model.requestsPerSecond()),
                 requestsPerSecond != null ? "--rate" : file});
         }
-        boolean workEstimated = estimates.stream().anyMatch(e -> e.what().startsWith("work of"));
-        for (int c = 0; c < model.shares().length; c++) {
+        boolean workEstimated = estimates.stream().anyMatch(e -> e.name().startsWith("work of"));
+        for (int c = 0; c < model.classShares().length; c++) {
             String name = model.site().classNames().get(c);
             if (!workEstimated) {
                 all.add(new String[] {"work of " + name, format("%.1f ms, spread %.2f",
-                        1000 * model.work()[c], model.cv()[c]), file});
+                        1000 * model.workSeconds()[c], model.workCv()[c]), file});
             }
             if (estimates.isEmpty()) {
-                all.add(new String[] {"share of " + name, format("%.3f", model.shares()[c]), file});
+                all.add(new String[] {"share of " + name, format("%.3f", model.classShares()[c]), file});
             }
             var spec = model.site().classes().get(c);
             all.add(new String[] {name, format("worth %.1f, aim %d ms, deadline %d ms, %s", spec.worth(),
@@ -187,14 +187,14 @@
         }
         all.add(new String[] {"clients",
                 format("up to %d repeats after %d ms, a try up to %.2f of the deadline",
-                model.retries(), model.backoff() / 1_000_000, model.tryShare()), file});
+                model.maxClientRetries(), model.retryBackoffNs() / 1_000_000, model.tryTimeoutFraction()), file});
         java.util.TreeMap<String, Integer> counts = new java.util.TreeMap<>();
-        for (Model.Machine m : model.machines()) {
+        for (Model.BackendSpec m : model.backends()) {
             counts.merge(format(
                     "%s in %s: %d cores of speed %.2f, %d slots, room for %d more, %s connections",
                     model.site().kinds().get(m.kind()), model.site().zones().get(m.zone()), m.cores(),
-                    m.speed(), m.slots(), m.queue(), m.connections() == 0 ? "any number of"
-                            : Integer.toString(m.connections())), 1, Integer::sum);
+                    m.speed(), m.slots(), m.queueCapacity(), m.maxConnections() == 0 ? "any number of"
+                            : Integer.toString(m.maxConnections())), 1, Integer::sum);
         }
         counts.forEach((machine, n) -> all.add(new String[] {"backends", n + " " + machine, file}));
         all.add(new String[] {"channel", format("%.0f lines a second, at most %.0f waiting",
@@ -213,16 +213,16 @@
         List<Path> all = new ArrayList<>(dayFiles);
         for (int n = 1; drawnFleetsSeed != null && n <= 2; n++) {
             Path file = directory.resolve("drawn-" + n + ".kdl");
-            Files.writeString(file, DrawnFleet.draw("drawn " + n, 2 * drawnFleetsSeed + n));
+            Files.writeString(file, RandomFleet.generate("drawn " + n, 2 * drawnFleetsSeed + n));
             all.add(file);
         }
         if (System.getProperty(Commands.LOG_LEVEL_PROPERTY) == null) {
             System.setProperty(Commands.LOG_LEVEL_PROPERTY, "OFF");
         }
-        List<Trial> trials = new Verifier(new Goal(minService, minWorstService),
-                simulated ? Verifier.Ways.SIMULATED : Verifier.Ways.SOCKETS, seconds * NS_PER_SECOND,
+        List<Trial> trials = new ForecastVerifier(new Goal(minService, minWorstService),
+                simulated ? ForecastVerifier.Ways.SIMULATED : ForecastVerifier.Ways.SOCKETS, seconds * NS_PER_SECOND,
                 parallelFleets, directory, line -> printLine("%s", line)).run(all);
-        String table = Verifier.table(trials);
+        String table = ForecastVerifier.table(trials);
         Files.writeString(directory.resolve("accuracy.txt"), table);
         printLine("%n%s", table.stripTrailing());
         printLine("forecasts.json (written first), verified.json and the runs are in %s", directory);
@@ -235,39 +235,39 @@
         out.flush();
     }
 
-    private Planner.Breaks printBreakingRate(Planner planner, Model model) {
-        Planner.Breaks breaks = planner.whatBreaks(model);
-        if (breaks.rate().count() == 0) {
+    private Planner.BreakingPoint printBreakingRate(Planner planner, Model model) {
+        Planner.BreakingPoint breaks = planner.findBreakingPoint(model);
+        if (breaks.rate().sampleCount() == 0) {
             printLine("what breaks first: %s", breaks.note());
             return breaks;
         }
         printLine("breaks at %.0f requests a second (95%%: %.0f to %.0f over %d seeds; %d runs);"
                 + " the rate now is %.0f%s",
-                breaks.rate().mean(), breaks.rate().low(), breaks.rate().high(), breaks.rate().count(),
-                breaks.runs(), model.rate(), breaks.note().isEmpty() ? "" : "; " + breaks.note());
+                breaks.rate().mean(), breaks.rate().low(), breaks.rate().high(), breaks.rate().sampleCount(),
+                breaks.runs(), model.requestsPerSecond(), breaks.note().isEmpty() ? "" : "; " + breaks.note());
         for (int i = 0; i < Math.min(3, breaks.findings().size()); i++) {
             Finding f = breaks.findings().get(i);
-            printLine("  %d. %s, %s: %s (pressure %.2f)", i + 1, f.resource(), f.place(), f.evidence(),
+            printLine("  %d. %s, %s: %s (pressure %.2f)", i + 1, f.resource(), f.location(), f.evidence(),
                     f.pressure());
         }
         return breaks;
     }
 
-    private Planner.Enough printBackendCount(Planner planner, Model model) {
-        List<Function<Model, List<Model.Trouble>>> lost = new ArrayList<>();
+    private Planner.FleetSize printBackendCount(Planner planner, Model model) {
+        List<Function<Model, List<Model.Fault>>> lost = new ArrayList<>();
         for (int z = 0; withZoneLoss && z < model.site().zones().size(); z++) {
             int zone = z;
-            lost.add(m -> List.of(new Model.Trouble(Model.Kind.BACKENDS_DIE, 5 * NS_PER_SECOND,
-                    15 * NS_PER_SECOND, Planner.zone(m, zone), 1)));
+            lost.add(m -> List.of(new Model.Fault(Model.FaultKind.BACKENDS_DIE, 5 * NS_PER_SECOND,
+                    15 * NS_PER_SECOND, Planner.backendsInZone(m, zone), 1)));
         }
-        Planner.Enough enough = planner.howMany(model, lost);
+        Planner.FleetSize enough = planner.findFleetSize(model, lost);
         if (enough.count() < 0 || !enough.note().isEmpty()) {
             printLine("how many: %s (%d runs)", enough.note(), enough.runs());
         } else {
             printLine("how many: %d backends hold %.0f/s%s; service %.3f, on fresh seeds %.3f"
                     + " (%d runs; there are %d now)",
-                    enough.count(), model.rate(), withZoneLoss ? " with each zone lost in turn" : "",
-                    enough.service(), enough.freshService(), enough.runs(), model.machines().size());
+                    enough.count(), model.requestsPerSecond(), withZoneLoss ? " with each zone lost in turn" : "",
+                    enough.service(), enough.validationService(), enough.runs(), model.backends().size());
         }
         return enough;
     }
--- a/src/main/java/rowanmoor/proxy/Proxy.java
+++ b/src/main/java/rowanmoor/proxy/Proxy.java
@@ -14,47 +14,47 @@
 import rowanmoor.discovery.Addresses;
 import rowanmoor.discovery.LoadColumns;
 import rowanmoor.http.ClientStream;
-import rowanmoor.http.Fields;
-import rowanmoor.http.Limits;
+import rowanmoor.http.HttpFields;
+import rowanmoor.http.MessageLimits;
 import rowanmoor.http.Message;
-import rowanmoor.http.Orca;
-import rowanmoor.http.Part;
+import rowanmoor.http.OrcaLoadReport;
+import rowanmoor.http.MessagePart;
 import rowanmoor.http.ServerStream;
-import rowanmoor.net.Close;
+import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
-import rowanmoor.net.Handler;
+import rowanmoor.net.ConnectionHandler;
 import rowanmoor.net.Loop;
 
 /**
- * Takes requests, forwards them by the tables, reports. Content is passed on as it comes, no faster than the
- * slower side takes it. A request that cannot be served gets its final answer at once: refused by its level
- * or a bound, no backend, a last try that failed, its deadline.
+ * Accepts requests, forwards them by the routing tables and reports to the controller. Content is streamed
+ * with backpressure, no faster than the slower side takes it. A request that cannot be served gets its final
+ * answer at once: refused by its level or a limit, no backend, failure of the last try, deadline exceeded.
  */
 public final class Proxy implements ServerStream.Service {
 
-    /** Set by a backend on a refusal: proof that it did nothing for this request. */
-    public static final String NEVER_RAN_FIELD = ServerStream.NEVER_RAN;
-    /** Says, on what a proxy answers itself, why. */
+    /** Field that a backend sets on a refusal: proof that it did nothing for this request. */
+    public static final String NEVER_RAN_FIELD = ServerStream.NEVER_RAN_FIELD;
+    /** Field with the reason of an answer that the proxy gives itself. */
     public static final String REASON_FIELD = "x-rowanmoor";
-    /** Names the proxy in what it sends to backends. */
+    /** Field of requests to backends with the number of the proxy. */
     public static final String PROXY_NUMBER_FIELD = "x-rowanmoor-proxy";
-    /** Names a request through all its tries; made here if the client names none. */
+    /** Field that identifies a request in all its tries; generated here if the client sends none. */
     public static final String REQUEST_ID_FIELD = "x-request-id";
 
-    private static final List<String> HOP_BY_HOP = List.of("connection", "keep-alive", "proxy-connection",
-            "te", "transfer-encoding", "upgrade", "content-length");
-    /** A client's connection may be idle for so many times as long as one to a backend. */
-    private static final int IDLE_TIMES = 4;
-    private static final long WATCH_EVERY = 500_000_000L;
-    private static final long MILLI = 1_000_000L;
-    /** Clients without room that are told so at once; beyond it they are cut off. */
-    private static final int TURNED_AWAY_MOST = 64;
-    /** A stopping proxy waits so long for the next request on a kept connection, ns. */
-    private static final long STOP_IDLE = 500_000_000L;
-    /** The time that its last report has to be acknowledged, ns. */
-    private static final long STOP_LAST_REPORT = 400_000_000L;
-    /** Within its bound, the time that the last answers have to be read, ns. */
-    private static final long STOP_LAST_ANSWERS = 1_000_000_000L;
+    private static final List<String> HOP_BY_HOP_FIELDS = List.of("connection", "keep-alive",
+            "proxy-connection", "te", "transfer-encoding", "upgrade", "content-length");
+    /** Idle time-out of client connections, as a multiple of that of backend connections. */
+    private static final int CLIENT_IDLE_FACTOR = 4;
+    private static final long TIMEOUT_CHECK_INTERVAL_NS = 500_000_000L;
+    private static final long NS_PER_MS = 1_000_000L;
+    /** Connections over the limit that are answered with 503 at a time; more are closed without an answer. */
+    private static final int MAX_REJECTED_CONNECTIONS = 64;
+    /** How long a stopping proxy waits for the next request on a keep-alive connection. */
+    private static final long STOP_IDLE_TIMEOUT_NS = 500_000_000L;
+    /** Time for the last report to be acknowledged. */
+    private static final long STOP_LAST_REPORT_NS = 400_000_000L;
+    /** Part of the stop time-out that is left for clients to read the last answers. */
+    private static final long STOP_LAST_ANSWERS_NS = 1_000_000_000L;
 
     private final ProxyConfig config;
     private final Loop loop;
@@ -63,20 +63,20 @@
     private final ReportQueue reports;
     private final ChannelClient channel;
     private final LoadColumns columns;
-    private final Limits limits = Limits.usual();
+    private final MessageLimits limits = MessageLimits.defaults();
     private final Loop.Listener listener;
-    private final Pool<ClientStream> pool;
+    private final ConnectionPool<ClientStream> pool;
     private final Set<ServerStream> clients = new LinkedHashSet<>();
-    private final Map<InetAddress, Integer> byAddress = new HashMap<>();
-    private final Set<Forward> working = new LinkedHashSet<>();
-    private int turnedAway;
-    private final String idStem;
-    private long ids;
+    private final Map<InetAddress, Integer> connectionsByAddress = new HashMap<>();
+    private final Set<ForwardedRequest> activeRequests = new LinkedHashSet<>();
+    private int rejectedConnections;
+    private final String requestIdPrefix;
+    private long lastRequestId;
     private boolean stopping;
-    private boolean leaving;
-    private Runnable stopped;
+    private boolean finishing;
+    private Runnable onStopped;
 
-    /** Listens and calls its controller. */
+    /** Starts to listen and connects to a controller. */
     public Proxy(ProxyConfig config, Loop loop, Router router, RandomGenerator random, Tap tap)
             throws IOException {
         this.config = config;
@@ -85,19 +85,20 @@
         this.tallies = new Tallies(loop.now());
         this.reports = new ReportQueue(tallies);
         this.columns = new LoadColumns(config.site().loadColumns());
-        this.pool = new Pool<>(new Ways(), conduct().maxConnectionsPerBackend(), conduct().maxIdlePerBackend());
-        this.idStem = config.number() + "-" + Long.toHexString(random.nextLong()) + "-";
+        this.pool = new ConnectionPool<>(new ClientStreamOperations(), policy().maxConnectionsPerBackend(),
+                policy().maxIdlePerBackend());
+        this.requestIdPrefix = config.number() + "-" + Long.toHexString(random.nextLong()) + "-";
         this.listener = loop.listen(config.listen(), ServerStream.options(), this::accept);
         this.channel = new ChannelClient(loop, config, router, reports, random, tap,
-                () -> pool.closeIdle(router::uses), this::leaveIfReported);
-        // Proxies started together must not report together for good.
-        loop.after((long) (config.site().reportIntervalNs() * random.nextDouble()), this::report);
-        loop.after(config.backendIdleTimeoutNs() / 4 + 1, this::closeOld);
-        loop.after(WATCH_EVERY, this::watch);
-        channel.call();
+                () -> pool.closeIdleExcept(router::uses), this::completeStopIfReported);
+        // A random first delay, so that proxies started together do not always report together.
+        loop.after((long) (config.site().reportIntervalNs() * random.nextDouble()), this::sendReport);
+        loop.after(config.backendIdleTimeoutNs() / 4 + 1, this::closeIdleConnections);
+        loop.after(TIMEOUT_CHECK_INTERVAL_NS, this::checkTimeouts);
+        channel.connect();
     }
 
-    /** A proxy with a router of its own. */
+    /** Starts a proxy with a router made from its configuration. */
     public static Proxy start(ProxyConfig config, Loop loop, RandomGenerator random, Tap tap)
             throws IOException {
         Router router = new Router(config.site(), config.policy(),
@@ -106,15 +107,15 @@
         return new Proxy(config, loop, router, random, tap);
     }
 
-    private static final class Ways implements Pool.Ways<ClientStream> {
+    private static final class ClientStreamOperations implements ConnectionPool.Operations<ClientStream> {
         @Override
-        public boolean usable(ClientStream connection) {
-            return connection.free();
+        public boolean isUsable(ClientStream connection) {
+            return connection.isAvailable();
         }
 
         @Override
-        public boolean stillUsable(ClientStream connection) {
-            return connection.stillFree();
+        public boolean isUsableAfterIdle(ClientStream connection) {
+            return connection.probeAvailable();
         }
 
         @Override
@@ -128,60 +129,61 @@
         }
     }
 
+    /** Address on which it listens. */
     public InetSocketAddress address() {
         return listener.address();
     }
 
-    /** Whether its stream is up. */
+    /** Whether the stream to a controller is up. */
     public boolean isJoined() {
-        return channel.up();
+        return channel.isUp();
     }
 
-    /** Epoch and version of what it holds. */
+    /** Epoch and version of the routing state in force, separated by a slash. */
     public String epochAndVersion() {
         return router.epoch() + "/" + router.version();
     }
 
-    /** Requests in work. */
+    /** Number of requests in flight. */
     public int requestsInFlight() {
-        return working.size();
+        return activeRequests.size();
     }
 
-    /** Connections to backends, idle and in use. */
+    /** Number of connections to backends, idle and in use. */
     public int backendConnections() {
-        return pool.open();
+        return pool.openCount();
     }
 
-    /** Connections of clients. */
+    /** Number of connections of clients. */
     public int clientConnections() {
         return clients.size();
     }
 
     /**
-     * Takes no more connections and serves those it has until their clients know: each answer says that its
-     * connection closes, and one on which nothing comes is ended. Once the last is closed and all that was
-     * counted is acknowledged, or the bound for that is over, says goodbye to its controller and runs {@code
-     * then}. Only the first call counts.
+     * Stops gracefully. Accepts no more connections; each further answer announces that its connection
+     * closes, and idle connections are closed. Once the last is closed and all counts are acknowledged, or
+     * the time-out for that has passed, says goodbye to the controller and runs {@code then}. Calls after the
+     * first have no effect.
      */
     public void stop(Runnable then) {
         if (stopping) {
             return;
         }
         stopping = true;
-        stopped = then;
+        onStopped = then;
         listener.close();
-        long within = conduct().stopTimeoutNs();
-        long idleWithin = Math.min(STOP_IDLE, within / 4);
-        List.copyOf(clients).forEach(c -> c.stop(idleWithin));
-        loop.after(within - Math.min(STOP_LAST_ANSWERS, within / 2), this::answerTheRest);
-        loop.after(within - lastReportWithin(), this::finishStop);
-        loop.after(within, this::leave);
+        long timeoutNs = policy().stopTimeoutNs();
+        long idleTimeoutNs = Math.min(STOP_IDLE_TIMEOUT_NS, timeoutNs / 4);
+        List.copyOf(clients).forEach(c -> c.stop(idleTimeoutNs));
+        loop.after(timeoutNs - Math.min(STOP_LAST_ANSWERS_NS, timeoutNs / 2), this::answerRemaining);
+        loop.after(timeoutNs - lastReportTimeoutNs(), this::finishStop);
+        loop.after(timeoutNs, this::completeStop);
         finishStopIfDone();
     }
 
-    private void answerTheRest() {
-        List.copyOf(working).forEach(Forward::stop);
-        List.copyOf(clients).forEach(ServerStream::endUnlessInWork);
+    private void answerRemaining() {
+        List.copyOf(activeRequests).forEach(ForwardedRequest::stop);
+        List.copyOf(clients).forEach(ServerStream::closeIfIdle);
     }
 
     private void finishStopIfDone() {
@@ -190,39 +192,39 @@
         }
     }
 
-    private long lastReportWithin() {
-        return Math.min(STOP_LAST_REPORT, conduct().stopTimeoutNs() / 4);
+    private long lastReportTimeoutNs() {
+        return Math.min(STOP_LAST_REPORT_NS, policy().stopTimeoutNs() / 4);
     }
 
-    /** No request is in work any more: what was counted is told, and must have been taken. */
+    /** Ends all requests and sends the last counts, which the controller should acknowledge. */
     private void finishStop() {
-        if (!leaving) {
-            leaving = true;
-            List.copyOf(working).forEach(Forward::giveUp);
-            loop.after(lastReportWithin(), this::leave);
-            leaveIfReported();
+        if (!finishing) {
+            finishing = true;
+            List.copyOf(activeRequests).forEach(ForwardedRequest::abandon);
+            loop.after(lastReportTimeoutNs(), this::completeStop);
+            completeStopIfReported();
         }
     }
 
-    private void leaveIfReported() {
-        if (leaving) {
-            channel.report();
+    private void completeStopIfReported() {
+        if (finishing) {
+            channel.sendReport();
             if (reports.isSettled() || !channel.hasBeenUp()) {
-                leave();
+                completeStop();
             }
         }
     }
 
-    private void leave() {
-        Runnable then = stopped;
-        stopped = null;
+    private void completeStop() {
+        Runnable then = onStopped;
+        onStopped = null;
         if (then != null) {
             channel.stop();
             then.run();
         }
     }
 
-    // ---- what a request needs ------------------------------------------------------------------------
+    // ---- services for forwarded requests -------------------------------------------------------------
 
     long now() {
         return loop.now();
@@ -240,7 +242,7 @@
         return tallies;
     }
 
-    ForwardingPolicy conduct() {
+    ForwardingPolicy policy() {
         return config.policy();
     }
 
@@ -248,86 +250,89 @@
         return columns;
     }
 
-    /** A connection that is free, or a new one, or null if there are as many as may be. */
-    ClientStream connection(Backend backend) {
-        ClientStream kept = pool.take(backend);
-        if (kept != null || !pool.mayOpen(backend)) {
-            return kept;
+    /** An idle connection or a new one, or null if the backend's connection limit is reached. */
+    ClientStream acquireConnection(Backend backend) {
+        ClientStream idle = pool.take(backend);
+        if (idle != null || !pool.canOpen(backend)) {
+            return idle;
         }
-        pool.opened(backend);
+        pool.onOpened(backend);
         return ClientStream.open(loop, config.localAddress(), Addresses.toSocketAddress(backend),
                 ServerStream.options().connectWithin(config.connectTimeoutNs()), limits,
-                gone -> pool.gone(backend, gone));
+                closed -> pool.onClosed(backend, closed));
     }
 
-    /** A request's answer was whole: its connection is kept if the tables still name its backend. */
-    void keep(Backend backend, ClientStream connection) {
+    /** Keeps a connection whose response is complete, or closes it if no table names its backend any more. */
+    void releaseConnection(Backend backend, ClientStream connection) {
         if (router.uses(backend)) {
-            pool.keep(backend, connection);
+            pool.release(backend, connection);
         } else {
             connection.cancel();
         }
     }
 
-    void ended(Forward forward) {
-        working.remove(forward);
+    void onRequestEnded(ForwardedRequest request) {
+        activeRequests.remove(request);
     }
 
-    /** An answer of the proxy's own. */
-    void own(ServerStream.Exchange exchange, int status, String why) {
-        exchange.answer(status, why + "\n", REASON_FIELD, why, "Content-Type", "text/plain");
+    /** Answers a request without a backend. */
+    void answerDirectly(ServerStream.Exchange exchange, int status, String why) {
+        exchange.respond(status, why + "\n", REASON_FIELD, why, "Content-Type", "text/plain");
     }
 
-    Part.RequestHead forwarded(Part.RequestHead head, Backend backend, long left) {
-        Fields fields = endToEnd(head.fields());
+    /** The head to send to a backend; {@code remainingNs} is the time to the deadline. */
+    MessagePart.RequestHead backendRequestHead(MessagePart.RequestHead head, Backend backend, long remainingNs) {
+        HttpFields fields = endToEndFields(head.fields());
         fields.set("Host", backend.toString());
         fields.set(PROXY_NUMBER_FIELD, Integer.toString(config.number()));
-        fields.add("Via", "1." + head.minor() + " " + config.name());
+        fields.add("Via", "1." + head.minorVersion() + " " + config.name());
         if (fields.get(REQUEST_ID_FIELD) == null) {
-            fields.set(REQUEST_ID_FIELD, idStem + ++ids);
+            fields.set(REQUEST_ID_FIELD, requestIdPrefix + ++lastRequestId);
         }
-        fields.set(conduct().deadlineField(), Long.toString(Math.max(1, left / MILLI)));
-        return new Part.RequestHead(head.method(), head.target(), 1, fields, head.length());
+        fields.set(policy().deadlineField(), Long.toString(Math.max(1, remainingNs / NS_PER_MS)));
+        return new MessagePart.RequestHead(head.method(), head.target(), 1, fields, head.contentLength());
     }
 
-    static Part.ResponseHead backward(Part.ResponseHead head) {
-        Fields fields = endToEnd(head.fields());
+    /** The head to send to the client for a backend's response. */
+    static MessagePart.ResponseHead clientResponseHead(MessagePart.ResponseHead head) {
+        HttpFields fields = endToEndFields(head.fields());
         String length = head.fields().get("content-length");
-        if (head.length() == 0 && length != null) {
-            fields.set("Content-Length", length); // of an answer to HEAD, or 304
+        if (head.contentLength() == 0 && length != null) {
+            fields.set("Content-Length", length); // in a response to HEAD, or a 304
         }
-        fields.remove(Orca.FIELD);
-        return new Part.ResponseHead(head.status(), head.reason(), 1, fields, head.length());
+        fields.remove(OrcaLoadReport.HEADER_NAME);
+        return new MessagePart.ResponseHead(head.status(), head.reason(), 1, fields, head.contentLength());
     }
 
-    /** Without what belongs to one connection only (RFC 9110, 7.6.1). */
-    private static Fields endToEnd(Fields all) {
-        Fields fields = all.copy();
-        String named = all.get("connection", "");
-        for (String name : named.split(",")) {
+    /** The fields without those that concern a single connection only (RFC 9110, 7.6.1). */
+    private static HttpFields endToEndFields(HttpFields all) {
+        HttpFields fields = all.copy();
+        String connectionOptions = all.get("connection", "");
+        for (String name : connectionOptions.split(",")) {
             fields.remove(name.trim());
         }
-        HOP_BY_HOP.forEach(fields::remove);
+        HOP_BY_HOP_FIELDS.forEach(fields::remove);
         return fields;
     }
 
     // ---- requests ------------------------------------------------------------------------------------
 
-    private Handler accept(Connection connection) {
+    private ConnectionHandler accept(Connection connection) {
         InetAddress from = connection.remote().getAddress();
-        int its = byAddress.getOrDefault(from, 0);
-        if (clients.size() >= config.maxClientConnections() || its >= conduct().maxConnectionsPerClient()) {
-            return turnedAway < TURNED_AWAY_MOST ? new TurnedAway() : null;
+        int existing = connectionsByAddress.getOrDefault(from, 0);
+        if (clients.size() >= config.maxClientConnections()
+                || existing >= policy().maxConnectionsPerClient()) {
+            return rejectedConnections < MAX_REJECTED_CONNECTIONS ? new RejectedClient() : null;
         }
-        byAddress.put(from, its + 1);
-        ServerStream.Patience patience = new ServerStream.Patience(conduct().headTimeoutNs(),
-                IDLE_TIMES * config.backendIdleTimeoutNs());
-        ServerStream stream = new ServerStream(loop, limits, patience, this) {
+        connectionsByAddress.put(from, existing + 1);
+        ServerStream.Timeouts timeouts = new ServerStream.Timeouts(policy().headTimeoutNs(),
+                CLIENT_IDLE_FACTOR * config.backendIdleTimeoutNs());
+        ServerStream stream = new ServerStream(loop, limits, timeouts, this) {
             @Override
-            public void closed(Connection itsConnection, Close why, String detail) {
+            public void onClose(Connection itsConnection, CloseReason why, String detail) {
                 clients.remove(this);
-                byAddress.computeIfPresent(from, (a, n) -> n == 1 ? null : n - 1);
-                super.closed(itsConnection, why, detail);
+                connectionsByAddress.computeIfPresent(from, (a, n) -> n == 1 ? null : n - 1);
+                super.onClose(itsConnection, why, detail);
                 finishStopIfDone();
             }
         };
@@ -335,47 +340,48 @@
         return stream;
     }
 
-    /** A client without room: it is told so, whatever it has asked by then, and its connection ends. */
-    private final class TurnedAway implements Handler {
+    /** Answers a connection over the limit with 503, whatever it has sent, and closes it. */
+    private final class RejectedClient implements ConnectionHandler {
 
-        TurnedAway() {
-            turnedAway++;
+        RejectedClient() {
+            rejectedConnections++;
         }
 
         @Override
-        public void opened(Connection connection) {
+        public void onOpen(Connection connection) {
             connection.send(Message.Response.of(503, "as many connections as may be\n", "Connection", "close",
                     REASON_FIELD, "as many connections as may be", NEVER_RAN_FIELD, "1").encode(false));
-            connection.end();
+            connection.closeGracefully();
         }
 
         @Override
-        public void received(Connection connection, ByteBuffer bytes) { }
+        public void onData(Connection connection, ByteBuffer bytes) { }
 
         @Override
-        public void closed(Connection connection, Close why, String detail) {
-            turnedAway--;
+        public void onClose(Connection connection, CloseReason why, String detail) {
+            rejectedConnections--;
         }
     }
 
     @Override
-    public void begun(ServerStream.Exchange exchange) {
-        Part.RequestHead head = exchange.head();
+    public void onRequest(ServerStream.Exchange exchange) {
+        MessagePart.RequestHead head = exchange.head();
         int cls = config.site().classIndex(head.path());
         if (cls < 0) {
-            own(exchange, 404, "no class has this path");
+            answerDirectly(exchange, 404, "no class has this path");
             return;
         }
         tallies.onRequest(cls);
-        long within = config.site().classes().get(cls).deadline();
-        String stated = head.fields().get(conduct().deadlineField());
-        long millis = stated == null ? 0 : millis(stated);
+        long timeoutNs = config.site().classes().get(cls).deadline();
+        String stated = head.fields().get(policy().deadlineField());
+        long millis = stated == null ? 0 : parseMillis(stated);
         if (millis < 0) {
-            own(exchange, 400, conduct().deadlineField() + " is not a number of milliseconds");
+            answerDirectly(exchange, 400, policy().deadlineField() + " is not a number of milliseconds");
             return;
         }
-        within = stated == null ? within : Math.min(within, millis * MILLI);
-        if (working.size() >= conduct().maxRequestsInFlight()) { // asked before its level, which would spend a token
+        timeoutNs = stated == null ? timeoutNs : Math.min(timeoutNs, millis * NS_PER_MS);
+        // Checked before admission by level, which would use up a token.
+        if (activeRequests.size() >= policy().maxRequestsInFlight()) {
             refuse(exchange, "as many requests in work as may be");
             return;
         }
@@ -383,43 +389,43 @@
             refuse(exchange, "refused by its level");
             return;
         }
-        Forward forward = new Forward(this, cls, exchange, within);
-        exchange.tag = forward;
-        working.add(forward);
-        forward.begin();
+        ForwardedRequest request = new ForwardedRequest(this, cls, exchange, timeoutNs);
+        exchange.attachment = request;
+        activeRequests.add(request);
+        request.start();
     }
 
-    private static long millis(String text) {
+    private static long parseMillis(String text) {
         return text.matches("[0-9]{1,9}") ? Long.parseLong(text) : -1;
     }
 
     private void refuse(ServerStream.Exchange exchange, String why) {
-        exchange.answer(conduct().refusalStatus(), why + "\n", REASON_FIELD, why, "Content-Type", "text/plain",
-                "Retry-After", Integer.toString(conduct().retryAfterSeconds()));
+        exchange.respond(policy().refusalStatus(), why + "\n", REASON_FIELD, why, "Content-Type", "text/plain",
+                "Retry-After", Integer.toString(policy().retryAfterSeconds()));
     }
 
     @Override
-    public void gone(ServerStream.Exchange exchange) {
-        if (exchange.tag instanceof Forward forward) {
-            forward.giveUp();
+    public void onAborted(ServerStream.Exchange exchange) {
+        if (exchange.attachment instanceof ForwardedRequest request) {
+            request.abandon();
         }
     }
 
-    // ---- now and then --------------------------------------------------------------------------------
+    // ---- periodic work -------------------------------------------------------------------------------
 
-    private void watch() {
-        long now = loop.now();
-        List.copyOf(working).forEach(f -> f.watch(now));
-        loop.after(WATCH_EVERY, this::watch);
+    private void checkTimeouts() {
+        long nowNs = loop.now();
+        List.copyOf(activeRequests).forEach(f -> f.checkTimeouts(nowNs));
+        loop.after(TIMEOUT_CHECK_INTERVAL_NS, this::checkTimeouts);
     }
 
-    private void closeOld() {
-        pool.closeOld(loop.now() - config.backendIdleTimeoutNs());
-        loop.after(config.backendIdleTimeoutNs() / 4 + 1, this::closeOld);
+    private void closeIdleConnections() {
+        pool.closeIdleBefore(loop.now() - config.backendIdleTimeoutNs());
+        loop.after(config.backendIdleTimeoutNs() / 4 + 1, this::closeIdleConnections);
     }
 
-    private void report() {
-        channel.report();
-        loop.after(config.site().reportIntervalNs(), this::report);
+    private void sendReport() {
+        channel.sendReport();
+        loop.after(config.site().reportIntervalNs(), this::sendReport);
     }
 }
