--- a/src/main/java/rowanmoor/config/ControllerConfig.java
+++ b/src/main/java/rowanmoor/config/ControllerConfig.java
@@ -30,7 +30,11 @@
         long rosterWaitNs, long emptyRosterHoldNs, String probePath, long probeTimeoutNs,
         int maxConcurrentProbes, Path traceFile, CaptureConfig capture, long statsIntervalNs) {
 
-    /** Reads a controller's configuration from a file. */
+    /**
+     * Reads a controller's configuration from a file.
+     *
+     * @throws ConfigException with all problems of the file
+     */
     public static ControllerConfig read(Path file) throws ConfigException {
         return read(Section.read(file));
     }
--- a/src/main/java/rowanmoor/config/Section.java
+++ b/src/main/java/rowanmoor/config/Section.java
@@ -156,6 +156,7 @@
         return string(singleValue(key, true), key, "");
     }
 
+    /** Returns the string value of a key, or the default value if the key is missing. */
     public String string(String key, String defaultValue) {
         return string(singleValue(key, false), key, defaultValue);
     }
@@ -176,7 +177,7 @@
         return values(key, required).stream().map(v -> string(v, key, "")).toList();
     }
 
-    /** Returns the value of a key that is {@code #true} or {@code #false}. */
+    /** Returns the boolean value of a key, or the default value if the key is missing. */
     public boolean bool(String key, boolean defaultValue) {
         Value value = singleValue(key, false);
         if (value != null && !value.isBoolean()) {
@@ -210,6 +211,7 @@
         return number(singleValue(key, true), key, min, max, min);
     }
 
+    /** Returns the numeric value of a key, or the default value if the key is missing. */
     public double number(String key, double min, double max, double defaultValue) {
         return number(singleValue(key, false), key, min, max, defaultValue);
     }
@@ -241,6 +243,7 @@
         return integer(singleValue(key, true), key, min, max, min);
     }
 
+    /** Returns the integer value of a key, or the default value if the key is missing. */
     public int integer(String key, int min, int max, int defaultValue) {
         return integer(singleValue(key, false), key, min, max, defaultValue);
     }
@@ -259,6 +262,7 @@
         return durationNs(singleValue(key, true), key, min, max, parseDurationNs(min));
     }
 
+    /** Returns a duration in nanoseconds, or the default value if the key is missing. */
     public long durationNs(String key, String min, String max, String defaultValue) {
         return durationNs(singleValue(key, false), key, min, max, parseDurationNs(defaultValue));
     }
@@ -289,6 +293,7 @@
         return ratePerSecond(singleValue(key, true), key, min, max, min);
     }
 
+    /** Returns a rate per second, or the default value if the key is missing. */
     public double ratePerSecond(String key, double min, double max, double defaultValue) {
         return ratePerSecond(singleValue(key, false), key, min, max, defaultValue);
     }
