--- a/src/main/java/rowanmoor/cli/Commands.java
+++ b/src/main/java/rowanmoor/cli/Commands.java
@@ -338,8 +338,8 @@
     int emulate(@Parameters(paramLabel = "FILE") Path file,
             @Option(names = "--seed", defaultValue = "1", paramLabel = "SEED",
                     description = "default ${DEFAULT-VALUE}") long seed) throws ConfigException {
-        EmulatorModels.Modelled modelled = EmulatorModels.of(DayFile.read(file), seed);
-        modelled.leftOut().forEach(l -> out().println("left out: " + l));
+        EmulatorModels.Conversion modelled = EmulatorModels.of(DayFile.read(file), seed);
+        modelled.skippedTroubles().forEach(l -> out().println("left out: " + l));
         long start = System.nanoTime();
         Outcome outcome = Emulator.run(modelled.model(), seed);
         double seconds = (System.nanoTime() - start) / 1e9;
@@ -364,11 +364,11 @@
 
     /** Converts a bench day to a day file and prints what of it cannot be played. */
     private Path writeBenchDay(Path benchDay, double scale, Path directory) throws IOException {
-        BenchDayConverter.Converted converted = BenchDayConverter.convert(benchDay, scale);
+        BenchDayConverter.Conversion converted = BenchDayConverter.convert(benchDay, scale);
         Path file = directory.resolve("from-bench.kdl");
         Files.writeString(file, converted.text());
         out().println("day file: " + file);
-        converted.leftOut().forEach(l -> out().println("left out: " + l));
+        converted.skippedTroubles().forEach(l -> out().println("left out: " + l));
         out().flush();
         return file;
     }
@@ -381,10 +381,10 @@
             @Option(names = "--seed", defaultValue = "1", paramLabel = "SEED",
                     description = "default ${DEFAULT-VALUE}") long seed) {
         long end = System.nanoTime() + seconds * 1_000_000_000L;
-        Fuzzer.Found found = new Fuzzer(target, seed).run(Long.MAX_VALUE, () -> System.nanoTime() < end);
+        Fuzzer.Result found = new Fuzzer(target, seed).run(Long.MAX_VALUE, () -> System.nanoTime() < end);
         out().printf("%s, seed %d: %d inputs, %d refused, at most %d bytes allocated for one%n", target, seed,
-                found.inputs(), found.refused(), found.mostAllocated());
-        found.refusals().forEach((reason, count) -> out().printf("%10d  %s%n", count, reason));
+                found.inputs(), found.rejected(), found.maxAllocatedBytes());
+        found.rejections().forEach((reason, count) -> out().printf("%10d  %s%n", count, reason));
         out().println(found.failure() == null ? "nothing found" : "FAILED: " + found.failure());
         out().flush();
         return found.failure() == null ? 0 : 1;
--- a/src/main/java/rowanmoor/cli/PlanCommand.java
+++ b/src/main/java/rowanmoor/cli/PlanCommand.java
@@ -220,7 +220,7 @@
             System.setProperty(Commands.LOG_LEVEL_PROPERTY, "OFF");
         }
         List<Trial> trials = new ForecastVerifier(new Goal(minService, minWorstService),
-                simulated ? ForecastVerifier.Ways.SIMULATED : ForecastVerifier.Ways.SOCKETS, seconds * NS_PER_SECOND,
+                simulated ? ForecastVerifier.RunMode.SIMULATED : ForecastVerifier.RunMode.SOCKETS, seconds * NS_PER_SECOND,
                 parallelFleets, directory, line -> printLine("%s", line)).run(all);
         String table = ForecastVerifier.table(trials);
         Files.writeString(directory.resolve("accuracy.txt"), table);
--- a/src/test/java/rowanmoor/LimitsTest.java
+++ b/src/test/java/rowanmoor/LimitsTest.java
@@ -10,16 +10,16 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Where the decision module is, and the width of source lines. */
+/** The place of the decision module and the width of source lines. */
 class LimitsTest {
 
-    private static final int WIDTH_MOST = 110;
+    private static final int MAX_LINE_LENGTH = 110;
 
     @Test
     void decisionModuleHasCode() throws IOException {
         long lines = Files.readAllLines(Path.of("src/main/java/rowanmoor/RoutingPolicy.java")).stream()
                 .filter(line -> !line.isBlank()).count();
-        assertTrue(lines > 0, "Logic.java has " + lines + " non-blank lines");
+        assertTrue(lines > 0, "RoutingPolicy.java has " + lines + " non-blank lines");
     }
 
     @Test
@@ -28,14 +28,14 @@
             for (Path file : files.filter(f -> f.toString().endsWith(".java")).toList()) {
                 List<String> lines = Files.readAllLines(file);
                 for (int i = 0; i < lines.size(); i++) {
-                    assertTrue(lines.get(i).length() <= WIDTH_MOST, file + " line " + (i + 1));
+                    assertTrue(lines.get(i).length() <= MAX_LINE_LENGTH, file + " line " + (i + 1));
                 }
             }
         }
     }
 
     @Test
-    void thePolicyFileNamedForDeploymentIsTheDecisionModule() throws IOException {
+    void deploymentFileNamesTheDecisionModule() throws IOException {
         assertEquals(1, Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("policy = [\"src/main/java/rowanmoor/RoutingPolicy.java\"]"))
                         .count());
