--- a/src/main/java/rowanmoor/cli/Commands.java
+++ b/src/main/java/rowanmoor/cli/Commands.java
@@ -266,14 +266,15 @@
         Path dayFile = file == null ? writeBenchDay(benchDay, scale, directory) : file;
         DayFile day = DayFile.read(dayFile);
         DayFile seeded = seed == null ? day : day.seed(seed);
-        DayResult played = simulated ? DayRunner.simulate(seeded) : DayRunner.runOnSockets(seeded, dayFile, directory);
-        out().print(DayReport.text(played));
+        DayResult result = simulated ? DayRunner.simulate(seeded)
+                : DayRunner.runOnSockets(seeded, dayFile, directory);
+        out().print(DayReport.text(result));
         out().flush();
         if (report != null) {
             System.setProperty("java.awt.headless", "true");
-            DayReport.write(played, report);
+            DayReport.write(result, report);
         }
-        return played.passed() ? 0 : 1;
+        return result.passed() ? 0 : 1;
     }
 
     @Command(name = "soak",
@@ -375,7 +376,8 @@
 
     @Command(name = "fuzz",
             description = "Feeds mutants of valid inputs to a parser until it fails or the time is up.")
-    int fuzz(@Parameters(paramLabel = "PARSER", description = "${COMPLETION-CANDIDATES}") Fuzzer.Target target,
+    int fuzz(@Parameters(paramLabel = "PARSER", description = "${COMPLETION-CANDIDATES}")
+                    Fuzzer.Target target,
             @Option(names = "--seconds", defaultValue = "10", paramLabel = "SECONDS",
                     description = "length of the run; default ${DEFAULT-VALUE}") int seconds,
             @Option(names = "--seed", defaultValue = "1", paramLabel = "SEED",
--- a/src/main/java/rowanmoor/cli/PlanCommand.java
+++ b/src/main/java/rowanmoor/cli/PlanCommand.java
@@ -109,7 +109,8 @@
     private int plan() throws ConfigException, IOException {
         Path fleet = dayFiles.get(0);
         DayFile day = DayFile.read(fleet);
-        Model model = EmulatorModels.of(day, 1).model().withFaults(List.of()).withDurationNs(seconds * NS_PER_SECOND);
+        Model model = EmulatorModels.of(day, 1).model().withFaults(List.of())
+                .withDurationNs(seconds * NS_PER_SECOND);
         SimulationRunner runs = (m, which) -> which.parallelStream().map(s -> Emulator.run(m, s)).toList();
         printLine("goal: service %.3f%s", minService, minWorstService > 0
                 ? String.format(Locale.ROOT, ", worst 10 s %.3f", minWorstService) : "");
@@ -139,8 +140,8 @@
         moves.forEach(s -> printLine("  the breaking rate moves by %+.0f%% with %s", 100 * s.relativeChange(),
                 s.input()));
         Planner.FleetSize enough = printBackendCount(planner, model);
-        List<Planner.LossImpact> losses = planner.evaluateLosses(model.withDurationNs(50 * NS_PER_SECOND), 10 * NS_PER_SECOND,
-                15 * NS_PER_SECOND);
+        List<Planner.LossImpact> losses = planner.evaluateLosses(
+                model.withDurationNs(50 * NS_PER_SECOND), 10 * NS_PER_SECOND, 15 * NS_PER_SECOND);
         for (Planner.LossImpact l : losses) {
             printLine("loss of %-32s before %.3f, during %.3f, worst 10 s %.3f, back after %s%s;"
                     + " queue at %.0f%% of limit",
@@ -153,8 +154,8 @@
             System.setProperty("java.awt.headless", "true");
             PlanReport.write(new PlanReport.Plan(day.name(), new Goal(minService, minWorstService),
                     model.requestsPerSecond(), model.backends().size(), given, estimates, notes, breaks,
-                    broken ? planner.serviceCurve(model, breaks.rate().mean()) : List.of(), enough, withZoneLoss,
-                    losses, moves), reportDirectory);
+                    broken ? planner.serviceCurve(model, breaks.rate().mean()) : List.of(), enough,
+                    withZoneLoss, losses, moves), reportDirectory);
             printLine("report: %s", reportDirectory.resolve("plan.html"));
         }
         return 0;
@@ -187,7 +188,8 @@
         }
         all.add(new String[] {"clients",
                 format("up to %d repeats after %d ms, a try up to %.2f of the deadline",
-                model.maxClientRetries(), model.retryBackoffNs() / 1_000_000, model.tryTimeoutFraction()), file});
+                model.maxClientRetries(), model.retryBackoffNs() / 1_000_000,
+                model.tryTimeoutFraction()), file});
         java.util.TreeMap<String, Integer> counts = new java.util.TreeMap<>();
         for (Model.BackendSpec m : model.backends()) {
             counts.merge(format(
@@ -220,8 +222,8 @@
             System.setProperty(Commands.LOG_LEVEL_PROPERTY, "OFF");
         }
         List<Trial> trials = new ForecastVerifier(new Goal(minService, minWorstService),
-                simulated ? ForecastVerifier.RunMode.SIMULATED : ForecastVerifier.RunMode.SOCKETS, seconds * NS_PER_SECOND,
-                parallelFleets, directory, line -> printLine("%s", line)).run(all);
+                simulated ? ForecastVerifier.RunMode.SIMULATED : ForecastVerifier.RunMode.SOCKETS,
+                seconds * NS_PER_SECOND, parallelFleets, directory, line -> printLine("%s", line)).run(all);
         String table = ForecastVerifier.table(trials);
         Files.writeString(directory.resolve("accuracy.txt"), table);
         printLine("%n%s", table.stripTrailing());
@@ -244,7 +246,8 @@
         printLine("breaks at %.0f requests a second (95%%: %.0f to %.0f over %d seeds; %d runs);"
                 + " the rate now is %.0f%s",
                 breaks.rate().mean(), breaks.rate().low(), breaks.rate().high(), breaks.rate().sampleCount(),
-                breaks.runs(), model.requestsPerSecond(), breaks.note().isEmpty() ? "" : "; " + breaks.note());
+                breaks.runs(), model.requestsPerSecond(),
+                breaks.note().isEmpty() ? "" : "; " + breaks.note());
         for (int i = 0; i < Math.min(3, breaks.findings().size()); i++) {
             Finding f = breaks.findings().get(i);
             printLine("  %d. %s, %s: %s (pressure %.2f)", i + 1, f.resource(), f.location(), f.evidence(),
@@ -266,7 +269,8 @@
         } else {
             printLine("how many: %d backends hold %.0f/s%s; service %.3f, on fresh seeds %.3f"
                     + " (%d runs; there are %d now)",
-                    enough.count(), model.requestsPerSecond(), withZoneLoss ? " with each zone lost in turn" : "",
+                    enough.count(), model.requestsPerSecond(),
+                    withZoneLoss ? " with each zone lost in turn" : "",
                     enough.service(), enough.validationService(), enough.runs(), model.backends().size());
         }
         return enough;
