--- a/src/main/java/rowanmoor/discovery/Prober.java
+++ b/src/main/java/rowanmoor/discovery/Prober.java
@@ -17,97 +17,112 @@
 import rowanmoor.net.Loop;
 import rowanmoor.net.Timer;
 
-/** Probes backends: an HTTP GET each, at most so many at once; those ordered beyond that wait their turn. */
+/** Probes backends by HTTP GET with bounded concurrency; further probes are queued. */
 public final class Prober {
 
+    /** Status of a probe answered with HTTP 200. */
     public static final int STATUS_OK = 10;
-    private static final int ERROR = 20;
-    private static final int FULL = 30;
-    private static final int TIMEOUT = 40;
+    private static final int STATUS_ERROR = 20;
+    private static final int STATUS_OVERLOADED = 30;
+    private static final int STATUS_TIMEOUT = 40;
+    /** Status of a probe whose request was never sent: no address, or no connection. */
     public static final int STATUS_UNREACHABLE = 50;
+    /** Status of a probe whose connection failed after the request was sent. */
     public static final int STATUS_CONNECTION_LOST = 60;
-    private static final int BODY_MOST = 4096;
+    private static final int MAX_BODY_BYTES = 4096;
 
     private final Loop loop;
     private final String path;
-    private final long within;
-    private final int atOnce;
-    private final Function<Backend, InetSocketAddress> where;
-    private final Function<Message.Response, List<Double>> load;
-    private final Consumer<Probed> told;
-    private final LinkedHashSet<Backend> waiting = new LinkedHashSet<>();
-    private final ArrayDeque<Backend> working = new ArrayDeque<>();
+    private final long timeoutNs;
+    private final int maxConcurrent;
+    private final Function<Backend, InetSocketAddress> addressOf;
+    private final Function<Message.Response, List<Double>> loadParser;
+    private final Consumer<Probed> onProbed;
+    private final LinkedHashSet<Backend> queued = new LinkedHashSet<>();
+    private final ArrayDeque<Backend> active = new ArrayDeque<>();
 
     /**
-     * @param where a backend's address now, or null if it has none
-     * @param load an answer's load report, or nothing
+     * @param path path of the GET request
+     * @param timeoutNs limit for a whole probe, connecting included
+     * @param maxConcurrent maximum number of probes in progress
+     * @param addressOf returns a backend's current address, or null if it has none
+     * @param loadParser returns a response's load report, or an empty list
+     * @param onProbed receives each result
      */
-    public Prober(Loop loop, String path, long within, int atOnce, Function<Backend, InetSocketAddress> where,
-            Function<Message.Response, List<Double>> load, Consumer<Probed> told) {
+    public Prober(Loop loop, String path, long timeoutNs, int maxConcurrent,
+            Function<Backend, InetSocketAddress> addressOf,
+            Function<Message.Response, List<Double>> loadParser, Consumer<Probed> onProbed) {
         this.loop = loop;
         this.path = path;
-        this.within = within;
-        this.atOnce = atOnce;
-        this.where = where;
-        this.load = load;
-        this.told = told;
+        this.timeoutNs = timeoutNs;
+        this.maxConcurrent = maxConcurrent;
+        this.addressOf = addressOf;
+        this.loadParser = loadParser;
+        this.onProbed = onProbed;
     }
 
-    /** Probes a backend, now or when there is room; one that already waits is not asked twice. */
+    /** Probes a backend as soon as the concurrency limit allows; does nothing if it is queued already. */
     public void probe(Backend backend) {
-        waiting.add(backend);
-        next();
+        queued.add(backend);
+        startQueued();
     }
 
-    private void next() {
-        while (working.size() < atOnce && !waiting.isEmpty()) {
-            Backend backend = waiting.iterator().next();
-            waiting.remove(backend);
-            working.add(backend);
-            ask(backend);
+    private void startQueued() {
+        while (active.size() < maxConcurrent && !queued.isEmpty()) {
+            Backend backend = queued.iterator().next();
+            queued.remove(backend);
+            active.add(backend);
+            sendProbe(backend);
         }
     }
 
-    private void ask(Backend backend) {
-        long from = loop.now();
-        InetSocketAddress at = where.apply(backend);
-        if (at == null) {
-            loop.after(0, () -> done(at, new Probed(backend, false, STATUS_UNREACHABLE, 0, List.of())));
+    private void sendProbe(Backend backend) {
+        long startedAt = loop.now();
+        InetSocketAddress address = addressOf.apply(backend);
+        if (address == null) {
+            loop.after(0, () -> finish(address,
+                    new Probed(backend, false, STATUS_UNREACHABLE, 0, List.of())));
             return;
         }
-        ClientConnection connection = ClientConnection.open(loop, null, at,
-                Connection.Options.defaults().connectWithin(within), MessageLimits.defaults().body(BODY_MOST), c -> { });
-        Timer patience = loop.after(within, () -> {
+        ClientConnection connection = ClientConnection.open(loop, null, address,
+                Connection.Options.defaults().connectWithin(timeoutNs),
+                MessageLimits.defaults().body(MAX_BODY_BYTES), c -> { });
+        Timer timeout = loop.after(timeoutNs, () -> {
             connection.cancel();
-            done(at, new Probed(backend, false, TIMEOUT, loop.now() - from, List.of()));
+            finish(address, new Probed(backend, false, STATUS_TIMEOUT, loop.now() - startedAt, List.of()));
         });
-        connection.send(Message.Request.get(path, "Host", at.getHostString() + ":" + at.getPort(),
+        connection.send(Message.Request.get(path, "Host", address.getHostString() + ":" + address.getPort(),
                 "Connection", "close"),
                 new ClientConnection.ResponseHandler() {
                     @Override
                     public void onResponse(Message.Response response) {
-                        patience.cancel();
-                        connection.cancel(); // asked to close it, a backend may still leave it open
-                        int status = response.status() == 200 ? STATUS_OK : response.status() == 503 ? FULL : ERROR;
-                        done(at, new Probed(backend, status == STATUS_OK, status, loop.now() - from,
-                                load.apply(response)));
+                        timeout.cancel();
+                        connection.cancel(); // a backend may leave it open despite "Connection: close"
+                        int status = response.status() == 200 ? STATUS_OK
+                                : response.status() == 503 ? STATUS_OVERLOADED : STATUS_ERROR;
+                        finish(address, new Probed(backend, status == STATUS_OK, status,
+                                loop.now() - startedAt, loadParser.apply(response)));
                     }
 
                     @Override
                     public void onFailure(boolean neverRan, CloseReason why, String detail) {
-                        patience.cancel();
-                        int status = why == CloseReason.CONNECT_TIMEOUT ? TIMEOUT : neverRan ? STATUS_UNREACHABLE : STATUS_CONNECTION_LOST;
-                        done(at, new Probed(backend, false, status, loop.now() - from, List.of()));
+                        timeout.cancel();
+                        int status = why == CloseReason.CONNECT_TIMEOUT ? STATUS_TIMEOUT
+                                : neverRan ? STATUS_UNREACHABLE : STATUS_CONNECTION_LOST;
+                        finish(address,
+                                new Probed(backend, false, status, loop.now() - startedAt, List.of()));
                     }
                 });
     }
 
-    /** One that has moved meanwhile was not asked: what is said at its old address says nothing of it. */
-    private void done(InetSocketAddress at, Probed probed) {
-        working.remove(probed.backend());
-        if (Objects.equals(at, where.apply(probed.backend()))) {
-            told.accept(probed);
+    /**
+     * Reports the result, unless the backend has moved: a result from its old address says nothing about it.
+     */
+    private void finish(InetSocketAddress address, Probed probed) {
+        active.remove(probed.backend());
+        if (Objects.equals(address, addressOf.apply(probed.backend()))) {
+            onProbed.accept(probed);
         }
-        next();
+        startQueued();
     }
 }
--- a/src/main/java/rowanmoor/net/Timer.java
+++ b/src/main/java/rowanmoor/net/Timer.java
@@ -1,24 +1,24 @@
 package rowanmoor.net;
 
-/** A call at a time; timers of one time come due in the order in which they were set. */
+/** A task scheduled for a time; timers with the same time run in the order in which they were set. */
 public final class Timer implements Comparable<Timer> {
 
     final long time;
-    private final long number;
+    private final long sequence;
     private Runnable task;
 
     Timer(long time, long number, Runnable task) {
         this.time = time;
-        this.number = number;
+        this.sequence = number;
         this.task = task;
     }
 
-    /** Never calls from now on; harmless if it already has. */
+    /** Prevents the task from running; has no effect if it already has. */
     public void cancel() {
         task = null;
     }
 
-    boolean live() {
+    boolean isLive() {
         return task != null;
     }
 
@@ -33,6 +33,6 @@
     @Override
     public int compareTo(Timer other) {
         int byTime = Long.compare(time, other.time);
-        return byTime != 0 ? byTime : Long.compare(number, other.number);
+        return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
     }
 }
--- a/src/test/java/rowanmoor/http/ParserTest.java
+++ b/src/test/java/rowanmoor/http/ParserTest.java
@@ -17,6 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Parsing and writing of whole messages: framing, limits, and the rejection of request smuggling. */
 class ParserTest {
 
     private static final MessageLimits SMALL = new MessageLimits(64, 200, 8, 100);
@@ -30,7 +31,7 @@
     }
 
     @Test
-    void readsALengthAndChunksWithTrailers() throws HttpError {
+    void parsesContentLengthAndChunkedWithTrailers() throws HttpError {
         assertArrayEquals("hello".getBytes(), request("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello")
                 .body());
         Message.Request chunked = request("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -66,7 +67,7 @@
         "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 101\r\n\r\n",
         "GET /aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa HTTP/1.1\r\n"
     })
-    void whatSmugglesOrIsTooLongIsRefusedHoweverItIsSplit(String text) {
+    void smugglingAndOversizeAreRejectedHoweverSplit(String text) {
         assertThrows(HttpError.class, () -> request(text));
         MessageParser parser = MessageParser.forRequests(SMALL);
         assertThrows(HttpError.class, () -> {
@@ -78,14 +79,14 @@
     }
 
     @Test
-    void tooManyFieldsCost431() {
+    void tooManyFieldsReturn431() {
         HttpError error = assertThrows(HttpError.class, () ->
                 request("GET /a HTTP/1.1\r\nHost: h\r\n" + "a: b\r\n".repeat(8) + "\r\n"));
         assertEquals(431, error.status());
     }
 
     @Test
-    void anAnswerToHeadHasNoContentAndOneWithoutLengthLastsToTheEnd() throws HttpError {
+    void headResponseHasNoContentAndUnframedResponseEndsAtClose() throws HttpError {
         MessageParser parser = MessageParser.forResponses(SMALL);
         parser.expectResponseTo("HEAD");
         Message.Response head = (Message.Response) parser.next(bytes(
@@ -99,7 +100,7 @@
     }
 
     @Property(seed = "19", tries = 100)
-    void bothFramingsComeBackAsTheyWent(@ForAll @Size(max = 100) byte[] body, @ForAll boolean chunked)
+    void bothFramingsRoundTrip(@ForAll @Size(max = 100) byte[] body, @ForAll boolean chunked)
             throws HttpError {
         Message.Request sent = new Message.Request("PUT", "/a", 1, HttpFields.of("Host", "h", "X", "y z"), body);
         ByteBuffer wire = chunked ? Message.encodeChunked(sent, 7) : sent.encode();
@@ -109,43 +110,44 @@
         assertEquals(0, wire.remaining());
     }
 
-    /** No exception but the parser's own, and splitting the input anywhere changes nothing. */
+    /** Arbitrary input raises no exception but {@link HttpError}, and its result is the same wherever it is split. */
     @Property(seed = "17")
-    void anyBytesAreReadAlikeHoweverTheyAreSplit(@ForAll @Size(max = 120) byte[] noise, @ForAll long seed) {
-        String[] parts = {"GET /a HTTP/1.1\r\n", "Host: h\r\n", "Content-Length: 3\r\n", "\r\n", "abc",
+    void resultDoesNotDependOnHowInputIsSplit(@ForAll @Size(max = 120) byte[] randomBytes, @ForAll long seed) {
+        String[] fragments = {"GET /a HTTP/1.1\r\n", "Host: h\r\n", "Content-Length: 3\r\n", "\r\n", "abc",
             "Transfer-Encoding: chunked\r\n", "2\r\n", "0\r\n", "\r\n\r\n", "HTTP/1.1 200 OK\r\n",
-            new String(noise, StandardCharsets.ISO_8859_1)};
+            new String(randomBytes, StandardCharsets.ISO_8859_1)};
         Random random = new Random(seed);
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < 12; i++) {
-            text.append(parts[random.nextInt(parts.length)]);
+            text.append(fragments[random.nextInt(fragments.length)]);
         }
-        byte[] all = text.toString().getBytes(StandardCharsets.ISO_8859_1);
+        byte[] input = text.toString().getBytes(StandardCharsets.ISO_8859_1);
         for (boolean requests : new boolean[] {true, false}) {
-            String whole = story(requests, all, all.length, random);
-            assertEquals(whole, story(requests, all, 1, random));
-            assertEquals(whole, story(requests, all, 9, random));
+            String unsplit = parseInPieces(requests, input, input.length, random);
+            assertEquals(unsplit, parseInPieces(requests, input, 1, random));
+            assertEquals(unsplit, parseInPieces(requests, input, 9, random));
         }
     }
 
-    private static String story(boolean requests, byte[] all, int most, Random random) {
+    private static String parseInPieces(boolean requests, byte[] input, int maxPieceBytes, Random random) {
         MessageParser parser = requests ? MessageParser.forRequests(SMALL) : MessageParser.forResponses(SMALL);
-        List<String> story = new ArrayList<>();
+        List<String> results = new ArrayList<>();
         try {
-            for (int at = 0; at < all.length;) {
-                int count = Math.min(all.length - at, most == all.length ? most : 1 + random.nextInt(most));
-                ByteBuffer piece = ByteBuffer.wrap(all, at, count);
+            for (int at = 0; at < input.length;) {
+                int count = Math.min(input.length - at, maxPieceBytes == input.length ? maxPieceBytes
+                        : 1 + random.nextInt(maxPieceBytes));
+                ByteBuffer piece = ByteBuffer.wrap(input, at, count);
                 while (piece.hasRemaining()) {
                     Message message = parser.next(piece);
                     if (message != null) {
-                        story.add(message.fields() + new String(message.body(), StandardCharsets.ISO_8859_1));
+                        results.add(message.fields() + new String(message.body(), StandardCharsets.ISO_8859_1));
                     }
                 }
                 at += count;
             }
         } catch (HttpError e) {
-            story.add(e.status() + e.getMessage());
+            results.add(e.status() + e.getMessage());
         }
-        return story.toString();
+        return results.toString();
     }
 }
--- a/src/test/java/rowanmoor/platform/TestPlatform.java
+++ b/src/test/java/rowanmoor/platform/InMemoryPlatform.java
@@ -20,13 +20,16 @@
 import rowanmoor.settings.SettingsReader;
 import rowanmoor.settings.SettingsReader.NamedSettings;
 
-/** A platform in memory, on a clock that the test moves: catalog, backends, and peers that say anything. */
-final class TestPlatform {
+/**
+ * A controller with catalog, backends and peers on an in-memory network whose clock the test advances. Peers can
+ * send arbitrary bytes.
+ */
+final class InMemoryPlatform {
 
     static final long MS = 1_000_000;
-    static final long START = 1_000_000_000_000_000L;
-    static final long WALL = 1_700_000_000_000L;
-    static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    static final long START_NS = 1_000_000_000_000_000L;
+    static final long WALL_MS = 1_700_000_000_000L;
+    static final InetSocketAddress LOOPBACK = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     static final String SETTINGS = """
             {"balancers":2,"dcs":["north","south"],"kinds":["big","small"],"registry_mode":"pushed",
              "classes":[{"name":"read","aim_ns":800000000,"deadline_ns":2000000000,"credit":1.0,
@@ -47,28 +50,29 @@
     final List<String> log = new ArrayList<>();
     final Loop loop;
     final TreeMap<String, Map<String, Object>> instances = new TreeMap<>();
-    final Catalogue catalog;
+    final FakeCatalog catalog;
     long probesAnswered;
-    Service service;
+    PlatformController controller;
 
-    static Map<String, Object> json(String text) {
+    static Map<String, Object> parseJson(String text) {
         try {
             byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-            return Json.object(bytes, 0, bytes.length);
+            return Json.parseObject(bytes, 0, bytes.length);
         } catch (java.io.IOException e) {
             throw new AssertionError(text, e);
         }
     }
 
-    static NamedSettings told() {
-        return SettingsReader.fromTree(json(SETTINGS));
+    static NamedSettings namedSettings() {
+        return SettingsReader.fromTree(parseJson(SETTINGS));
     }
 
-    /** An entry of the catalog's. */
-    static Map<String, Object> instance(String id, String zone, String lifecycle, long startedAtMs, String at) {
+    /** One entry of a catalog object. */
+    static Map<String, Object> instance(String id, String zone, String lifecycle, long startedAtMs,
+            String hostPort) {
         Map<String, Object> entry = new LinkedHashMap<>();
         entry.put("instanceId", id);
-        entry.put("hostPort", at);
+        entry.put("hostPort", hostPort);
         entry.put("zone", zone);
         entry.put("machineType", "big");
         entry.put("cell", 1L);
@@ -78,7 +82,7 @@
         return entry;
     }
 
-    static Map<String, Object> list(long generation, boolean reset, List<Map<String, Object>> entries) {
+    static Map<String, Object> catalogObject(long generation, boolean reset, List<Map<String, Object>> entries) {
         Map<String, Object> object = new LinkedHashMap<>();
         object.put("generation", generation);
         object.put("reset", reset);
@@ -86,52 +90,52 @@
         return object;
     }
 
-    static String text(Object value) {
+    static String toJson(Object value) {
         if (value instanceof Map<?, ?> map) {
-            List<String> all = new ArrayList<>();
-            map.forEach((k, v) -> all.add("\"" + k + "\":" + text(v)));
-            return "{" + String.join(",", all) + "}";
+            List<String> fields = new ArrayList<>();
+            map.forEach((k, v) -> fields.add("\"" + k + "\":" + toJson(v)));
+            return "{" + String.join(",", fields) + "}";
         }
         if (value instanceof List<?> list) {
-            return "[" + String.join(",", list.stream().map(TestPlatform::text).toList()) + "]";
+            return "[" + String.join(",", list.stream().map(InMemoryPlatform::toJson).toList()) + "]";
         }
         return value instanceof String s ? "\"" + s + "\"" : String.valueOf(value);
     }
 
-    /** Six instances, the even ones in the north, all of which answer probes. */
-    TestPlatform() {
+    /** Six instances, the even ones in zone north; all answer probes. */
+    InMemoryPlatform() {
         this(11);
     }
 
-    TestPlatform(long seed) {
-        net = new MemoryNet(START, seed);
+    InMemoryPlatform(long seed) {
+        net = new MemoryNet(START_NS, seed);
         loop = net.newLoop(faults::add);
-        catalog = new Catalogue(ANY);
+        catalog = new FakeCatalog(LOOPBACK);
         for (int i = 0; i < 6; i++) {
-            put("s-" + i, i % 2 == 0 ? "north" : "south", "in_service", 0);
+            addInstance("s-" + i, i % 2 == 0 ? "north" : "south", "in_service", 0);
         }
     }
 
-    void put(String id, String zone, String lifecycle, long startedAtMs) {
-        instances.put(id, instance(id, zone, lifecycle, startedAtMs, hostPort(backend())));
+    void addInstance(String id, String zone, String lifecycle, long startedAtMs) {
+        instances.put(id, instance(id, zone, lifecycle, startedAtMs, hostPort(listenAsBackend())));
     }
 
     private static String hostPort(InetSocketAddress at) {
         return at.getAddress().getHostAddress() + ":" + at.getPort();
     }
 
-    private InetSocketAddress backend() {
+    private InetSocketAddress listenAsBackend() {
         return listen(connection -> new ConnectionHandler() {
             @Override
-            public void onData(Connection its, ByteBuffer bytes) {
+            public void onData(Connection source, ByteBuffer bytes) {
                 probesAnswered++;
-                its.send(ascii("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nqueue=2,latency_ms=9"));
+                source.send(asciiBytes("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nqueue=2,latency_ms=9"));
             }
         });
     }
 
     InetSocketAddress listen(java.util.function.Function<Connection, ConnectionHandler> accept) {
-        return listen(ANY, accept);
+        return listen(LOOPBACK, accept);
     }
 
     private InetSocketAddress listen(InetSocketAddress at,
@@ -143,18 +147,18 @@
         }
     }
 
-    static ByteBuffer ascii(String text) {
+    static ByteBuffer asciiBytes(String text) {
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    TestPlatform serve() {
-        return serve(256, list(1, true, List.copyOf(instances.values())));
+    InMemoryPlatform start() {
+        return start(256, catalogObject(1, true, List.copyOf(instances.values())));
     }
 
-    TestPlatform serve(int sockets, Map<String, Object> known) {
+    InMemoryPlatform start(int sockets, Map<String, Object> known) {
         try {
-            service = new Service(new PlatformConfig("n1", ANY, catalog.address, 7, sockets, known, told()),
-                    loop, () -> WALL + (net.now() - START) / MS, log::add, () -> { });
+            controller = new PlatformController(new PlatformConfig("n1", LOOPBACK, catalog.address, 7, sockets, known,
+                    namedSettings()), loop, () -> WALL_MS + (net.now() - START_NS) / MS, log::add, () -> { });
         } catch (java.io.IOException e) {
             throw new AssertionError(e);
         }
@@ -162,92 +166,92 @@
         return this;
     }
 
-    /** The catalog: keeps every watch open and tells them what it is told to. */
-    final class Catalogue {
+    /** A catalog that keeps every watch open and sends the lines given by the test. */
+    final class FakeCatalog {
         final InetSocketAddress address;
         final List<Connection> watches = new ArrayList<>();
-        final List<String> asked = new ArrayList<>();
-        boolean beats = true;
-        String first;
+        final List<String> requestLines = new ArrayList<>();
+        boolean keepAlive = true;
+        String firstLine;
 
-        Catalogue(InetSocketAddress at) {
+        FakeCatalog(InetSocketAddress at) {
             address = listen(at, connection -> new ConnectionHandler() {
                 @Override
-                public void onData(Connection its, ByteBuffer bytes) {
-                    if (watches.contains(its)) {
-                        return; // the rest of a question that came in pieces
+                public void onData(Connection source, ByteBuffer bytes) {
+                    if (watches.contains(source)) {
+                        return; // the rest of a request received in pieces
                     }
                     byte[] all = new byte[bytes.remaining()];
                     bytes.get(all);
-                    asked.add(new String(all, StandardCharsets.ISO_8859_1).lines().findFirst().orElse(""));
-                    watches.add(its);
-                    its.send(ascii("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
-                    if (first == null || !first.isEmpty()) { // an empty chunk would end the answer
-                        write(its, first == null ? "\n" : first);
+                    requestLines.add(new String(all, StandardCharsets.ISO_8859_1).lines().findFirst().orElse(""));
+                    watches.add(source);
+                    source.send(asciiBytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
+                    if (firstLine == null || !firstLine.isEmpty()) { // an empty chunk would end the response
+                        write(source, firstLine == null ? "\n" : firstLine);
                     }
                 }
 
                 @Override
-                public void onClose(Connection its, CloseReason why, String detail) {
-                    watches.remove(its);
+                public void onClose(Connection source, CloseReason why, String detail) {
+                    watches.remove(source);
                 }
             });
-            loop.after(1900 * MS, this::beat);
+            loop.after(1900 * MS, this::sendKeepAlive);
         }
 
-        private void beat() {
-            if (beats) {
+        private void sendKeepAlive() {
+            if (keepAlive) {
                 watches.forEach(w -> write(w, "\n"));
             }
-            loop.after(1900 * MS, this::beat);
+            loop.after(1900 * MS, this::sendKeepAlive);
         }
 
         private static void write(Connection to, String text) {
-            to.send(ascii(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n"));
+            to.send(asciiBytes(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n"));
         }
 
-        void tell(String line) {
+        void send(String line) {
             watches.forEach(w -> write(w, line));
         }
 
-        void tell(long generation, boolean reset, List<Map<String, Object>> entries) {
-            tell(text(list(generation, reset, entries)) + "\n");
+        void send(long generation, boolean reset, List<Map<String, Object>> entries) {
+            send(toJson(catalogObject(generation, reset, entries)) + "\n");
         }
     }
 
-    /** One connection to the controller's address. */
-    final class Client implements ConnectionHandler {
-        final List<List<String>> heard = new ArrayList<>();
+    /** One connection to the controller, which acknowledges pushes once it has joined. */
+    final class FakePeer implements ConnectionHandler {
+        final List<List<String>> messages = new ArrayList<>();
         private final RespReader reader = new RespReader(RespReader.MAX_MESSAGE_BYTES, 64);
         final Connection connection;
-        CloseReason over;
+        CloseReason closeReason;
 
-        Client() {
-            connection = loop.connect(null, service.address(), Connection.Options.defaults(), this);
+        FakePeer() {
+            connection = loop.connect(null, controller.address(), Connection.Options.defaults(), this);
         }
 
-        Client say(String words) {
-            return say(List.of(words.split(" ")));
+        FakePeer send(String message) {
+            return send(List.of(message.split(" ")));
         }
 
-        Client say(List<String> parts) {
+        FakePeer send(List<String> parts) {
             connection.send(RespWriter.encode(parts));
             return this;
         }
 
-        Client raw(String bytes) {
-            connection.send(ascii(bytes));
+        FakePeer sendRaw(String bytes) {
+            connection.send(asciiBytes(bytes));
             return this;
         }
 
         @Override
-        public void onData(Connection its, ByteBuffer bytes) {
+        public void onData(Connection source, ByteBuffer bytes) {
             try {
                 for (List<String> m = reader.next(bytes); m != null; m = reader.next(bytes)) {
-                    heard.add(m);
+                    messages.add(m);
                     int mark = m.indexOf("nonce_out");
-                    if (m.get(0).equals("push") && mark >= 0 && node != null) {
-                        say("ack node " + node + " nonce " + m.get(mark + 1) + " latency 12.5");
+                    if (m.get(0).equals("push") && mark >= 0 && nodeId != null) {
+                        send("ack node " + nodeId + " nonce " + m.get(mark + 1) + " latency 12.5");
                     }
                 }
             } catch (RespException e) {
@@ -255,22 +259,22 @@
             }
         }
 
-        String node;
+        String nodeId;
 
-        Client join(int number, String zone, int cold) {
-            node = Integer.toString(number);
-            return say("hello node " + number + " locality " + zone + " w 5.0 cold " + cold);
+        FakePeer join(int number, String zone, int cold) {
+            nodeId = Integer.toString(number);
+            return send("hello node " + number + " locality " + zone + " w 5.0 cold " + cold);
         }
 
         @Override
-        public void onClose(Connection its, CloseReason why, String detail) {
-            over = why;
+        public void onClose(Connection source, CloseReason why, String detail) {
+            closeReason = why;
         }
 
-        /** The pushes heard, as maps. */
+        /** The pushes received, as field maps. */
         List<Map<String, String>> pushes() {
             List<Map<String, String>> all = new ArrayList<>();
-            for (List<String> m : heard) {
+            for (List<String> m : messages) {
                 if (m.get(0).equals("push")) {
                     Map<String, String> fields = new LinkedHashMap<>();
                     for (int i = 1; i < m.size(); i += 2) {
@@ -282,7 +286,7 @@
             return all;
         }
 
-        /** The table that all pushes add up to, for all classes alike. */
+        /** The table that results from all pushes, taking all classes together. */
         TreeMap<String, Double> table() {
             TreeMap<String, Double> table = new TreeMap<>();
             for (Map<String, String> push : pushes()) {
@@ -301,19 +305,19 @@
             return table;
         }
 
-        /** The instances that it shuts out by now. */
-        List<String> shutOut() {
-            java.util.TreeSet<String> out = new java.util.TreeSet<>();
+        /** The instances that are ejected by now. */
+        List<String> ejected() {
+            java.util.TreeSet<String> ejected = new java.util.TreeSet<>();
             for (Map<String, String> push : pushes()) {
-                out.addAll(List.of(push.getOrDefault("eject", "").split(",")));
-                out.removeAll(List.of(push.getOrDefault("restore", "").split(",")));
+                ejected.addAll(List.of(push.getOrDefault("eject", "").split(",")));
+                ejected.removeAll(List.of(push.getOrDefault("restore", "").split(",")));
             }
-            out.remove("");
-            return List.copyOf(out);
+            ejected.remove("");
+            return List.copyOf(ejected);
         }
     }
 
-    Client client() {
-        return new Client();
+    FakePeer connectPeer() {
+        return new FakePeer();
     }
 }
