--- a/src/main/java/rowanmoor/capture/Capture.java
+++ b/src/main/java/rowanmoor/capture/Capture.java
@@ -15,45 +15,50 @@
 import java.util.TreeMap;
 
 /**
- * A capture that was read: records of all controllers on one time line, nanoseconds since 1970 by each
- * one's own wall clock at its segment's start.
+ * The records of a capture from all controllers, in order of time. Times are nanoseconds since 1970, by the
+ * wall clock of each controller at the start of the segment.
  *
- * @param problems what could not be read, what was dropped, and where a controller's time line has a gap
+ * @param problems damaged or missing data, dropped records, and gaps in a controller's records
  */
 public record Capture(List<LoadRecord> records, List<String> problems) {
 
-    /** What a capture holds, in figures. */
+    /** Totals of a capture. */
     public record Info(int records, long startNs, long endNs, int controllers, long requests, long tries,
             int proxies,
             int backends, long dropped, Map<String, Long> requestsByClass) { }
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long MILLI = 1_000_000L;
-    /** Reports come every second or so: a longer silence of a controller with proxies is told as a gap. */
-    private static final long GAP = 10_000_000_000L;
+    private static final long NS_PER_MS = 1_000_000L;
+    /** Proxies report about every second: a longer time without records of a controller counts as a gap. */
+    private static final long MIN_GAP_NS = 10_000_000_000L;
 
-    /** Reads a segment or a directory of them. */
+    /**
+     * Reads a segment or a directory of segments. Damage is listed in {@link #problems}.
+     *
+     * @throws IOException if a file cannot be read
+     */
     public static Capture read(Path path) throws IOException {
-        List<Path> files = Files.isDirectory(path) ? CaptureWriter.segments(path) : List.of(path);
+        List<Path> files = Files.isDirectory(path) ? CaptureWriter.listSegments(path) : List.of(path);
         List<LoadRecord> all = new ArrayList<>();
         List<String> problems = new ArrayList<>();
         if (files.isEmpty()) {
             problems.add(path + ": holds no segment");
         }
-        Map<Integer, Long> lastOf = new TreeMap<>();
+        Map<Integer, Long> lastByRank = new TreeMap<>();
         for (Path file : files) {
-            Segment.Read read = Segment.read(file);
+            Segment.ReadResult read = Segment.read(file);
             problems.addAll(read.problems());
             if (read.records().isEmpty() || !(read.records().get(0) instanceof LoadRecord.Start start)) {
-                problems.add(file + ": has no start and is left out: its times mean nothing");
+                problems.add(file + ": skipped: without a start record its times cannot be converted");
                 continue;
             }
-            long offset = start.wall() * MILLI - start.at();
+            long offset = start.wall() * NS_PER_MS - start.at();
             for (LoadRecord record : read.records()) {
                 LoadRecord shifted = record.at(record.at() + offset);
-                gap(file, lastOf, start.rank(), shifted.at(), problems);
+                checkGap(file, lastByRank, start.rank(), shifted.at(), problems);
                 if (record instanceof LoadRecord.Dropped dropped) {
-                    problems.add(file + ": " + dropped.count() + " records were dropped when they came");
+                    problems.add(file + ": " + dropped.count()
+                            + " records were dropped because the queue was full");
                 }
                 all.add(shifted instanceof LoadRecord.Start s ? new LoadRecord.Start(s.at(), start.wall(),
                         s.rank(), s.epoch(), s.zones(), s.kinds(), s.classes()) : shifted);
@@ -63,20 +68,22 @@
         return new Capture(List.copyOf(all), List.copyOf(problems));
     }
 
-    private static void gap(Path file, Map<Integer, Long> lastOf, int rank, long at, List<String> problems) {
-        Long last = lastOf.put(rank, Math.max(at, lastOf.getOrDefault(rank, at)));
-        if (last != null && at - last > GAP) {
+    private static void checkGap(Path file, Map<Integer, Long> lastByRank, int rank, long at,
+            List<String> problems) {
+        Long last = lastByRank.put(rank, Math.max(at, lastByRank.getOrDefault(rank, at)));
+        if (last != null && at - last > MIN_GAP_NS) {
             problems.add(String.format("%s: controller %d has no record for %.1f s", file, rank,
                     (at - last) / 1e9));
         }
     }
 
-    /** Names of zones, kinds and classes, as the first start has them. */
+    /** The first start record, with the names of zones, kinds and classes; null if there is none. */
     public LoadRecord.Start start() {
         return records.stream().filter(LoadRecord.Start.class::isInstance).map(LoadRecord.Start.class::cast)
                 .findFirst().orElse(null);
     }
 
+    /** Counts what the capture holds. */
     public Info info() {
         long requests = 0;
         long tries = 0;
@@ -107,23 +114,24 @@
     }
 
     /**
-     * What lies within a stretch from the capture's beginning, ns; starts and the last list before it
-     * stay.
+     * The records within an interval, nanoseconds from the beginning of the capture. Start records, the last
+     * listing of each backend and the proxies that had joined before the interval are kept, moved to its
+     * start.
      */
     public Capture cut(long from, long to) {
-        long zero = records.isEmpty() ? 0 : records.get(0).at();
+        long firstAt = records.isEmpty() ? 0 : records.get(0).at();
         List<LoadRecord> kept = new ArrayList<>();
         Map<String, LoadRecord> lists = new TreeMap<>();
         Map<Integer, LoadRecord> joins = new TreeMap<>();
         for (LoadRecord record : records) {
-            long at = record.at() - zero;
+            long at = record.at() - firstAt;
             if (at < from) {
                 if (record instanceof LoadRecord.Start) {
-                    kept.add(record.at(zero + from));
+                    kept.add(record.at(firstAt + from));
                 } else if (record instanceof LoadRecord.Listed listed) {
-                    lists.put(listed.backend(), record.at(zero + from));
+                    lists.put(listed.backend(), record.at(firstAt + from));
                 } else if (record instanceof LoadRecord.Joined joined) {
-                    joins.put(joined.proxy(), record.at(zero + from));
+                    joins.put(joined.proxy(), record.at(firstAt + from));
                 } else if (record instanceof LoadRecord.Left left) {
                     joins.remove(left.proxy());
                 }
@@ -137,17 +145,17 @@
         return new Capture(List.copyOf(kept), problems);
     }
 
-    /** The same with so many times the requests and tries, rounded so that sums are kept. */
+    /** This capture with requests and tries multiplied, rounded so that totals are kept. */
     public Capture scale(double factor) {
         List<LoadRecord> scaled = new ArrayList<>();
-        double[] rest = new double[2];
+        double[] remainders = new double[2];
         for (LoadRecord record : records) {
             if (record instanceof LoadRecord.Use u) {
-                long requests = whole(u.requests() * factor, rest, 0);
+                long requests = roundWithCarry(u.requests() * factor, remainders, 0);
                 scaled.add(new LoadRecord.Use(u.at(), u.proxy(), u.zone(), u.cls(), requests,
                         Math.min(requests, Math.round(u.failed() * factor)), u.span()));
             } else if (record instanceof LoadRecord.Tried t) {
-                long tries = whole(t.tries() * factor, rest, 1);
+                long tries = roundWithCarry(t.tries() * factor, remainders, 1);
                 long failed = Math.min(tries, Math.round(t.failed() * factor));
                 double mean = t.tries() == t.failed() ? 0
                         : t.latencySum() / (double) (t.tries() - t.failed());
@@ -160,25 +168,29 @@
         return new Capture(List.copyOf(scaled), problems);
     }
 
-    /** A whole number; what rounding takes away is carried to the next. */
-    private static long whole(double exact, double[] rest, int which) {
-        long whole = (long) Math.floor(exact + rest[which]);
-        rest[which] += exact - whole;
-        return whole;
+    /** Rounds down and carries the remainder over to the next call. */
+    private static long roundWithCarry(double exact, double[] remainders, int index) {
+        long rounded = (long) Math.floor(exact + remainders[index]);
+        remainders[index] += exact - rounded;
+        return rounded;
     }
 
-    /** Writes one segment. */
+    /**
+     * Writes the records as one segment.
+     *
+     * @throws IOException if the file exists or cannot be written
+     */
     public void write(Path file) throws IOException {
         LoadRecord.Start first = start();
-        long offset = first == null ? 0 : first.wall() * MILLI;
+        long offset = first == null ? 0 : first.wall() * NS_PER_MS;
         try (FileChannel out = FileChannel.open(file, StandardOpenOption.CREATE_NEW,
                 StandardOpenOption.WRITE)) {
-            out.write(ByteBuffer.wrap(Segment.HEAD));
+            out.write(ByteBuffer.wrap(Segment.FILE_HEADER));
             for (LoadRecord record : records) {
-                LoadRecord its = record instanceof LoadRecord.Start s ? new LoadRecord.Start(s.at() - offset,
-                        s.at() / MILLI, s.rank(), s.epoch(), s.zones(), s.kinds(),
-                        s.classes()) : record.at(record.at() - offset);
-                ByteBuffer bytes = Segment.encode(its);
+                LoadRecord relative = record instanceof LoadRecord.Start s
+                        ? new LoadRecord.Start(s.at() - offset, s.at() / NS_PER_MS, s.rank(), s.epoch(),
+                        s.zones(), s.kinds(), s.classes()) : record.at(record.at() - offset);
+                ByteBuffer bytes = Segment.encode(relative);
                 while (bytes.hasRemaining()) {
                     out.write(bytes);
                 }
@@ -186,7 +198,7 @@
         }
     }
 
-    /** One JSON object a line. */
+    /** Writes one JSON object per line. */
     public void exportJson(Writer out) throws IOException {
         for (LoadRecord record : records) {
             out.write(JSON.writerFor(LoadRecord.class).writeValueAsString(record));
@@ -194,18 +206,18 @@
         }
     }
 
-    /** Requests by second, zone and class. */
+    /** Writes requests by second, zone and class as CSV. */
     public void exportCsv(Writer out) throws IOException {
         out.write("second,zone,class,requests,failed\n");
         LoadRecord.Start start = start();
         if (start == null) {
             return;
         }
-        long zero = records.get(0).at();
+        long firstAt = records.get(0).at();
         TreeMap<String, long[]> rows = new TreeMap<>();
         for (LoadRecord record : records) {
             if (record instanceof LoadRecord.Use use) {
-                String key = String.format("%09d,%s,%s", (use.at() - zero) / 1_000_000_000L,
+                String key = String.format("%09d,%s,%s", (use.at() - firstAt) / 1_000_000_000L,
                         start.zones().get(use.zone()), start.classes().get(use.cls()));
                 long[] sums = rows.computeIfAbsent(key, k -> new long[2]);
                 sums[0] += use.requests();
--- a/src/main/java/rowanmoor/capture/CaptureWriter.java
+++ b/src/main/java/rowanmoor/capture/CaptureWriter.java
@@ -16,29 +16,35 @@
 import rowanmoor.config.CaptureConfig;
 
 /**
- * Writes records on a thread of its own. {@link #offer} never waits: with the queue full a record is
- * dropped and counted, and the count is written down as soon as there is room.
+ * Writes records on a separate thread. {@link #offer} never blocks: if the queue is full the record is
+ * dropped, and the number of dropped records is written before the next record.
  */
 public final class CaptureWriter implements Closeable {
 
     private static final String SUFFIX = ".rwc";
     private static final long POLL_MS = 100;
-    private static final LoadRecord END = new LoadRecord.Left(Long.MIN_VALUE, -1);
+    private static final LoadRecord STOP_MARKER = new LoadRecord.Left(Long.MIN_VALUE, -1);
 
     private final CaptureConfig config;
     private final LoadRecord.Start start;
     private final Consumer<String> log;
     private final ArrayBlockingQueue<LoadRecord> queue;
-    private final AtomicLong dropped = new AtomicLong();
+    private final AtomicLong droppedSinceWrite = new AtomicLong();
     private final AtomicLong totalDropped = new AtomicLong();
     private final Thread thread;
     private FileChannel segment;
-    private long written;
-    private long openedAt;
-    private int number;
-    private volatile boolean broken;
+    private long bytesWritten;
+    private long segmentOpenedAt;
+    private int segmentNumber;
+    private volatile boolean failed;
 
-    /** @param start begins each segment, with its time and wall clock moved on */
+    /**
+     * Opens the first segment and starts the writing thread.
+     *
+     * @param start first record of each segment, with its time and wall clock adjusted
+     * @param log receives a line when writing fails
+     * @throws IOException if the directory or the first segment cannot be created
+     */
     public CaptureWriter(CaptureConfig config, LoadRecord.Start start, Consumer<String> log)
             throws IOException {
         this.config = config;
@@ -46,21 +52,21 @@
         this.log = log;
         this.queue = new ArrayBlockingQueue<>(config.queueCapacity());
         Files.createDirectories(config.directory());
-        open(start.at());
+        openSegment(start.at());
         this.thread = new Thread(this::run, "capture");
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Takes a record, or drops and counts it; never waits. */
+    /** Queues a record, or drops and counts it; never blocks. */
     public void offer(LoadRecord record) {
-        if (broken || !queue.offer(record)) {
-            dropped.incrementAndGet();
+        if (failed || !queue.offer(record)) {
+            droppedSinceWrite.incrementAndGet();
             totalDropped.incrementAndGet();
         }
     }
 
-    /** Records that were never written. */
+    /** Number of records dropped since the start. */
     public long droppedRecords() {
         return totalDropped.get();
     }
@@ -69,55 +75,56 @@
         try {
             while (true) {
                 LoadRecord record = queue.poll(POLL_MS, TimeUnit.MILLISECONDS);
-                if (record == END) {
+                if (record == STOP_MARKER) {
                     break;
                 }
                 if (record != null) {
-                    roll(record.at());
-                    long lost = dropped.getAndSet(0);
-                    if (lost > 0) {
-                        write(new LoadRecord.Dropped(record.at(), lost));
+                    rollSegmentIfDue(record.at());
+                    long count = droppedSinceWrite.getAndSet(0);
+                    if (count > 0) {
+                        write(new LoadRecord.Dropped(record.at(), count));
                     }
                     write(record);
                 }
             }
             segment.close();
         } catch (IOException e) {
-            broken = true;
-            log.accept("capture: no more is written: " + e.getMessage());
+            failed = true;
+            log.accept("capture: writing stopped: " + e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void roll(long at) throws IOException {
-        if (written >= config.maxSegmentBytes() || at - openedAt >= config.maxSegmentNs()) {
+    private void rollSegmentIfDue(long at) throws IOException {
+        if (bytesWritten >= config.maxSegmentBytes() || at - segmentOpenedAt >= config.maxSegmentNs()) {
             segment.close();
-            open(at);
+            openSegment(at);
             deleteOldest();
         }
     }
 
-    private void open(long at) throws IOException {
-        String name = String.format("load-%d-%020d-%06d%s", start.rank(), start.epoch(), ++number, SUFFIX);
+    private void openSegment(long at) throws IOException {
+        String name = String.format("load-%d-%020d-%06d%s", start.rank(), start.epoch(), ++segmentNumber,
+                SUFFIX);
         segment = FileChannel.open(config.directory().resolve(name), StandardOpenOption.CREATE_NEW,
                 StandardOpenOption.WRITE);
-        segment.write(ByteBuffer.wrap(Segment.HEAD));
-        written = 0;
-        openedAt = at;
+        segment.write(ByteBuffer.wrap(Segment.FILE_HEADER));
+        bytesWritten = 0;
+        segmentOpenedAt = at;
         write(start.at(at));
     }
 
     private void write(LoadRecord record) throws IOException {
         ByteBuffer bytes = Segment.encode(record);
-        written += bytes.remaining();
+        bytesWritten += bytes.remaining();
         while (bytes.hasRemaining()) {
             segment.write(bytes);
         }
     }
 
     private void deleteOldest() throws IOException {
-        List<Path> files = segments(config.directory());
+        List<Path> files = listSegments(config.directory());
         long total = 0;
         for (Path file : files) {
             total += Files.size(file);
@@ -131,18 +138,18 @@
         }
     }
 
-    /** A directory's segments, the oldest first for each controller. */
-    static List<Path> segments(Path directory) throws IOException {
+    /** The segments of a directory, for each controller the oldest first. */
+    static List<Path> listSegments(Path directory) throws IOException {
         try (Stream<Path> files = Files.list(directory)) {
             return files.filter(f -> f.toString().endsWith(SUFFIX)).sorted().toList();
         }
     }
 
-    /** Writes what waits and ends; waits for that at most five seconds. */
+    /** Writes the queued records and stops; waits at most 1 s for the queue and 5 s for the thread. */
     @Override
     public void close() throws IOException {
         try {
-            if (queue.offer(END, 1, TimeUnit.SECONDS)) {
+            if (queue.offer(STOP_MARKER, 1, TimeUnit.SECONDS)) {
                 thread.join(5000);
             }
         } catch (InterruptedException e) {
--- a/src/main/java/rowanmoor/capture/LoadRecord.java
+++ b/src/main/java/rowanmoor/capture/LoadRecord.java
@@ -5,8 +5,9 @@
 import java.util.List;
 
 /**
- * One record. {@code at} is nanoseconds of its controller's clock; the segment's {@link Start} ties that
- * to the wall clock, so that segments of several controllers can be laid beside each other.
+ * One record of a capture. {@code at} is in nanoseconds of the controller's own clock; the {@link Start} of
+ * the segment relates it to the wall clock, so that segments of several controllers can be merged. Component
+ * names are part of the file format (CBOR) and of the JSON export.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "is")
 @JsonSubTypes({
@@ -19,9 +20,10 @@
     @JsonSubTypes.Type(value = LoadRecord.Dropped.class, name = "dropped")})
 public sealed interface LoadRecord {
 
+    /** Time of the record, nanoseconds. */
     long at();
 
-    /** The same at another time; for cutting and scaling. */
+    /** A copy at another time. */
     LoadRecord at(long other);
 
     /**
@@ -37,7 +39,9 @@
         }
     }
 
-    /** Requests of a class that came to a proxy over a span, ns; {@code failed} were let in, unanswered. */
+    /**
+     * Requests of a class that a proxy received over a span, ns; {@code failed} were admitted, not answered.
+     */
     record Use(long at, int proxy, int zone, int cls, long requests, long failed, long span)
             implements LoadRecord {
         @Override
@@ -46,7 +50,7 @@
         }
     }
 
-    /** Tries of one proxy at a backend over a span; {@code latencySum} is that of the good ones, ns. */
+    /** Tries of a proxy at a backend over a span, ns; {@code latencySum} is of the successful ones, ns. */
     record Tried(long at, int proxy, int zone, String backend, long tries, long failed, long latencySum,
             long span) implements LoadRecord {
         @Override
@@ -55,7 +59,7 @@
         }
     }
 
-    /** A backend as the roster now lists it. {@code startedAt} is 0 for long ago. */
+    /** A backend as the roster lists it. {@code startedAt} is 0 if it started long ago. */
     record Listed(long at, String backend, int zone, int kind, String state, double weight, long startedAt)
             implements LoadRecord {
         @Override
@@ -64,6 +68,7 @@
         }
     }
 
+    /** A proxy connected to the controller. */
     record Joined(long at, int proxy, int zone, double rate) implements LoadRecord {
         @Override
         public LoadRecord at(long other) {
@@ -71,6 +76,7 @@
         }
     }
 
+    /** A proxy disconnected from the controller. */
     record Left(long at, int proxy) implements LoadRecord {
         @Override
         public LoadRecord at(long other) {
@@ -78,7 +84,7 @@
         }
     }
 
-    /** So many records before this one found the queue full and were not written. */
+    /** Number of records dropped before this one because the queue was full. */
     record Dropped(long at, long count) implements LoadRecord {
         @Override
         public LoadRecord at(long other) {
--- a/src/main/java/rowanmoor/capture/package-info.java
+++ b/src/main/java/rowanmoor/capture/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Captured load: what controllers heard of requests, backends and proxies, in segment files. Job: write
- * without holding up a decision, read what a crash or a bad disk has left, cut, scale and export. Thread
- * rule: {@code CaptureWriter} takes records from the controller's loop and writes on a thread of its own;
- * all else is for one thread.
+ * Captured load: the reports that controllers receive on requests, backends and proxies, in segment files.
+ * Writing does not delay decisions; reading recovers all intact records after a crash or disk damage;
+ * captures can be cut, scaled and exported. {@code CaptureWriter} takes records from the controller's loop
+ * and writes on its own thread; all other classes are for use by one thread.
  */
 package rowanmoor.capture;
--- a/src/main/java/rowanmoor/emulator/Agenda.java
+++ b/src/main/java/rowanmoor/emulator/Agenda.java
@@ -2,71 +2,74 @@
 
 import java.util.Arrays;
 
-/** What is to happen, by time and then in the order in which it was added: a binary heap in plain arrays. */
+/** Pending events, ordered by time and then by insertion: a binary heap in parallel arrays. */
 final class Agenda {
 
     private long[] times = new long[1024];
-    private long[] numbers = new long[1024];
+    private long[] sequences = new long[1024];
     private int[] kinds = new int[1024];
-    private int[] first = new int[1024];
-    private int[] second = new int[1024];
+    private int[] firstArgs = new int[1024];
+    private int[] secondArgs = new int[1024];
     private int size;
-    private long added;
+    private long nextSequence;
 
-    // The event that was taken last.
+    // The event that poll() removed last.
     long time;
     int kind;
-    int a;
-    int b;
+    int firstArg;
+    int secondArg;
 
-    void add(long at, int itsKind, int itsA, int itsB) {
+    /** Adds an event at a time in nanoseconds; the meaning of the two arguments depends on its kind. */
+    void add(long at, int newKind, int newFirst, int newSecond) {
         if (size == times.length) {
             grow();
         }
-        long number = added++;
-        int place = size++;
-        while (place > 0) {
-            int parent = (place - 1) >>> 1;
+        long number = nextSequence++;
+        int index = size++;
+        while (index > 0) {
+            int parent = (index - 1) >>> 1;
             if (times[parent] <= at) {
-                break; // an equal time was added before
+                break; // of equal times, the one added first stays ahead
             }
-            move(parent, place);
-            place = parent;
+            move(parent, index);
+            index = parent;
         }
-        set(place, at, number, itsKind, itsA, itsB);
+        set(index, at, number, newKind, newFirst, newSecond);
     }
 
-    /** Takes the next event into {@link #time} and the others; false if there is none. */
-    boolean next() {
+    /**
+     * Removes the next event and copies it into {@link #time} and the other fields; false if there is none.
+     */
+    boolean poll() {
         if (size == 0) {
             return false;
         }
         time = times[0];
         kind = kinds[0];
-        a = first[0];
-        b = second[0];
+        firstArg = firstArgs[0];
+        secondArg = secondArgs[0];
         size--;
         long at = times[size];
-        long number = numbers[size];
-        int place = 0;
+        long number = sequences[size];
+        int index = 0;
         while (true) {
-            int child = 2 * place + 1;
+            int child = 2 * index + 1;
             if (child >= size) {
                 break;
             }
-            child += child + 1 < size && before(times[child + 1], numbers[child + 1], child) ? 1 : 0;
-            if (!before(times[child], numbers[child], at, number)) {
+            child += child + 1 < size && before(times[child + 1], sequences[child + 1], child) ? 1 : 0;
+            if (!before(times[child], sequences[child], at, number)) {
                 break;
             }
-            move(child, place);
-            place = child;
+            move(child, index);
+            index = child;
         }
-        set(place, at, number, kinds[size], first[size], second[size]);
+        set(index, at, number, kinds[size], firstArgs[size], secondArgs[size]);
         return true;
     }
 
     private boolean before(long at, long number, int other) {
-        return before(at, number, times[other], numbers[other]);
+        return before(at, number, times[other], sequences[other]);
     }
 
     private static boolean before(long at, long number, long otherAt, long otherNumber) {
@@ -74,26 +77,27 @@
     }
 
     private void move(int from, int to) {
-        set(to, times[from], numbers[from], kinds[from], first[from], second[from]);
+        set(to, times[from], sequences[from], kinds[from], firstArgs[from], secondArgs[from]);
     }
 
-    private void set(int place, long at, long number, int itsKind, int itsA, int itsB) {
-        times[place] = at;
-        numbers[place] = number;
-        kinds[place] = itsKind;
-        first[place] = itsA;
-        second[place] = itsB;
+    private void set(int index, long at, long number, int newKind, int newFirst, int newSecond) {
+        times[index] = at;
+        sequences[index] = number;
+        kinds[index] = newKind;
+        firstArgs[index] = newFirst;
+        secondArgs[index] = newSecond;
     }
 
     private void grow() {
-        int room = 2 * size;
-        times = Arrays.copyOf(times, room);
-        numbers = Arrays.copyOf(numbers, room);
-        kinds = Arrays.copyOf(kinds, room);
-        first = Arrays.copyOf(first, room);
-        second = Arrays.copyOf(second, room);
+        int capacity = 2 * size;
+        times = Arrays.copyOf(times, capacity);
+        sequences = Arrays.copyOf(sequences, capacity);
+        kinds = Arrays.copyOf(kinds, capacity);
+        firstArgs = Arrays.copyOf(firstArgs, capacity);
+        secondArgs = Arrays.copyOf(secondArgs, capacity);
     }
 
+    /** Number of pending events. */
     int size() {
         return size;
     }
--- a/src/main/java/rowanmoor/emulator/Emulator.java
+++ b/src/main/java/rowanmoor/emulator/Emulator.java
@@ -19,203 +19,208 @@
 import rowanmoor.proxy.Tallies;
 
 /**
- * Plays one {@link Model}. The controllers' {@link Driver} (and in it the module) and the proxies'
- * {@link Router} are the running program's own; clients, network, backends and roster are modelled.
- * Requests live in plain arrays: none allocates anything while it passes.
+ * Runs one {@link Model}. The controllers' {@link Driver} (with the decision module) and the proxies'
+ * {@link Router} are the production classes; clients, network, backends and roster are simulated. Requests
+ * are kept in arrays, so that none allocates memory on its way.
  */
 public final class Emulator {
 
+    // Kinds of events.
     private static final int ARRIVAL = 0;
     private static final int AT_PROXY = 1;
     private static final int AT_BACKEND = 2;
-    private static final int STATION = 3;
-    private static final int DONE = 4;
+    private static final int BACKEND_TIMER = 3;
+    private static final int ANSWERED = 4;
     private static final int REFUSED = 5;
     private static final int LOST = 6;
-    private static final int GIVE_UP = 7;
-    private static final int RETRY = 8;
-    private static final int REPORT = 9;
-    private static final int TICK = 10;
-    private static final int MESSAGE = 11;
-    private static final int HEARD = 12;
-    private static final int PROBED = 13;
-    private static final int TROUBLE = 14;
-    private static final int RELIEF = 15;
-    private static final int NOTICED = 16;
-    private static final int JOIN = 17;
-    private static final int MEASURE = 18;
-    private static final int NO_CONNECT = 19;
-    private static final int TRY_OUT = 20;
-
-    private static final long START = 1_000_000_000_000_000L;
-    private static final long MILLI = 1_000_000L;
-    private static final double SECOND = 1e9;
-    /** The latency that backends report is a mean that forgets over so many answers. */
-    private static final double LATENCY_OVER = 8;
-    private static final long TICK_GAP = 5 * MILLI;
-    private static final long REDIAL = 300 * MILLI;
-    private static final long SILENCE = 3000 * MILLI;
-    private static final long CONNECTION_IDLE = 15_000 * MILLI;
-    private static final int MATRIX_MOST = 8_000_000;
-    private static final long TAIL = 30_000 * MILLI;
+    private static final int CLIENT_TIMEOUT = 7;
+    private static final int CLIENT_RETRY = 8;
+    private static final int PROXY_REPORT = 9;
+    private static final int CONTROLLER_TICK = 10;
+    private static final int MESSAGE_TO_PROXY = 11;
+    private static final int MESSAGE_TO_CONTROLLER = 12;
+    private static final int PROBE_RESULT = 13;
+    private static final int FAULT_BEGIN = 14;
+    private static final int FAULT_END = 15;
+    private static final int ROSTER_ANSWER = 16;
+    private static final int PROXY_CONNECT = 17;
+    private static final int MEASURE_UTILIZATION = 18;
+    private static final int CONNECT_FAILED = 19;
+    private static final int TRY_TIMEOUT = 20;
+
+    private static final long START_NS = 1_000_000_000_000_000L;
+    private static final long NS_PER_MS = 1_000_000L;
+    private static final double NS_PER_SECOND = 1e9;
+    /** Backends report an exponentially weighted mean latency; each answer has the weight 1 / this. */
+    private static final double LATENCY_SAMPLES = 8;
+    private static final long MIN_TICK_INTERVAL_NS = 5 * NS_PER_MS;
+    private static final long REDIAL_DELAY_NS = 300 * NS_PER_MS;
+    private static final long SILENCE_TIMEOUT_NS = 3000 * NS_PER_MS;
+    private static final long IDLE_CONNECTION_TIMEOUT_NS = 15_000 * NS_PER_MS;
+    /** With more proxy-backend pairs idle connections are not tracked, to bound memory. */
+    private static final int MAX_CONNECTION_PAIRS = 8_000_000;
+    private static final long MAX_TAIL_NS = 30_000 * NS_PER_MS;
 
     private final Model model;
-    private final Agenda agenda = new Agenda();
-    private final SplittableRandom arrivals;
-    private final SplittableRandom works;
-    private final SplittableRandom ways;
-    private final Station[] stations;
+    private final Agenda eventQueue = new Agenda();
+    private final SplittableRandom arrivalRandom;
+    private final SplittableRandom workRandom;
+    private final SplittableRandom delayRandom;
+    private final Station[] servers;
     private final Backend[] backends;
-    private final Availability[] listed;
+    private final Availability[] availability;
     private final long[] startedAt;
     private final Router[] routers;
     private final Tallies[] tallies;
-    private final int[] joinedTo;
-    private final boolean[] cut;
-    private final long[] lastMessage;
-    private final int[] stream;
+    private final int[] controllerOf;
+    private final boolean[] partitioned;
+    private final long[] lastDeliveryAt;
+    private final int[] streamNumber;
     private final Driver[] drivers;
-    private final boolean[] dead;
-    private final long[] tickAt;
-    private final long[] lastTick;
-    private final long[] busyAt;
-    private final double[] busyBefore;
-    private final double[] busyPart;
-    private final double[] latencies;
-    private final double[] failing;
-    private final double[] proxySums;
-    private final double[] busyAtHeight;
-    private long heightFrom;
-    private final List<Object> parcels = new ArrayList<>();
-    private final List<Integer> freeParcels = new ArrayList<>();
+    private final boolean[] controllerDown;
+    private final long[] nextTickAt;
+    private final long[] lastTickAt;
+    private final long[] utilizationSampledAt;
+    private final double[] sampledBusySeconds;
+    private final double[] sampledUtilization;
+    private final double[] meanLatencyMs;
+    private final double[] errorFraction;
+    private final double[] cumulativeProxyWeights;
+    private final double[] busySecondsAtPeakStart;
+    private long peakStartedAt;
+    private final List<Object> payloads = new ArrayList<>();
+    private final List<Integer> freePayloads = new ArrayList<>();
     private final Outcome outcome;
-    private final double[] good;
-    private final double[] asked;
-    private long now = START;
+    private final double[] goodWorth;
+    private final double[] offeredWorth;
+    private long now = START_NS;
     private boolean rosterDown;
-    private double burst = 1;
-    private long epochs;
-    private long version = 1;
-    private double stays;
-    private long events;
-
-    // Requests, by number; free ones are chained.
-    private int[] cls = new int[1024];
-    private int[] proxy = new int[1024];
-    private int[] backend = new int[1024];
-    private int[] triedFirst = new int[1024];
-    private int[] triedLast = new int[1024];
-    private int[] tryStamp = new int[1024];
-    private long[] tryEnds = new long[1024];
+    private double burstFactor = 1;
+    private long lastEpoch;
+    private long rosterVersion = 1;
+    private double totalStaySeconds;
+    private long eventCount;
+
+    // Requests, by number; numbers of ended requests are reused.
+    private int[] requestClass = new int[1024];
+    private int[] requestProxy = new int[1024];
+    private int[] requestBackend = new int[1024];
+    private int[] firstTried = new int[1024];
+    private int[] lastTried = new int[1024];
+    private int[] tryId = new int[1024];
+    private long[] tryDeadline = new long[1024];
     private int[] proxyTries = new int[1024];
     private int[] clientTries = new int[1024];
-    private int[] stamp = new int[1024];
+    private int[] clientTryId = new int[1024];
     private long[] arrivedAt = new long[1024];
     private long[] sentAt = new long[1024];
-    private double[] work = new double[1024];
-    private boolean[] out = new boolean[1024];
+    private double[] requestWork = new double[1024];
+    private boolean[] tryPending = new boolean[1024];
     private boolean[] connected = new boolean[1024];
-    private int[] free = new int[1024];
-    private int freeCount;
-    private int used;
+    private int[] freeRequests = new int[1024];
+    private int freeRequestCount;
+    private int usedRequests;
 
-    // A job is one request's visit to a backend; it may outlive the try that it was for.
-    private int[] jobOf = new int[1024];
+    // A job is one request's stay at a backend; it may outlast the try that it was for.
+    private int[] currentJob = new int[1024];
     private int[] jobRequest = new int[1024];
-    private int[] jobStamp = new int[1024];
-    private long[] jobReached = new long[1024];
+    private int[] jobTryId = new int[1024];
+    private long[] jobArrivedAt = new long[1024];
     private double[] jobWork = new double[1024];
     private int[] freeJobs = new int[1024];
     private int freeJobCount;
     private int usedJobs;
 
-    // Connections: those of each proxy to each backend, idle ones and when last used; null where too many.
-    // A pair's idle ones are a chain, the last used first.
-    private final int[] idle;
+    // Idle connections of each proxy-backend pair, as a linked list with the most recently used first.
+    // Null if no backend limits its connections or if there are more than MAX_CONNECTION_PAIRS pairs.
+    private final int[] newestIdle;
     private int[] idleNext = new int[1024];
     private long[] idleSince = new long[1024];
     private int freeIdle = -1;
     private int usedIdle;
-    private final int[] connections;
+    private final int[] openConnections;
 
     private Emulator(Model model, long seed) {
         this.model = model;
         SplittableRandom root = new SplittableRandom(seed);
-        this.arrivals = root.split();
-        this.works = root.split();
-        this.ways = root.split();
+        this.arrivalRandom = root.split();
+        this.workRandom = root.split();
+        this.delayRandom = root.split();
         SplittableRandom choices = root.split();
         int count = model.backends().size();
         int proxies = model.proxyZones().length;
-        this.stations = new Station[count];
+        this.servers = new Station[count];
         this.backends = new Backend[count];
-        this.listed = new Availability[count];
+        this.availability = new Availability[count];
         this.startedAt = new long[count];
         for (int b = 0; b < count; b++) {
-            stations[b] = new Station(model.backends().get(b), START);
+            servers[b] = new Station(model.backends().get(b), START_NS);
             backends[b] = new Backend(0x0a0000000000L + ((long) b << 16) + 80);
-            listed[b] = Availability.READY;
-        }
-        this.busyAt = new long[count];
-        Arrays.fill(busyAt, START);
-        this.busyBefore = new double[count];
-        this.busyPart = new double[count];
-        this.latencies = new double[count];
-        this.failing = new double[count];
-        this.busyAtHeight = new double[count];
-        this.connections = new int[count];
-        boolean bounded = model.backends().stream().anyMatch(m -> m.maxConnections() > 0);
-        boolean counted = bounded && (long) proxies * count <= MATRIX_MOST;
-        this.idle = counted ? new int[proxies * count] : null;
-        if (counted) {
-            Arrays.fill(idle, -1);
+            availability[b] = Availability.READY;
+        }
+        this.utilizationSampledAt = new long[count];
+        Arrays.fill(utilizationSampledAt, START_NS);
+        this.sampledBusySeconds = new double[count];
+        this.sampledUtilization = new double[count];
+        this.meanLatencyMs = new double[count];
+        this.errorFraction = new double[count];
+        this.busySecondsAtPeakStart = new double[count];
+        this.openConnections = new int[count];
+        boolean limited = model.backends().stream().anyMatch(m -> m.maxConnections() > 0);
+        boolean tracked = limited && (long) proxies * count <= MAX_CONNECTION_PAIRS;
+        this.newestIdle = tracked ? new int[proxies * count] : null;
+        if (tracked) {
+            Arrays.fill(newestIdle, -1);
         }
         this.routers = new Router[proxies];
         this.tallies = new Tallies[proxies];
-        this.joinedTo = new int[proxies];
-        this.cut = new boolean[proxies];
-        this.lastMessage = new long[proxies];
-        this.stream = new int[proxies];
-        this.proxySums = new double[proxies];
+        this.controllerOf = new int[proxies];
+        this.partitioned = new boolean[proxies];
+        this.lastDeliveryAt = new long[proxies];
+        this.streamNumber = new int[proxies];
+        this.cumulativeProxyWeights = new double[proxies];
         double sum = 0;
         for (int p = 0; p < proxies; p++) {
-            routers[p] = new Router(model.site(), standing(model.proxyZones()[p], choices), choices.split(),
-                    START);
-            tallies[p] = new Tallies(START);
-            joinedTo[p] = -1;
+            routers[p] = new Router(model.site(), standingTable(model.proxyZones()[p], choices),
+                    choices.split(), START_NS);
+            tallies[p] = new Tallies(START_NS);
+            controllerOf[p] = -1;
             sum += model.proxyWeights()[p];
-            proxySums[p] = sum;
+            cumulativeProxyWeights[p] = sum;
         }
         int controllers = model.controllerZones().size();
         this.drivers = new Driver[controllers];
-        this.dead = new boolean[controllers];
-        this.tickAt = new long[controllers];
-        this.lastTick = new long[controllers];
+        this.controllerDown = new boolean[controllers];
+        this.nextTickAt = new long[controllers];
+        this.lastTickAt = new long[controllers];
         int seconds = (int) (model.durationNs() / 1_000_000_000L) + 1;
-        this.good = new double[seconds];
-        this.asked = new double[seconds];
-        this.outcome = new Outcome(list(model.classShares().length, Outcome.ClassStats::new),
-                list(count, Outcome.BackendStats::new), list(controllers, Outcome.ControllerStats::new), good,
-                        asked,
-                0, 0);
+        this.goodWorth = new double[seconds];
+        this.offeredWorth = new double[seconds];
+        this.outcome = new Outcome(newList(model.classShares().length, Outcome.ClassStats::new),
+                newList(count, Outcome.BackendStats::new), newList(controllers, Outcome.ControllerStats::new),
+                goodWorth, offeredWorth, 0, 0);
         for (int c = 0; c < controllers; c++) {
             startController(c, choices.nextLong());
         }
         for (int p = 0; p < proxies; p++) {
-            // Controllers are dealt within a zone, so that each has proxies of all zones.
+            // Proxies of each zone are spread over the controllers, so that each controller has proxies of
+            // all zones.
             int first = p / model.site().zones().size() % controllers;
-            agenda.add(START + (long) (choices.nextDouble() * MILLI * 500), JOIN, p, first);
-            agenda.add(START + (long) (choices.nextDouble() * model.site().reportIntervalNs()), REPORT, p, 0);
+            eventQueue.add(START_NS + (long) (choices.nextDouble() * NS_PER_MS * 500), PROXY_CONNECT, p,
+                    first);
+            eventQueue.add(START_NS + (long) (choices.nextDouble() * model.site().reportIntervalNs()),
+                    PROXY_REPORT, p, 0);
         }
         for (int t = 0; t < model.faults().size(); t++) {
-            agenda.add(loadFrom() + model.faults().get(t).startNs(), TROUBLE, t, 0);
+            eventQueue.add(loadStart() + model.faults().get(t).startNs(), FAULT_BEGIN, t, 0);
         }
-        agenda.add(loadFrom(), ARRIVAL, 0, 0);
-        agenda.add(loadFrom() + Math.min(model.rampNs(), model.durationNs() / 2), MEASURE, 0, 0);
-        agenda.add(loadFrom() + model.durationNs(), MEASURE, 1, 0);
+        eventQueue.add(loadStart(), ARRIVAL, 0, 0);
+        eventQueue.add(loadStart() + Math.min(model.rampNs(), model.durationNs() / 2), MEASURE_UTILIZATION, 0,
+                0);
+        eventQueue.add(loadStart() + model.durationNs(), MEASURE_UTILIZATION, 1, 0);
     }
 
-    private static <T> List<T> list(int count, java.util.function.Supplier<T> make) {
+    private static <T> List<T> newList(int count, java.util.function.Supplier<T> make) {
         List<T> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             all.add(make.get());
@@ -223,16 +228,16 @@
         return all;
     }
 
-    /** Plays a model to its end. The same model and seed give the same outcome. */
+    /** Runs a model to its end. The same model and seed give the same outcome. */
     public static Outcome run(Model model, long seed) {
         return new Emulator(model, seed).run();
     }
 
-    private long loadFrom() {
-        return START + model.settleNs();
+    private long loadStart() {
+        return START_NS + model.settleNs();
     }
 
-    private List<Backend> standing(int zone, SplittableRandom random) {
+    private List<Backend> standingTable(int zone, SplittableRandom random) {
         List<Backend> own = new ArrayList<>();
         for (int b = 0; b < backends.length; b++) {
             if (model.backends().get(b).zone() == zone) {
@@ -248,99 +253,103 @@
     }
 
     private Outcome run() {
-        long end = loadFrom() + model.durationNs() + TAIL;
-        while (agenda.next() && agenda.time <= end) {
-            now = Math.max(now, agenda.time);
-            events++;
-            run(agenda.kind, agenda.a, agenda.b);
-            if (now > loadFrom() + model.durationNs() && used == freeCount && usedJobs == freeJobCount
-                    && agenda.kind != REPORT) {
-                break; // all is answered
+        long end = loadStart() + model.durationNs() + MAX_TAIL_NS;
+        while (eventQueue.poll() && eventQueue.time <= end) {
+            now = Math.max(now, eventQueue.time);
+            eventCount++;
+            dispatch(eventQueue.kind, eventQueue.firstArg, eventQueue.secondArg);
+            if (now > loadStart() + model.durationNs() && usedRequests == freeRequestCount
+                    && usedJobs == freeJobCount && eventQueue.kind != PROXY_REPORT) {
+                break; // every request has ended
             }
         }
-        double held = 0;
-        for (int b = 0; b < stations.length; b++) {
-            Outcome.BackendStats met = outcome.backends().get(b);
-            met.maxQueued = stations[b].mostWaiting();
-            held += stations[b].heldSeconds(now);
+        double heldSeconds = 0;
+        for (int b = 0; b < servers.length; b++) {
+            Outcome.BackendStats stats = outcome.backends().get(b);
+            stats.maxQueued = servers[b].maxQueued();
+            heldSeconds += servers[b].heldSeconds(now);
         }
         for (int c = 0; c < drivers.length; c++) {
-            settle(c);
+            collectControllerStats(c);
         }
-        double off = stays == 0 ? 0 : Math.abs(held - stays) / stays;
-        return new Outcome(outcome.classes(), outcome.backends(), outcome.controllers(), good, asked, off,
-                events);
+        double littlesLawError = totalStaySeconds == 0 ? 0
+                : Math.abs(heldSeconds - totalStaySeconds) / totalStaySeconds;
+        return new Outcome(outcome.classes(), outcome.backends(), outcome.controllers(), goodWorth,
+                offeredWorth, littlesLawError, eventCount);
     }
 
-    /** Notes how busy cores were while load was at its height, from its beginning to its end. */
-    private void measure(boolean end) {
-        for (int b = 0; b < stations.length; b++) {
-            double busy = stations[b].busySeconds(now);
+    /**
+     * Measures the backends' utilization at full load, between the call that begins and the one that ends it.
+     */
+    private void measureUtilization(boolean end) {
+        for (int b = 0; b < servers.length; b++) {
+            double busy = servers[b].busySeconds(now);
             if (end) {
-                outcome.backends().get(b).utilization = (busy - busyAtHeight[b]) / stations[b].machine().cores()
-                        / Math.max(1e-9, (now - heightFrom) / SECOND);
+                outcome.backends().get(b).utilization = (busy - busySecondsAtPeakStart[b]) / servers[b].spec()
+                        .cores()
+                        / Math.max(1e-9, (now - peakStartedAt) / NS_PER_SECOND);
             } else {
-                busyAtHeight[b] = busy;
+                busySecondsAtPeakStart[b] = busy;
             }
         }
-        heightFrom = end ? heightFrom : now;
+        peakStartedAt = end ? peakStartedAt : now;
     }
 
-    private void run(int kind, int a, int b) {
+    private void dispatch(int kind, int a, int b) {
         switch (kind) {
             case ARRIVAL -> arrive();
-            case AT_PROXY -> atProxy(a, b);
-            case AT_BACKEND -> atBackend(a, b);
-            case STATION -> look(a, b);
-            case DONE -> answered(a, b);
-            case REFUSED -> follow(a, b, true, true);
-            case LOST -> follow(a, b, false, false);
-            case GIVE_UP -> giveUp(a, b);
-            case NO_CONNECT -> follow(a, b, true, false);
-            case TRY_OUT -> tryOut(a, b);
-            case RETRY -> ask(a);
-            case REPORT -> report(a);
-            case TICK -> tick(a, b);
-            case MESSAGE -> message(a, b);
-            case HEARD -> heard(a, b);
-            case PROBED -> probed(a, b);
-            case TROUBLE -> begin(a);
-            case RELIEF -> relieve(a);
-            case NOTICED -> noticed(a);
-            case JOIN -> join(a, b);
-            case MEASURE -> measure(a == 1);
-            default -> throw new IllegalStateException("no event of kind " + kind);
+            case AT_PROXY -> routeTry(a, b);
+            case AT_BACKEND -> onBackendArrival(a, b);
+            case BACKEND_TIMER -> onBackendTimer(a, b);
+            case ANSWERED -> onAnswered(a, b);
+            case REFUSED -> onTryFailed(a, b, true, true);
+            case LOST -> onTryFailed(a, b, false, false);
+            case CLIENT_TIMEOUT -> onClientTimeout(a, b);
+            case CONNECT_FAILED -> onTryFailed(a, b, true, false);
+            case TRY_TIMEOUT -> onTryTimeout(a, b);
+            case CLIENT_RETRY -> sendClientTry(a);
+            case PROXY_REPORT -> sendReport(a);
+            case CONTROLLER_TICK -> onTick(a, b);
+            case MESSAGE_TO_PROXY -> onMessageAtProxy(a, b);
+            case MESSAGE_TO_CONTROLLER -> onMessageAtController(a, b);
+            case PROBE_RESULT -> onProbeResult(a, b);
+            case FAULT_BEGIN -> beginFault(a);
+            case FAULT_END -> endFault(a);
+            case ROSTER_ANSWER -> onRosterAnswer(a);
+            case PROXY_CONNECT -> connectToController(a, b);
+            case MEASURE_UTILIZATION -> measureUtilization(a == 1);
+            default -> throw new IllegalStateException("unknown event kind: " + kind);
         }
     }
 
     // ---- clients -------------------------------------------------------------------------------------
 
     private void arrive() {
-        if (now >= loadFrom() + model.durationNs() || model.requestsPerSecond() <= 0) {
+        if (now >= loadStart() + model.durationNs() || model.requestsPerSecond() <= 0) {
             return;
         }
-        double rate = model.requestsPerSecond() * burst * model.risen(now - loadFrom());
-        double wait = -Math.log(1 - arrivals.nextDouble()) / rate * SECOND;
-        if (now > loadFrom()) {
-            int request = take();
-            cls[request] = pick(model.classShares(), arrivals.nextDouble());
-            proxy[request] = pickProxy(arrivals.nextDouble());
-            work[request] = drawWork(cls[request]);
+        double rate = model.requestsPerSecond() * burstFactor * model.rateFraction(now - loadStart());
+        double wait = -Math.log(1 - arrivalRandom.nextDouble()) / rate * NS_PER_SECOND;
+        if (now > loadStart()) {
+            int request = allocateRequest();
+            requestClass[request] = pickWeighted(model.classShares(), arrivalRandom.nextDouble());
+            requestProxy[request] = pickProxy(arrivalRandom.nextDouble());
+            requestWork[request] = drawWork(requestClass[request]);
             arrivedAt[request] = now;
             clientTries[request] = 0;
-            Outcome.ClassStats met = outcome.classes().get(cls[request]);
-            met.offered++;
-            asked[second(now)] += model.site().classes().get(cls[request]).worth();
-            ask(request);
+            Outcome.ClassStats stats = outcome.classes().get(requestClass[request]);
+            stats.offered++;
+            offeredWorth[secondOf(now)] += model.site().classes().get(requestClass[request]).worth();
+            sendClientTry(request);
         }
-        agenda.add(now + Math.max(1, (long) wait), ARRIVAL, 0, 0);
+        eventQueue.add(now + Math.max(1, (long) wait), ARRIVAL, 0, 0);
     }
 
-    private int second(long time) {
-        return (int) Math.min(asked.length - 1, (time - loadFrom()) / 1_000_000_000L);
+    private int secondOf(long time) {
+        return (int) Math.min(offeredWorth.length - 1, (time - loadStart()) / 1_000_000_000L);
     }
 
-    private static int pick(double[] parts, double at) {
+    private static int pickWeighted(double[] parts, double at) {
         double sum = 0;
         for (double part : parts) {
             sum += part;
@@ -356,145 +365,146 @@
     }
 
     private int pickProxy(double at) {
-        double target = at * proxySums[proxySums.length - 1];
-        int place = Arrays.binarySearch(proxySums, target);
-        return Math.min(proxySums.length - 1, place < 0 ? -place - 1 : place + 1);
+        double target = at * cumulativeProxyWeights[cumulativeProxyWeights.length - 1];
+        int index = Arrays.binarySearch(cumulativeProxyWeights, target);
+        return Math.min(cumulativeProxyWeights.length - 1, index < 0 ? -index - 1 : index + 1);
     }
 
-    private double drawWork(int its) {
-        double mean = model.workSeconds()[its];
-        double cv = model.workCv()[its];
+    private double drawWork(int cls) {
+        double mean = model.workSeconds()[cls];
+        double cv = model.workCv()[cls];
         if (cv == 0) {
             return mean;
         }
         if (cv == 1) {
-            return -Math.log(1 - works.nextDouble()) * mean;
+            return -Math.log(1 - workRandom.nextDouble()) * mean;
         }
         double sigma2 = Math.log(1 + cv * cv);
-        double normal = Math.sqrt(-2 * Math.log(1 - works.nextDouble()))
-                * Math.cos(2 * Math.PI * works.nextDouble());
+        double normal = Math.sqrt(-2 * Math.log(1 - workRandom.nextDouble()))
+                * Math.cos(2 * Math.PI * workRandom.nextDouble());
         return mean * Math.exp(Math.sqrt(sigma2) * normal - sigma2 / 2);
     }
 
-    private int take() {
-        if (freeCount > 0) {
-            return free[--freeCount];
+    private int allocateRequest() {
+        if (freeRequestCount > 0) {
+            return freeRequests[--freeRequestCount];
         }
-        if (used == cls.length) {
-            grow();
+        if (usedRequests == requestClass.length) {
+            growRequests();
         }
-        return used++;
+        return usedRequests++;
     }
 
-    private void grow() {
-        int room = 2 * used;
-        cls = Arrays.copyOf(cls, room);
-        proxy = Arrays.copyOf(proxy, room);
-        backend = Arrays.copyOf(backend, room);
-        triedFirst = Arrays.copyOf(triedFirst, room);
-        triedLast = Arrays.copyOf(triedLast, room);
-        tryStamp = Arrays.copyOf(tryStamp, room);
-        tryEnds = Arrays.copyOf(tryEnds, room);
-        proxyTries = Arrays.copyOf(proxyTries, room);
-        clientTries = Arrays.copyOf(clientTries, room);
-        stamp = Arrays.copyOf(stamp, room);
-        arrivedAt = Arrays.copyOf(arrivedAt, room);
-        sentAt = Arrays.copyOf(sentAt, room);
-        jobOf = Arrays.copyOf(jobOf, room);
-        work = Arrays.copyOf(work, room);
-        out = Arrays.copyOf(out, room);
-        connected = Arrays.copyOf(connected, room);
-        free = Arrays.copyOf(free, room);
+    private void growRequests() {
+        int capacity = 2 * usedRequests;
+        requestClass = Arrays.copyOf(requestClass, capacity);
+        requestProxy = Arrays.copyOf(requestProxy, capacity);
+        requestBackend = Arrays.copyOf(requestBackend, capacity);
+        firstTried = Arrays.copyOf(firstTried, capacity);
+        lastTried = Arrays.copyOf(lastTried, capacity);
+        tryId = Arrays.copyOf(tryId, capacity);
+        tryDeadline = Arrays.copyOf(tryDeadline, capacity);
+        proxyTries = Arrays.copyOf(proxyTries, capacity);
+        clientTries = Arrays.copyOf(clientTries, capacity);
+        clientTryId = Arrays.copyOf(clientTryId, capacity);
+        arrivedAt = Arrays.copyOf(arrivedAt, capacity);
+        sentAt = Arrays.copyOf(sentAt, capacity);
+        currentJob = Arrays.copyOf(currentJob, capacity);
+        requestWork = Arrays.copyOf(requestWork, capacity);
+        tryPending = Arrays.copyOf(tryPending, capacity);
+        connected = Arrays.copyOf(connected, capacity);
+        freeRequests = Arrays.copyOf(freeRequests, capacity);
     }
 
-    /** A client's try: it reaches its proxy at once, the proxy stands beside it. */
-    private void ask(int request) {
+    /** A client's try reaches its proxy at once, since the proxy runs next to the client. */
+    private void sendClientTry(int request) {
         clientTries[request]++;
         proxyTries[request] = 0;
-        backend[request] = -1;
-        triedFirst[request] = -1;
-        triedLast[request] = -1;
-        out[request] = false;
-        jobOf[request] = -1;
-        int its = ++stamp[request];
-        outcome.classes().get(cls[request]).tries++;
-        long deadline = model.site().classes().get(cls[request]).deadline();
+        requestBackend[request] = -1;
+        firstTried[request] = -1;
+        lastTried[request] = -1;
+        tryPending[request] = false;
+        currentJob[request] = -1;
+        int id = ++clientTryId[request];
+        outcome.classes().get(requestClass[request]).tries++;
+        long deadline = model.site().classes().get(requestClass[request]).deadline();
         long left = arrivedAt[request] + deadline - now;
-        agenda.add(now + Math.max(1, Math.min(left, (long) (model.tryTimeoutFraction() * deadline))), GIVE_UP, request,
-                its);
-        agenda.add(now, AT_PROXY, request, its);
+        eventQueue.add(now + Math.max(1, Math.min(left, (long) (model.tryTimeoutFraction() * deadline))),
+                CLIENT_TIMEOUT, request, id);
+        eventQueue.add(now, AT_PROXY, request, id);
     }
 
-    private void giveUp(int request, int its) {
-        if (stamp[request] != its) {
+    private void onClientTimeout(int request, int id) {
+        if (clientTryId[request] != id) {
             return;
         }
-        if (out[request]) {
+        if (tryPending[request]) {
             cancelTry(request);
-            routers[proxy[request]].onTryEnded(backends[backend[request]], true, now); // counts for nothing
+            // not counted as a failure
+            routers[requestProxy[request]].onTryEnded(backends[requestBackend[request]], true, now);
         }
-        tallies[proxy[request]].onUnanswered(cls[request]);
-        tryFailed(request, false);
+        tallies[requestProxy[request]].onUnanswered(requestClass[request]);
+        onClientTryFailed(request, false);
     }
 
-    /** The proxy closes its try's connection: work that still waited is dropped, what runs runs on. */
+    /** The proxy closes the connection of its try: queued work is removed, running work runs on. */
     private void cancelTry(int request) {
-        int job = jobOf[request];
-        if (job >= 0 && stations[backend[request]].drop(now, job)) {
-            left(job);
+        int job = currentJob[request];
+        if (job >= 0 && servers[requestBackend[request]].removeQueued(now, job)) {
+            endJob(job);
         }
-        jobOf[request] = -1;
-        tryStamp[request]++;
-        out[request] = false;
+        currentJob[request] = -1;
+        tryId[request]++;
+        tryPending[request] = false;
         if (connected[request]) {
-            disconnect(proxy[request], backend[request], false);
+            releaseConnection(requestProxy[request], requestBackend[request], false);
         }
     }
 
-    /** A try that has a bound of its own took longer: the proxy gives it up and may try elsewhere. */
-    private void tryOut(int request, int its) {
-        if (tryStamp[request] == its && out[request] && tryEnds[request] == now) {
+    /** A try exceeded its own time limit: the proxy abandons it and may try another backend. */
+    private void onTryTimeout(int request, int id) {
+        if (tryId[request] == id && tryPending[request] && tryDeadline[request] == now) {
             cancelTry(request);
-            Backend tried = backends[backend[request]];
-            routers[proxy[request]].onTryEnded(tried, false, now);
-            tallies[proxy[request]].onTryEnded(tried, false, now - sentAt[request], List.of());
-            followOn(request, false, false);
+            Backend tried = backends[requestBackend[request]];
+            routers[requestProxy[request]].onTryEnded(tried, false, now);
+            tallies[requestProxy[request]].onTryEnded(tried, false, now - sentAt[request], List.of());
+            retryOrFail(request, false, false);
         }
     }
 
-    private void tryFailed(int request, boolean refused) {
-        stamp[request]++;
-        tryStamp[request]++;
-        var spec = model.site().classes().get(cls[request]);
-        boolean may = refused || spec.idempotency() == Idempotency.SAFE;
-        if (may && clientTries[request] <= model.maxClientRetries()
+    private void onClientTryFailed(int request, boolean refused) {
+        clientTryId[request]++;
+        tryId[request]++;
+        var spec = model.site().classes().get(requestClass[request]);
+        boolean mayRetry = refused || spec.idempotency() == Idempotency.SAFE;
+        if (mayRetry && clientTries[request] <= model.maxClientRetries()
                 && now + model.retryBackoffNs() < arrivedAt[request] + spec.deadline()) {
-            agenda.add(now + model.retryBackoffNs(), RETRY, request, 0);
+            eventQueue.add(now + model.retryBackoffNs(), CLIENT_RETRY, request, 0);
         } else {
-            outcome.classes().get(cls[request]).failed++;
-            release(request);
+            outcome.classes().get(requestClass[request]).failed++;
+            releaseRequest(request);
         }
     }
 
-    private void release(int request) {
-        stamp[request]++;
-        tryStamp[request]++;
-        free[freeCount++] = request;
+    private void releaseRequest(int request) {
+        clientTryId[request]++;
+        tryId[request]++;
+        freeRequests[freeRequestCount++] = request;
     }
 
     // ---- proxies -------------------------------------------------------------------------------------
 
-    private void atProxy(int request, int its) {
-        if (stamp[request] != its) {
+    private void routeTry(int request, int id) {
+        if (clientTryId[request] != id) {
             return;
         }
-        int p = proxy[request];
-        int c = cls[request];
+        int p = requestProxy[request];
+        int c = requestClass[request];
         if (proxyTries[request] == 0) {
             tallies[p].onRequest(c);
             if (!routers[p].tryAdmit(c, now)) {
                 outcome.classes().get(c).rejectedByLevel++;
-                tryFailed(request, true);
+                onClientTryFailed(request, true);
                 return;
             }
         }
@@ -502,190 +512,198 @@
         if (picked == null) {
             outcome.classes().get(c).noBackend++;
             tallies[p].onUnanswered(c);
-            tryFailed(request, true);
+            onClientTryFailed(request, true);
             return;
         }
         int b = (int) (picked.id() >> 16 & 0xffffff);
-        backend[request] = b;
+        requestBackend[request] = b;
         proxyTries[request]++;
         sentAt[request] = now;
-        out[request] = true;
+        tryPending[request] = true;
         routers[p].onTrySent(picked);
-        int mine = ++tryStamp[request];
-        long within = routers[p].tryTimeoutNs(c);
-        if (within > 0) {
-            tryEnds[request] = now + within;
-            agenda.add(now + within, TRY_OUT, request, mine);
+        int mine = ++tryId[request];
+        long timeout = routers[p].tryTimeoutNs(c);
+        if (timeout > 0) {
+            tryDeadline[request] = now + timeout;
+            eventQueue.add(now + timeout, TRY_TIMEOUT, request, mine);
         }
-        connected[request] = connect(p, b);
+        connected[request] = acquireConnection(p, b);
         if (!connected[request]) {
-            // The system takes the connection and the request; then the backend closes: no proof of anything.
+            // The operating system accepts the connection and the request, then the backend closes it: that
+            // does not prove that the request never ran.
             outcome.backends().get(b).refusedConnections++;
-            agenda.add(now + 2 * way(p, b), LOST, request, mine);
+            eventQueue.add(now + 2 * drawDelay(p, b), LOST, request, mine);
             return;
         }
-        agenda.add(now + way(p, b), AT_BACKEND, request, mine);
+        eventQueue.add(now + drawDelay(p, b), AT_BACKEND, request, mine);
     }
 
     private Set<Backend> tried(int request) {
-        int first = triedFirst[request];
-        int last = triedLast[request];
+        int first = firstTried[request];
+        int last = lastTried[request];
         return first < 0 ? Set.of() : first == last ? Set.of(backends[first])
                 : Set.of(backends[first], backends[last]);
     }
 
-    private long way(int p, int b) {
+    private long drawDelay(int p, int b) {
         boolean same = model.proxyZones()[p] == model.backends().get(b).zone();
         long mean = same ? model.sameZoneDelayNs() : model.crossZoneDelayNs();
-        return (long) (mean * (0.75 + 0.5 * ways.nextDouble()));
+        return (long) (mean * (0.75 + 0.5 * delayRandom.nextDouble()));
     }
 
-    /** A connection that is free, or a new one if the backend takes more. */
-    private boolean connect(int p, int b) {
-        if (idle == null) {
+    /** Takes an idle connection or opens one; false if the backend is at its limit. */
+    private boolean acquireConnection(int p, int b) {
+        if (newestIdle == null) {
             return true;
         }
-        int place = p * stations.length + b;
-        if (idle[place] >= 0) {
-            int taken = idle[place];
-            idle[place] = idleNext[taken];
+        int index = p * servers.length + b;
+        if (newestIdle[index] >= 0) {
+            int taken = newestIdle[index];
+            newestIdle[index] = idleNext[taken];
             idleNext[taken] = freeIdle;
             freeIdle = taken;
             return true;
         }
-        int most = model.backends().get(b).maxConnections();
-        if (most > 0 && connections[b] >= most) {
+        int maxConnections = model.backends().get(b).maxConnections();
+        if (maxConnections > 0 && openConnections[b] >= maxConnections) {
             return false;
         }
-        connections[b]++;
-        Outcome.BackendStats met = outcome.backends().get(b);
-        met.maxConnections = Math.max(met.maxConnections, connections[b]);
+        openConnections[b]++;
+        Outcome.BackendStats stats = outcome.backends().get(b);
+        stats.maxConnections = Math.max(stats.maxConnections, openConnections[b]);
         return true;
     }
 
-    private void disconnect(int p, int b, boolean kept) {
-        if (idle != null && kept && routers[p].uses(backends[b])) {
-            int place = p * stations.length + b;
-            int its = freeIdle;
-            if (its >= 0) {
-                freeIdle = idleNext[its];
+    private void releaseConnection(int p, int b, boolean kept) {
+        if (newestIdle != null && kept && routers[p].uses(backends[b])) {
+            int index = p * servers.length + b;
+            int slot = freeIdle;
+            if (slot >= 0) {
+                freeIdle = idleNext[slot];
             } else {
                 if (usedIdle == idleNext.length) {
                     idleNext = Arrays.copyOf(idleNext, 2 * usedIdle);
                     idleSince = Arrays.copyOf(idleSince, 2 * usedIdle);
                 }
-                its = usedIdle++;
+                slot = usedIdle++;
             }
-            idleNext[its] = idle[place];
-            idleSince[its] = now;
-            idle[place] = its;
-        } else if (idle != null) {
-            connections[b]--;
+            idleNext[slot] = newestIdle[index];
+            idleSince[slot] = now;
+            newestIdle[index] = slot;
+        } else if (newestIdle != null) {
+            openConnections[b]--;
         }
     }
 
     private void endTry(int request, boolean well, boolean kept) {
-        int p = proxy[request];
-        int b = backend[request];
-        out[request] = false;
+        int p = requestProxy[request];
+        int b = requestBackend[request];
+        tryPending[request] = false;
         routers[p].onTryEnded(backends[b], well, now);
         tallies[p].onTryEnded(backends[b], well, now - sentAt[request], List.of());
         if (connected[request]) {
-            disconnect(p, b, kept);
+            releaseConnection(p, b, kept);
         }
     }
 
-    private void answered(int request, int its) {
-        if (tryStamp[request] != its) {
+    private void onAnswered(int request, int id) {
+        if (tryId[request] != id) {
             return;
         }
         endTry(request, true, true);
-        var spec = model.site().classes().get(cls[request]);
-        Outcome.ClassStats met = outcome.classes().get(cls[request]);
+        var spec = model.site().classes().get(requestClass[request]);
+        Outcome.ClassStats stats = outcome.classes().get(requestClass[request]);
         long took = now - arrivedAt[request];
         if (took <= spec.aim()) {
-            met.good++;
-            good[second(arrivedAt[request])] += spec.worth();
+            stats.good++;
+            goodWorth[secondOf(arrivedAt[request])] += spec.worth();
         } else {
-            met.late++;
-            good[second(arrivedAt[request])] += spec.worth() * spec.lateWorth();
+            stats.late++;
+            goodWorth[secondOf(arrivedAt[request])] += spec.worth() * spec.lateWorth();
         }
-        met.latency.recordValue(Math.min(took / 1000, met.latency.getHighestTrackableValue()));
-        release(request);
+        stats.latency.recordValue(Math.min(took / 1000, stats.latency.getHighestTrackableValue()));
+        releaseRequest(request);
     }
 
     /**
      * A try failed.
      *
-     * @param neverRan whether that is proved
-     * @param toldSo whether the client hears of it if no other try follows: a 503 of the backend's own
+     * @param neverRan whether it is certain that the backend did not run the request
+     * @param answered whether the backend answered with a 503, which the client receives if no other try
+     *     follows
      */
-    private void follow(int request, int its, boolean neverRan, boolean toldSo) {
-        if (tryStamp[request] == its) {
-            endTry(request, false, toldSo); // a backend that answers keeps its connection
-            followOn(request, neverRan, toldSo);
+    private void onTryFailed(int request, int id, boolean neverRan, boolean answered) {
+        if (tryId[request] == id) {
+            endTry(request, false, answered); // a backend that answers keeps its connection
+            retryOrFail(request, neverRan, answered);
         }
     }
 
-    private void followOn(int request, boolean neverRan, boolean toldSo) {
-        long left = arrivedAt[request] + model.site().classes().get(cls[request]).deadline() - now;
-        if (routers[proxy[request]].mayRetry(cls[request], proxyTries[request], neverRan, left)) {
-            triedLast[request] = backend[request];
-            triedFirst[request] = triedFirst[request] < 0 ? backend[request] : triedFirst[request];
-            jobOf[request] = -1;
-            atProxy(request, stamp[request]);
+    private void retryOrFail(int request, boolean neverRan, boolean answered) {
+        long left = arrivedAt[request] + model.site().classes().get(requestClass[request]).deadline() - now;
+        if (routers[requestProxy[request]].mayRetry(requestClass[request], proxyTries[request], neverRan,
+                left)) {
+            lastTried[request] = requestBackend[request];
+            firstTried[request] = firstTried[request] < 0 ? requestBackend[request] : firstTried[request];
+            currentJob[request] = -1;
+            routeTry(request, clientTryId[request]);
         } else {
-            tallies[proxy[request]].onUnanswered(cls[request]);
-            tryFailed(request, toldSo);
+            tallies[requestProxy[request]].onUnanswered(requestClass[request]);
+            onClientTryFailed(request, answered);
         }
     }
 
-    private void report(int p) {
-        int c = joinedTo[p];
-        if (c >= 0 && !cut[p]) {
+    private void sendReport(int p) {
+        int c = controllerOf[p];
+        if (c >= 0 && !partitioned[p]) {
             Frame.Report report = tallies[p].takeReport(now);
             if (!report.tallies().isEmpty() || !report.usages().isEmpty()) {
-                agenda.add(now + model.sameZoneDelayNs(), HEARD, p, parcel(withLoad(report)));
+                eventQueue.add(now + model.sameZoneDelayNs(), MESSAGE_TO_CONTROLLER, p,
+                        storePayload(withLoadFigures(report)));
             }
         }
-        if (idle != null) {
-            dropIdle(p);
+        if (newestIdle != null) {
+            closeIdleConnections(p);
         }
-        if (now < loadFrom() + model.durationNs() + TAIL) {
-            agenda.add(now + model.site().reportIntervalNs(), REPORT, p, 0);
+        if (now < loadStart() + model.durationNs() + MAX_TAIL_NS) {
+            eventQueue.add(now + model.site().reportIntervalNs(), PROXY_REPORT, p, 0);
         }
     }
 
-    /** Load figures ride with answers: the newest at the time of the report stands for them. */
-    private Frame.Report withLoad(Frame.Report report) {
+    /**
+     * Backends send load figures with their answers; here the figures at the time of the report stand for
+     * them.
+     */
+    private Frame.Report withLoadFigures(Frame.Report report) {
         if (model.site().loadColumns().isEmpty()) {
             return report;
         }
         return new Frame.Report(report.tallies().stream().map(t -> new Frame.Tally(t.backend(), t.tries(),
                 t.failed(), t.latencySum(), t.span(), t.tries() == t.failed() ? List.of()
-                        : load((int) (t.backend().id() >> 16 & 0xffffff)))).toList(), report.usages());
+                        : loadFigures((int) (t.backend().id() >> 16 & 0xffffff)))).toList(), report.usages());
     }
 
-    private void dropIdle(int p) {
-        for (int b = 0; b < stations.length; b++) {
-            int place = p * stations.length + b;
-            if (idle[place] >= 0) {
-                long before = routers[p].uses(backends[b]) ? now - CONNECTION_IDLE : Long.MAX_VALUE;
-                closeBefore(place, b, before);
+    private void closeIdleConnections(int p) {
+        for (int b = 0; b < servers.length; b++) {
+            int index = p * servers.length + b;
+            if (newestIdle[index] >= 0) {
+                long before = routers[p].uses(backends[b]) ? now - IDLE_CONNECTION_TIMEOUT_NS
+                        : Long.MAX_VALUE;
+                closeIdleBefore(index, b, before);
             }
         }
     }
 
-    /** Closes a pair's connections that were last used before a time: the end of its chain. */
-    private void closeBefore(int place, int b, long before) {
+    /** Closes a pair's connections that were last used before a time; they are at the end of its list. */
+    private void closeIdleBefore(int index, int b, long before) {
         int above = -1;
-        int at = idle[place];
+        int at = newestIdle[index];
         while (at >= 0 && idleSince[at] >= before) {
             above = at;
             at = idleNext[at];
         }
         if (above < 0) {
-            idle[place] = -1;
+            newestIdle[index] = -1;
         } else {
             idleNext[above] = -1;
         }
@@ -693,110 +711,112 @@
             int next = idleNext[at];
             idleNext[at] = freeIdle;
             freeIdle = at;
-            connections[b]--;
+            openConnections[b]--;
             at = next;
         }
     }
 
     // ---- backends ------------------------------------------------------------------------------------
 
-    private void atBackend(int request, int its) {
-        if (tryStamp[request] != its) {
+    private void onBackendArrival(int request, int id) {
+        if (tryId[request] != id) {
             return;
         }
-        int b = backend[request];
-        Station station = stations[b];
-        long back = now + way(proxy[request], b);
-        if (station.isDown()) {
-            agenda.add(back, NO_CONNECT, request, its);
+        int b = requestBackend[request];
+        Station server = servers[b];
+        long back = now + drawDelay(requestProxy[request], b);
+        if (server.isDown()) {
+            eventQueue.add(back, CONNECT_FAILED, request, id);
             return;
         }
-        if (failing[b] > 0 && works.nextDouble() < failing[b]) {
-            agenda.add(back, LOST, request, its);
+        if (errorFraction[b] > 0 && workRandom.nextDouble() < errorFraction[b]) {
+            eventQueue.add(back, LOST, request, id);
             return;
         }
-        int job = takeJob(request, its);
-        if (!station.offer(now, job, work[request])) {
+        int job = allocateJob(request, id);
+        if (!server.offer(now, job, requestWork[request])) {
             freeJobs[freeJobCount++] = job;
             outcome.backends().get(b).rejectedFull++;
-            agenda.add(back, REFUSED, request, its);
+            eventQueue.add(back, REFUSED, request, id);
             return;
         }
-        jobOf[request] = job;
-        plan(b);
+        currentJob[request] = job;
+        scheduleBackendTimer(b);
     }
 
-    private int takeJob(int request, int its) {
+    private int allocateJob(int request, int id) {
         if (freeJobCount == 0 && usedJobs == jobRequest.length) {
-            int room = 2 * usedJobs;
-            jobRequest = Arrays.copyOf(jobRequest, room);
-            jobStamp = Arrays.copyOf(jobStamp, room);
-            jobReached = Arrays.copyOf(jobReached, room);
-            jobWork = Arrays.copyOf(jobWork, room);
-            freeJobs = Arrays.copyOf(freeJobs, room);
+            int capacity = 2 * usedJobs;
+            jobRequest = Arrays.copyOf(jobRequest, capacity);
+            jobTryId = Arrays.copyOf(jobTryId, capacity);
+            jobArrivedAt = Arrays.copyOf(jobArrivedAt, capacity);
+            jobWork = Arrays.copyOf(jobWork, capacity);
+            freeJobs = Arrays.copyOf(freeJobs, capacity);
         }
         int job = freeJobCount > 0 ? freeJobs[--freeJobCount] : usedJobs++;
         jobRequest[job] = request;
-        jobStamp[job] = its;
-        jobReached[job] = now;
-        jobWork[job] = work[request];
+        jobTryId[job] = id;
+        jobArrivedAt[job] = now;
+        jobWork[job] = requestWork[request];
         return job;
     }
 
-    private void plan(int b) {
-        long next = stations[b].nextAt();
+    private void scheduleBackendTimer(int b) {
+        long next = servers[b].nextEventAt();
         if (next != Long.MAX_VALUE) {
-            agenda.add(next, STATION, b, stations[b].restamp());
+            eventQueue.add(next, BACKEND_TIMER, b, servers[b].newTimerId());
         }
     }
 
-    private void look(int b, int its) {
-        Station station = stations[b];
-        if (station.stamp() != its) {
+    private void onBackendTimer(int b, int id) {
+        Station server = servers[b];
+        if (server.timerId() != id) {
             return;
         }
-        for (int job = station.ended(now); job >= 0; job = station.ended(now)) {
-            Outcome.BackendStats met = outcome.backends().get(b);
-            met.served++;
-            met.staySeconds += (now - jobReached[job]) / SECOND;
-            met.workSeconds += jobWork[job];
-            latencies[b] += ((now - jobReached[job]) / (double) MILLI - latencies[b]) / LATENCY_OVER;
+        for (int job = server.pollFinished(now); job >= 0; job = server.pollFinished(now)) {
+            Outcome.BackendStats stats = outcome.backends().get(b);
+            stats.served++;
+            stats.staySeconds += (now - jobArrivedAt[job]) / NS_PER_SECOND;
+            stats.workSeconds += jobWork[job];
+            meanLatencyMs[b] += ((now - jobArrivedAt[job]) / (double) NS_PER_MS - meanLatencyMs[b])
+                    / LATENCY_SAMPLES;
             int request = jobRequest[job];
-            agenda.add(now + way(proxy[request], b), DONE, request, jobStamp[job]);
-            left(job);
-            for (int next = station.pollWaiting(); next >= 0; next = station.pollWaiting()) {
-                station.beginWaited(next, jobWork[next]);
+            eventQueue.add(now + drawDelay(requestProxy[request], b), ANSWERED, request, jobTryId[job]);
+            endJob(job);
+            for (int next = server.pollQueued(); next >= 0; next = server.pollQueued()) {
+                server.startQueued(next, jobWork[next]);
             }
         }
-        plan(b);
+        scheduleBackendTimer(b);
     }
 
-    /** A job is over, one way or the other. */
-    private void left(int job) {
-        double stay = (now - jobReached[job]) / SECOND;
-        stays += stay;
-        Outcome.ClassStats met = outcome.classes().get(cls[jobRequest[job]]);
-        met.totalStaySeconds += stay;
-        met.stayCount++;
+    /** A job has left its backend, finished or not. */
+    private void endJob(int job) {
+        double stay = (now - jobArrivedAt[job]) / NS_PER_SECOND;
+        totalStaySeconds += stay;
+        Outcome.ClassStats stats = outcome.classes().get(requestClass[jobRequest[job]]);
+        stats.totalStaySeconds += stay;
+        stats.stayCount++;
         freeJobs[freeJobCount++] = job;
     }
 
-    private List<Double> load(int b) {
-        Station station = stations[b];
-        if (now - busyAt[b] > 300 * MILLI) {
-            double busy = station.busySeconds(now);
-            busyPart[b] = Math.min(1, (busy - busyBefore[b]) / ((now - busyAt[b]) / SECOND)
-                    / station.machine().cores());
-            busyBefore[b] = busy;
-            busyAt[b] = now;
+    private List<Double> loadFigures(int b) {
+        Station server = servers[b];
+        if (now - utilizationSampledAt[b] > 300 * NS_PER_MS) {
+            double busy = server.busySeconds(now);
+            sampledUtilization[b] = Math.min(1, (busy - sampledBusySeconds[b])
+                    / ((now - utilizationSampledAt[b]) / NS_PER_SECOND)
+                    / server.spec().cores());
+            sampledBusySeconds[b] = busy;
+            utilizationSampledAt[b] = now;
         }
         List<Double> figures = new ArrayList<>();
         for (String column : model.site().loadColumns()) {
             figures.add(switch (column) {
-                case "queue" -> (double) station.waiting();
-                case "inflight" -> (double) station.held();
-                case "busy" -> busyPart[b];
-                case "latency-ms" -> latencies[b];
+                case "queue" -> (double) server.queued();
+                case "inflight" -> (double) server.inflight();
+                case "busy" -> sampledUtilization[b];
+                case "latency-ms" -> meanLatencyMs[b];
                 default -> 0.0;
             });
         }
@@ -805,142 +825,145 @@
 
     // ---- controllers ---------------------------------------------------------------------------------
 
-    private int parcel(Object object) {
-        if (freeParcels.isEmpty()) {
-            parcels.add(object);
-            return parcels.size() - 1;
+    private int storePayload(Object object) {
+        if (freePayloads.isEmpty()) {
+            payloads.add(object);
+            return payloads.size() - 1;
         }
-        int place = freeParcels.remove(freeParcels.size() - 1);
-        parcels.set(place, object);
-        return place;
+        int index = freePayloads.remove(freePayloads.size() - 1);
+        payloads.set(index, object);
+        return index;
     }
 
-    private Object open(int place) {
-        freeParcels.add(place);
-        return parcels.set(place, null);
+    private Object takePayload(int index) {
+        freePayloads.add(index);
+        return payloads.set(index, null);
     }
 
-    /** A message under way to a proxy's stream. */
-    private record Sent(int stream, Frame frame) { }
+    /** A frame in transit to a proxy's stream. */
+    private record SentFrame(int stream, Frame frame) { }
 
-    private final class Surroundings implements Driver.Environment {
+    private final class ControllerEnvironment implements Driver.Environment {
         private final int rank;
 
-        Surroundings(int rank) {
+        ControllerEnvironment(int rank) {
             this.rank = rank;
         }
 
         @Override
         public void watch(boolean on) {
-            agenda.add(now + 2 * model.sameZoneDelayNs(), NOTICED, rank, 0);
+            eventQueue.add(now + 2 * model.sameZoneDelayNs(), ROSTER_ANSWER, rank, 0);
         }
 
         @Override
-        public void probe(Backend its) {
-            int b = (int) (its.id() >> 16 & 0xffffff);
-            agenda.add(now + 2 * model.sameZoneDelayNs(), PROBED, rank, b);
+        public void probe(Backend backend) {
+            int b = (int) (backend.id() >> 16 & 0xffffff);
+            eventQueue.add(now + 2 * model.sameZoneDelayNs(), PROBE_RESULT, rank, b);
         }
 
         @Override
         public void send(int p, Frame frame) {
-            long late = (long) (model.site().channel().typicalDelay() * (0.5 + ways.nextDouble()));
-            lastMessage[p] = Math.max(lastMessage[p], now + late);
-            agenda.add(lastMessage[p], MESSAGE, p, parcel(new Sent(stream[p], frame)));
+            long late = (long) (model.site().channel().typicalDelay() * (0.5 + delayRandom.nextDouble()));
+            lastDeliveryAt[p] = Math.max(lastDeliveryAt[p], now + late);
+            eventQueue.add(lastDeliveryAt[p], MESSAGE_TO_PROXY, p,
+                    storePayload(new SentFrame(streamNumber[p], frame)));
         }
 
         @Override
         public void log(String text) { }
 
         @Override
-        public void onDecision(long at, List<rowanmoor.ControlApi.Event> heard,
-                List<rowanmoor.ControlApi.Action> ordered, long took) {
+        public void onDecision(long at, List<rowanmoor.ControlApi.Event> events,
+                List<rowanmoor.ControlApi.Action> actions, long elapsed) {
             outcome.controllers().get(rank).decisions++;
         }
     }
 
     private void startController(int rank, long seed) {
-        drivers[rank] = new Driver(model.site().settings(drivers.length), seed, ++epochs, now,
-                new Surroundings(rank), () -> 0);
-        drivers[rank].onMembers(new Members(CatalogUpdateKind.CACHED, version, List.of()));
-        dead[rank] = false;
-        tickAt[rank] = Long.MAX_VALUE;
-        tickBy(rank, now);
+        drivers[rank] = new Driver(model.site().settings(drivers.length), seed, ++lastEpoch, now,
+                new ControllerEnvironment(rank), () -> 0);
+        drivers[rank].onMembers(new Members(CatalogUpdateKind.CACHED, rosterVersion, List.of()));
+        controllerDown[rank] = false;
+        nextTickAt[rank] = Long.MAX_VALUE;
+        scheduleTick(rank, now);
     }
 
-    private void settle(int rank) {
-        Outcome.ControllerStats met = outcome.controllers().get(rank);
-        met.maxQueuedLines = Math.max(met.maxQueuedLines, drivers[rank].maxQueuedLines());
-        met.totalQueuedLines += drivers[rank].totalQueuedLines();
-        met.maxPendingReportLines = Math.max(met.maxPendingReportLines, drivers[rank].maxPendingReportLines());
+    private void collectControllerStats(int rank) {
+        Outcome.ControllerStats stats = outcome.controllers().get(rank);
+        stats.maxQueuedLines = Math.max(stats.maxQueuedLines, drivers[rank].maxQueuedLines());
+        stats.totalQueuedLines += drivers[rank].totalQueuedLines();
+        stats.maxPendingReportLines = Math.max(stats.maxPendingReportLines,
+                drivers[rank].maxPendingReportLines());
     }
 
-    private void tickBy(int rank, long time) {
-        long at = Math.max(time, lastTick[rank] + TICK_GAP);
-        if (!dead[rank] && at < tickAt[rank]) {
-            tickAt[rank] = at;
-            agenda.add(at, TICK, rank, (int) epochs);
+    private void scheduleTick(int rank, long time) {
+        long at = Math.max(time, lastTickAt[rank] + MIN_TICK_INTERVAL_NS);
+        if (!controllerDown[rank] && at < nextTickAt[rank]) {
+            nextTickAt[rank] = at;
+            eventQueue.add(at, CONTROLLER_TICK, rank, (int) lastEpoch);
         }
     }
 
-    private void tick(int rank, int epoch) {
-        if (dead[rank] || tickAt[rank] != now) {
-            return; // an earlier tick took its place, or its process is gone
+    private void onTick(int rank, int epoch) {
+        if (controllerDown[rank] || nextTickAt[rank] != now) {
+            return; // another tick replaced it, or the process is down
         }
-        tickAt[rank] = Long.MAX_VALUE;
-        lastTick[rank] = now;
+        nextTickAt[rank] = Long.MAX_VALUE;
+        lastTickAt[rank] = now;
         drivers[rank].tick(now);
         long next = drivers[rank].nextTickAt();
         if (next != Long.MAX_VALUE) {
-            tickBy(rank, Math.max(next, now));
+            scheduleTick(rank, Math.max(next, now));
         }
     }
 
-    /** A proxy calls a controller, or the next one if that is gone. */
-    private void join(int p, int rank) {
-        if (joinedTo[p] >= 0) {
+    /** A proxy connects to a controller, or later to the next one if that is down. */
+    private void connectToController(int p, int rank) {
+        if (controllerOf[p] >= 0) {
             return;
         }
-        if (dead[rank] || cut[p]) {
-            agenda.add(now + (long) (REDIAL * (0.5 + ways.nextDouble())), JOIN, p,
-                    (rank + 1) % drivers.length);
+        if (controllerDown[rank] || partitioned[p]) {
+            eventQueue.add(now + (long) (REDIAL_DELAY_NS * (0.5 + delayRandom.nextDouble())), PROXY_CONNECT,
+                    p, (rank + 1) % drivers.length);
             return;
         }
-        joinedTo[p] = rank;
-        stream[p]++;
-        lastMessage[p] = now;
+        controllerOf[p] = rank;
+        streamNumber[p]++;
+        lastDeliveryAt[p] = now;
         boolean fresh = routers[p].hasOnlyStandingTable();
         routers[p].onStreamOpened();
-        double rate = model.requestsPerSecond() * model.proxyWeights()[p] / proxySums[proxySums.length - 1];
-        drivers[rank].onProxyJoined(now, new Frame.Hello(Frame.PROTOCOL_VERSION, p, p, model.proxyZones()[p], rate, fresh,
-                routers[p].epoch(), routers[p].version(), "p"));
-        tickBy(rank, now);
+        double rate = model.requestsPerSecond() * model.proxyWeights()[p]
+                / cumulativeProxyWeights[cumulativeProxyWeights.length - 1];
+        drivers[rank].onProxyJoined(now, new Frame.Hello(Frame.PROTOCOL_VERSION, p, p, model.proxyZones()[p],
+                rate, fresh, routers[p].epoch(), routers[p].version(), "p"));
+        scheduleTick(rank, now);
     }
 
-    private void message(int p, int place) {
-        Sent sent = (Sent) open(place);
-        if (sent.stream() != stream[p] || joinedTo[p] < 0 || cut[p]) {
+    private void onMessageAtProxy(int p, int index) {
+        SentFrame sent = (SentFrame) takePayload(index);
+        if (sent.stream() != streamNumber[p] || controllerOf[p] < 0 || partitioned[p]) {
             return; // lost with its stream
         }
         if (sent.frame() instanceof Frame.Snapshot snapshot) {
             routers[p].apply(snapshot);
         } else if (sent.frame() instanceof Frame.Update update
                 && routers[p].apply(update) == Router.UpdateResult.APPLIED) {
-            if (idle != null) {
-                dropIdle(p); // connections to backends that no table names any more are closed at once
+            if (newestIdle != null) {
+                closeIdleConnections(p); // closes connections to backends that are no longer in any table
             }
             for (Frame.Order order : update.orders()) {
                 if (order instanceof Frame.Mark mark) {
-                    agenda.add(now + model.sameZoneDelayNs(), HEARD, p, parcel(new Frame.Applied(update.epoch(),
-                            update.version(), mark.number())));
+                    eventQueue.add(now + model.sameZoneDelayNs(), MESSAGE_TO_CONTROLLER, p,
+                            storePayload(new Frame.Applied(update.epoch(), update.version(), mark.number())));
                 }
             }
         }
     }
 
-    private void heard(int p, int place) {
-        Frame frame = (Frame) open(place);
-        int rank = joinedTo[p];
-        if (rank < 0 || dead[rank]) {
+    private void onMessageAtController(int p, int index) {
+        Frame frame = (Frame) takePayload(index);
+        int rank = controllerOf[p];
+        if (rank < 0 || controllerDown[rank]) {
             return;
         }
         if (frame instanceof Frame.Applied applied) {
@@ -948,151 +971,154 @@
         } else if (frame instanceof Frame.Report report) {
             drivers[rank].onReport(p, report);
         }
-        tickBy(rank, now);
+        scheduleTick(rank, now);
     }
 
-    private void probed(int rank, int b) {
-        if (!dead[rank]) {
-            boolean down = stations[b].isDown();
-            int most = model.backends().get(b).maxConnections();
-            boolean full = idle != null && most > 0 && connections[b] >= most; // a probe needs one of its own
+    private void onProbeResult(int rank, int b) {
+        if (!controllerDown[rank]) {
+            boolean down = servers[b].isDown();
+            int maxConnections = model.backends().get(b).maxConnections();
+            // a probe needs its own connection
+            boolean full = newestIdle != null && maxConnections > 0 && openConnections[b] >= maxConnections;
             boolean up = !down && !full;
-            drivers[rank].onProbeResult(new Probed(backends[b], up, up ? Prober.STATUS_OK : down ? Prober.STATUS_UNREACHABLE
-                    : Prober.STATUS_CONNECTION_LOST, 2 * model.sameZoneDelayNs(), up ? load(b) : List.of()));
-            tickBy(rank, now);
+            drivers[rank].onProbeResult(new Probed(backends[b], up,
+                    up ? Prober.STATUS_OK : down ? Prober.STATUS_UNREACHABLE : Prober.STATUS_CONNECTION_LOST,
+                    2 * model.sameZoneDelayNs(), up ? loadFigures(b) : List.of()));
+            scheduleTick(rank, now);
         }
     }
 
-    /** A controller asks the roster, or hears of a change. */
-    private void noticed(int rank) {
-        if (dead[rank]) {
+    /** A controller queries the roster, or the roster reports a change. */
+    private void onRosterAnswer(int rank) {
+        if (controllerDown[rank]) {
             return;
         }
         if (rosterDown) {
-            drivers[rank].onMembers(new Members(CatalogUpdateKind.FAILED, version, List.of()));
+            drivers[rank].onMembers(new Members(CatalogUpdateKind.FAILED, rosterVersion, List.of()));
         } else {
             List<Member> members = new ArrayList<>();
             for (int b = 0; b < backends.length; b++) {
                 Model.BackendSpec m = model.backends().get(b);
-                if (listed[b] != Availability.GONE) {
-                    members.add(new Member(backends[b], m.zone(), m.kind(), 0, listed[b], m.weight(),
+                if (availability[b] != Availability.GONE) {
+                    members.add(new Member(backends[b], m.zone(), m.kind(), 0, availability[b], m.weight(),
                             startedAt[b]));
                 }
             }
-            drivers[rank].onMembers(new Members(CatalogUpdateKind.FULL, version, members));
+            drivers[rank].onMembers(new Members(CatalogUpdateKind.FULL, rosterVersion, members));
         }
-        tickBy(rank, now);
+        scheduleTick(rank, now);
     }
 
-    // ---- troubles ------------------------------------------------------------------------------------
+    // ---- faults --------------------------------------------------------------------------------------
 
-    private void begin(int number) {
-        Model.Fault t = model.faults().get(number);
-        agenda.add(now + t.durationNs(), RELIEF, number, 0);
-        switch (t.kind()) {
+    private void beginFault(int number) {
+        Model.Fault fault = model.faults().get(number);
+        eventQueue.add(now + fault.durationNs(), FAULT_END, number, 0);
+        switch (fault.kind()) {
             case BACKENDS_DIE -> {
-                for (int b : t.targets()) {
-                    die(b);
+                for (int b : fault.targets()) {
+                    crashBackend(b);
                 }
-                tellAfter(model.rosterDelayNs(), number, Availability.GONE);
+                updateRoster(model.rosterDelayNs(), number, Availability.GONE);
             }
             case BACKENDS_FAIL -> {
-                for (int b : t.targets()) {
-                    failing[b] = t.magnitude();
+                for (int b : fault.targets()) {
+                    errorFraction[b] = fault.magnitude();
                 }
             }
-            case BACKENDS_DRAIN -> tellAfter(0, number, Availability.DRAINING);
+            case BACKENDS_DRAIN -> updateRoster(0, number, Availability.DRAINING);
             case BACKENDS_SLOW -> {
-                for (int b : t.targets()) {
-                    stations[b].slower(now, t.magnitude());
-                    plan(b);
+                for (int b : fault.targets()) {
+                    servers[b].setSlowdown(now, fault.magnitude());
+                    scheduleBackendTimer(b);
                 }
             }
             case CONTROLLER_DIES -> {
-                int rank = t.targets()[0];
-                settle(rank);
-                dead[rank] = true;
-                for (int p = 0; p < joinedTo.length; p++) {
-                    if (joinedTo[p] == rank) {
+                int rank = fault.targets()[0];
+                collectControllerStats(rank);
+                controllerDown[rank] = true;
+                for (int p = 0; p < controllerOf.length; p++) {
+                    if (controllerOf[p] == rank) {
                         breakStream(p, (rank + 1) % drivers.length, 0);
                     }
                 }
             }
             case ROSTER_DOWN -> rosterDown = true;
             case PROXIES_CUT -> {
-                for (int p : t.targets()) {
-                    cut[p] = true;
-                    if (joinedTo[p] >= 0) {
-                        breakStream(p, joinedTo[p], SILENCE);
+                for (int p : fault.targets()) {
+                    partitioned[p] = true;
+                    if (controllerOf[p] >= 0) {
+                        breakStream(p, controllerOf[p], SILENCE_TIMEOUT_NS);
                     }
                 }
             }
-            case BURST -> burst = t.magnitude();
-            default -> throw new IllegalStateException("no way to play " + t.kind());
+            case BURST -> burstFactor = fault.magnitude();
+            default -> throw new IllegalStateException("cannot begin fault of kind " + fault.kind());
         }
     }
 
-    private void breakStream(int p, int next, long notice) {
-        int rank = joinedTo[p];
-        joinedTo[p] = -1;
-        if (!dead[rank]) {
+    private void breakStream(int p, int next, long delay) {
+        int rank = controllerOf[p];
+        controllerOf[p] = -1;
+        if (!controllerDown[rank]) {
             drivers[rank].onProxyLeft(p);
-            tickBy(rank, now);
+            scheduleTick(rank, now);
         }
-        agenda.add(now + notice + (long) (REDIAL * (0.5 + ways.nextDouble())), JOIN, p, next);
+        eventQueue.add(now + delay + (long) (REDIAL_DELAY_NS * (0.5 + delayRandom.nextDouble())),
+                PROXY_CONNECT, p, next);
     }
 
-    private void die(int b) {
-        for (int job = stations[b].loseOne(now); job >= 0; job = stations[b].loseOne(now)) {
+    private void crashBackend(int b) {
+        for (int job = servers[b].crashOne(now); job >= 0; job = servers[b].crashOne(now)) {
             int request = jobRequest[job];
-            agenda.add(now + way(proxy[request], b), LOST, request, jobStamp[job]);
-            left(job);
+            eventQueue.add(now + drawDelay(requestProxy[request], b), LOST, request, jobTryId[job]);
+            endJob(job);
         }
-        stations[b].restamp();
+        servers[b].newTimerId();
     }
 
-    private void tellAfter(long notice, int number, Availability state) {
-        Model.Fault t = model.faults().get(number);
-        for (int b : t.targets()) {
-            listed[b] = state; // takes effect for controllers when they are told
+    private void updateRoster(long delay, int number, Availability state) {
+        Model.Fault fault = model.faults().get(number);
+        for (int b : fault.targets()) {
+            availability[b] = state; // controllers see it after the delay
         }
-        version++;
+        rosterVersion++;
         for (int c = 0; c < drivers.length; c++) {
-            agenda.add(now + notice, NOTICED, c, 0);
+            eventQueue.add(now + delay, ROSTER_ANSWER, c, 0);
         }
     }
 
-    private void relieve(int number) {
-        Model.Fault t = model.faults().get(number);
-        switch (t.kind()) {
+    private void endFault(int number) {
+        Model.Fault fault = model.faults().get(number);
+        switch (fault.kind()) {
             case BACKENDS_DIE -> {
-                for (int b : t.targets()) {
-                    stations[b].restart(now);
+                for (int b : fault.targets()) {
+                    servers[b].restart(now);
                     startedAt[b] = now;
                 }
-                tellAfter(model.rosterDelayNs(), number, Availability.READY);
+                updateRoster(model.rosterDelayNs(), number, Availability.READY);
             }
             case BACKENDS_FAIL -> {
-                for (int b : t.targets()) {
-                    failing[b] = 0;
+                for (int b : fault.targets()) {
+                    errorFraction[b] = 0;
                 }
             }
-            case BACKENDS_DRAIN -> tellAfter(0, number, Availability.READY);
+            case BACKENDS_DRAIN -> updateRoster(0, number, Availability.READY);
             case BACKENDS_SLOW -> {
-                for (int b : t.targets()) {
-                    stations[b].slower(now, 1);
-                    plan(b);
+                for (int b : fault.targets()) {
+                    servers[b].setSlowdown(now, 1);
+                    scheduleBackendTimer(b);
                 }
             }
-            case CONTROLLER_DIES -> startController(t.targets()[0], number);
+            case CONTROLLER_DIES -> startController(fault.targets()[0], number);
             case ROSTER_DOWN -> rosterDown = false;
             case PROXIES_CUT -> {
-                for (int p : t.targets()) {
-                    cut[p] = false;
+                for (int p : fault.targets()) {
+                    partitioned[p] = false;
                 }
             }
-            case BURST -> burst = 1;
-            default -> throw new IllegalStateException("no way to end " + t.kind());
+            case BURST -> burstFactor = 1;
+            default -> throw new IllegalStateException("cannot end fault of kind " + fault.kind());
         }
     }
 }
--- a/src/main/java/rowanmoor/emulator/Outcome.java
+++ b/src/main/java/rowanmoor/emulator/Outcome.java
@@ -4,20 +4,25 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What a run came to.
+ * The result of a run.
  *
- * @param classes by class
- * @param backends by backend
- * @param controllers by rank
+ * @param classes statistics by class
+ * @param backends statistics by backend
+ * @param controllers statistics by rank
  * @param goodBySecond worth answered in time, by the second of arrival
- * @param offeredBySecond worth asked for, by the second of arrival
- * @param littlesLawError how far held time is off the sum of stays, as a part of it: Little's law on this run
- * @param events how many events were played
+ * @param offeredBySecond worth of the requests that arrived, by the second of arrival
+ * @param littlesLawError relative difference between the time that backends held requests and the sum of
+ *     the requests' stays; by Little's law it is 0 up to rounding
+ * @param events number of events processed
  */
-public record Outcome(List<ClassStats> classes, List<BackendStats> backends, List<ControllerStats> controllers,
-        double[] goodBySecond, double[] offeredBySecond, double littlesLawError, long events) {
+public record Outcome(List<ClassStats> classes, List<BackendStats> backends,
+        List<ControllerStats> controllers, double[] goodBySecond, double[] offeredBySecond,
+        double littlesLawError, long events) {
 
-    /** Requests of one class. Refusals count tries: by level, for want of a line. */
+    /**
+     * Requests of one class. Rejections count tries: by the admission level, and because no backend could be
+     * picked.
+     */
     public static final class ClassStats {
         public long offered;
         public long good;
@@ -26,16 +31,16 @@
         public long tries;
         public long rejectedByLevel;
         public long noBackend;
-        /** Microseconds of answered requests, from arrival. */
+        /** Latency of answered requests from their arrival, in microseconds. */
         public final Histogram latency = new Histogram(3_600_000_000L, 2);
-        /** Summed time between reaching a backend and leaving it, and how many. */
+        /** Total time between reaching a backend and leaving it, and the number of such stays. */
         public double totalStaySeconds;
         public long stayCount;
     }
 
     /**
-     * One backend: part of its cores' time in use with load at its height, the longest queue, refusals
-     * and losses.
+     * One backend: the fraction of its cores' time in use at peak load, the longest queue, rejected requests
+     * and refused connections.
      */
     public static final class BackendStats {
         public double utilization;
@@ -44,12 +49,15 @@
         public long refusedConnections;
         public long served;
         public int maxConnections;
-        /** Of the served: summed time between reaching it and leaving it, and summed work, seconds. */
+        /**
+         * Of served requests: total time between reaching the backend and leaving it, and total work,
+         * seconds.
+         */
         public double staySeconds;
         public double workSeconds;
     }
 
-    /** One controller. */
+    /** One controller: lines and report lines that waited, and decisions. */
     public static final class ControllerStats {
         public double maxQueuedLines;
         public double totalQueuedLines;
@@ -57,7 +65,7 @@
         public long decisions;
     }
 
-    /** Worth answered in time over worth asked for; 1 if nothing was. */
+    /** Worth answered in time over worth offered; 1 if nothing was offered. */
     public double service() {
         double good = 0;
         double asked = 0;
@@ -68,7 +76,7 @@
         return asked == 0 ? 1 : good / asked;
     }
 
-    /** The same over the worst stretch of so many seconds. */
+    /** Service over the worst interval of this many seconds. */
     public double worstService(int seconds) {
         double worst = 1;
         for (int from = 0; from + seconds <= goodBySecond.length; from++) {
--- a/src/main/java/rowanmoor/emulator/Station.java
+++ b/src/main/java/rowanmoor/emulator/Station.java
@@ -3,59 +3,61 @@
 import java.util.Arrays;
 
 /**
- * One backend: cores shared evenly by the requests in its slots, a waiting room served in order, a ramp
- * from cold to warm. With as many slots as cores it is a plain queue with so many servers. Requests are
- * numbers; nothing is allocated for one. Work is seconds on a core of speed 1; times are nanoseconds.
+ * One backend: cores shared evenly by the requests in its slots (processor sharing), a FIFO queue, and a
+ * speed that rises linearly from cold to warm. With as many slots as cores it is a queue with that many
+ * servers. Requests are numbers; none allocates memory. Work is seconds on a core of speed 1; times are
+ * nanoseconds.
  */
 final class Station {
 
-    private static final double SECOND = 1e9;
-    private static final long RAMP_STEP = 100_000_000L;
-    private static final double CLOSE = 1e-9;
+    private static final double NS_PER_SECOND = 1e9;
+    private static final long WARM_UP_STEP_NS = 100_000_000L;
+    private static final double PROGRESS_TOLERANCE = 1e-9;
 
-    private final Model.BackendSpec machine;
-    private double[] ends = new double[16];
+    private final Model.BackendSpec spec;
+    private double[] finishAt = new double[16];
     private int[] running = new int[16];
-    private int inWork;
-    private int[] ring = new int[16];
-    private int head;
-    private int waiting;
+    private int runningCount;
+    private int[] queue = new int[16];
+    private int queueHead;
+    private int queued;
     private double progress;
-    private long at;
+    private long updatedAt;
     private long startedAt;
     private boolean down;
-    private int stamp;
-    private double slower = 1;
+    private int timerId;
+    private double slowdown = 1;
 
-    // Sums for the result.
+    // Totals for the outcome.
     private double busySeconds;
     private double heldSeconds;
-    private int mostWaiting;
+    private int maxQueued;
 
     Station(Model.BackendSpec machine, long now) {
-        this.machine = machine;
-        this.at = now;
+        this.spec = machine;
+        this.updatedAt = now;
         this.startedAt = now - machine.warmUpNs();
     }
 
-    double warmth(long now) {
-        double age = machine.warmUpNs() == 0 ? 1 : (now - startedAt) / (double) machine.warmUpNs();
-        return Math.min(1, machine.coldSpeedFraction() + (1 - machine.coldSpeedFraction()) * Math.max(0, age));
+    double speedFraction(long now) {
+        double age = spec.warmUpNs() == 0 ? 1 : (now - startedAt) / (double) spec.warmUpNs();
+        return Math.min(1, spec.coldSpeedFraction() + (1 - spec.coldSpeedFraction()) * Math.max(0, age));
     }
 
-    private double rateOfOne(long when) {
-        return machine.speed() * warmth(when) / slower * Math.min(1, machine.cores() / (double) inWork);
+    private double speedPerRequest(long when) {
+        return spec.speed() * speedFraction(when) / slowdown * Math.min(1,
+                spec.cores() / (double) runningCount);
     }
 
     private void advance(long now) {
-        if (now > at) {
-            double seconds = (now - at) / SECOND;
-            busySeconds += seconds * Math.min(inWork, machine.cores());
-            heldSeconds += seconds * (inWork + waiting);
-            if (inWork > 0) {
-                progress += seconds * rateOfOne(at + (now - at) / 2);
+        if (now > updatedAt) {
+            double seconds = (now - updatedAt) / NS_PER_SECOND;
+            busySeconds += seconds * Math.min(runningCount, spec.cores());
+            heldSeconds += seconds * (runningCount + queued);
+            if (runningCount > 0) {
+                progress += seconds * speedPerRequest(updatedAt + (now - updatedAt) / 2);
             }
-            at = now;
+            updatedAt = now;
         }
     }
 
@@ -63,134 +65,140 @@
         return down;
     }
 
-    /** Takes a request in; false if slots and waiting room are full. */
+    /** Starts or queues a request; false if slots and queue are full. */
     boolean offer(long now, int request, double work) {
         advance(now);
-        if (inWork < machine.slots()) {
-            begin(request, work);
+        if (runningCount < spec.slots()) {
+            start(request, work);
             return true;
         }
-        if (waiting >= machine.queueCapacity()) {
+        if (queued >= spec.queueCapacity()) {
             return false;
         }
-        if (waiting == ring.length) {
-            int[] larger = new int[2 * waiting];
-            for (int i = 0; i < waiting; i++) {
-                larger[i] = ring[(head + i) % ring.length];
+        if (queued == queue.length) {
+            int[] larger = new int[2 * queued];
+            for (int i = 0; i < queued; i++) {
+                larger[i] = queue[(queueHead + i) % queue.length];
             }
-            ring = larger;
-            head = 0;
+            queue = larger;
+            queueHead = 0;
         }
-        ring[(head + waiting++) % ring.length] = request;
-        mostWaiting = Math.max(mostWaiting, waiting);
+        queue[(queueHead + queued++) % queue.length] = request;
+        maxQueued = Math.max(maxQueued, queued);
         return true;
     }
 
-    private void begin(int request, double work) {
-        if (inWork == ends.length) {
-            ends = Arrays.copyOf(ends, 2 * inWork);
-            running = Arrays.copyOf(running, 2 * inWork);
+    private void start(int request, double work) {
+        if (runningCount == finishAt.length) {
+            finishAt = Arrays.copyOf(finishAt, 2 * runningCount);
+            running = Arrays.copyOf(running, 2 * runningCount);
         }
         double end = progress + work;
-        int place = inWork++;
-        while (place > 0 && ends[(place - 1) >>> 1] > end) {
-            int parent = (place - 1) >>> 1;
-            ends[place] = ends[parent];
-            running[place] = running[parent];
-            place = parent;
+        int index = runningCount++;
+        while (index > 0 && finishAt[(index - 1) >>> 1] > end) {
+            int parent = (index - 1) >>> 1;
+            finishAt[index] = finishAt[parent];
+            running[index] = running[parent];
+            index = parent;
         }
-        ends[place] = end;
-        running[place] = request;
+        finishAt[index] = end;
+        running[index] = request;
     }
 
-    /** Takes the next request whose work is done by now, or answers -1. */
-    int ended(long now) {
+    /** Removes and returns the next request whose work is done by now, or -1. */
+    int pollFinished(long now) {
         advance(now);
-        if (inWork == 0 || ends[0] > progress + CLOSE) {
+        if (runningCount == 0 || finishAt[0] > progress + PROGRESS_TOLERANCE) {
             return -1;
         }
         int request = running[0];
-        inWork--;
-        double end = ends[inWork];
-        int last = running[inWork];
-        int place = 0;
+        runningCount--;
+        double end = finishAt[runningCount];
+        int last = running[runningCount];
+        int index = 0;
         while (true) {
-            int child = 2 * place + 1;
-            if (child >= inWork) {
+            int child = 2 * index + 1;
+            if (child >= runningCount) {
                 break;
             }
-            child += child + 1 < inWork && ends[child + 1] < ends[child] ? 1 : 0;
-            if (ends[child] >= end) {
+            child += child + 1 < runningCount && finishAt[child + 1] < finishAt[child] ? 1 : 0;
+            if (finishAt[child] >= end) {
                 break;
             }
-            ends[place] = ends[child];
-            running[place] = running[child];
-            place = child;
+            finishAt[index] = finishAt[child];
+            running[index] = running[child];
+            index = child;
         }
-        ends[place] = end;
-        running[place] = last;
+        finishAt[index] = end;
+        running[index] = last;
         return request;
     }
 
-    /** Takes a request that still waits out of the waiting room; false if it is not there. */
-    boolean drop(long now, int request) {
+    /** Removes a request from the queue; false if it is not there. */
+    boolean removeQueued(long now, int request) {
         advance(now);
-        for (int i = 0; i < waiting; i++) {
-            if (ring[(head + i) % ring.length] == request) {
-                for (int j = i + 1; j < waiting; j++) {
-                    ring[(head + j - 1) % ring.length] = ring[(head + j) % ring.length];
+        for (int i = 0; i < queued; i++) {
+            if (queue[(queueHead + i) % queue.length] == request) {
+                for (int j = i + 1; j < queued; j++) {
+                    queue[(queueHead + j - 1) % queue.length] = queue[(queueHead + j) % queue.length];
                 }
-                waiting--;
+                queued--;
                 return true;
             }
         }
         return false;
     }
 
-    /** The next request that waits and for which there is a slot, or -1; it must be begun or dropped. */
-    int pollWaiting() {
-        if (waiting == 0 || inWork >= machine.slots()) {
+    /**
+     * Removes and returns the next queued request if a slot is free, or -1; the caller starts or drops it.
+     */
+    int pollQueued() {
+        if (queued == 0 || runningCount >= spec.slots()) {
             return -1;
         }
-        int request = ring[head];
-        head = (head + 1) % ring.length;
-        waiting--;
+        int request = queue[queueHead];
+        queueHead = (queueHead + 1) % queue.length;
+        queued--;
         return request;
     }
 
-    void beginWaited(int request, double work) {
-        begin(request, work);
+    void startQueued(int request, double work) {
+        start(request, work);
     }
 
-    /** When to look again, or a very long time. */
-    long nextAt() {
-        if (inWork == 0) {
+    /**
+     * When to poll for finished requests, or {@link Long#MAX_VALUE}. While it warms up its speed changes, so
+     * the interval is at most {@link #WARM_UP_STEP_NS}.
+     */
+    long nextEventAt() {
+        if (runningCount == 0) {
             return Long.MAX_VALUE;
         }
-        double wait = Math.max(0, ends[0] - progress) / rateOfOne(at) * SECOND;
-        return at + 1 + (long) (warmth(at) < 1 ? Math.min(wait, RAMP_STEP) : Math.min(wait, 1e17));
+        double wait = Math.max(0, finishAt[0] - progress) / speedPerRequest(updatedAt) * NS_PER_SECOND;
+        return updatedAt + 1 + (long) (speedFraction(updatedAt) < 1 ? Math.min(wait, WARM_UP_STEP_NS)
+                : Math.min(wait, 1e17));
     }
 
-    /** Which of the looks that were planned is the newest. */
-    int restamp() {
-        return ++stamp;
+    /** Number for the next timer; a timer with an older number is out of date. */
+    int newTimerId() {
+        return ++timerId;
     }
 
-    int stamp() {
-        return stamp;
+    int timerId() {
+        return timerId;
     }
 
-    /** Dies with all that it holds; the requests are told to the caller one by one. */
-    int loseOne(long now) {
+    /** Crashes; returns one of the requests that are lost with it, or -1 when none is left. */
+    int crashOne(long now) {
         advance(now);
         down = true;
-        if (inWork > 0) {
-            return running[--inWork];
+        if (runningCount > 0) {
+            return running[--runningCount];
         }
-        if (waiting > 0) {
-            int request = ring[head];
-            head = (head + 1) % ring.length;
-            waiting--;
+        if (queued > 0) {
+            int request = queue[queueHead];
+            queueHead = (queueHead + 1) % queue.length;
+            queued--;
             return request;
         }
         return -1;
@@ -202,17 +210,17 @@
         startedAt = now;
     }
 
-    void slower(long now, double factor) {
+    void setSlowdown(long now, double factor) {
         advance(now);
-        slower = factor;
+        slowdown = factor;
     }
 
-    int held() {
-        return inWork + waiting;
+    int inflight() {
+        return runningCount + queued;
     }
 
-    int waiting() {
-        return waiting;
+    int queued() {
+        return queued;
     }
 
     double busySeconds(long now) {
@@ -225,11 +233,11 @@
         return heldSeconds;
     }
 
-    int mostWaiting() {
-        return mostWaiting;
+    int maxQueued() {
+        return maxQueued;
     }
 
-    Model.BackendSpec machine() {
-        return machine;
+    Model.BackendSpec spec() {
+        return spec;
     }
 }
--- a/src/main/java/rowanmoor/emulator/package-info.java
+++ b/src/main/java/rowanmoor/emulator/package-info.java
@@ -1,6 +1,6 @@
 /**
- * A discrete-event model of clients, proxies, backends, roster and channel in simulated time, with the real
- * decision module, driver and proxy router deciding. Job: play a model and count. No I/O; a run is a pure
- * function of its model and seed. Thread rule: one run is one thread's; runs share nothing.
+ * A discrete-event simulation of clients, proxies, backends, the roster and the channel in simulated time.
+ * The decision module, the driver and the proxy's router are the production classes. No I/O: a run is a pure
+ * function of its model and seed. A run belongs to one thread; runs share no state.
  */
 package rowanmoor.emulator;
--- a/src/main/java/rowanmoor/plan/Bisection.java
+++ b/src/main/java/rowanmoor/plan/Bisection.java
@@ -1,49 +1,57 @@
 package rowanmoor.plan;
 
 /**
- * Looks for the rate at which a goal fails, between one at which it may hold and one at which it may fail.
- * The ends are tried too: nothing is taken for granted. Monotone by nature of the matter; where chance makes
- * it otherwise, the answer lies between a rate that held and a higher one that failed.
+ * Searches for the rate at which a goal starts to fail, between a low and a high rate. Both ends are tried as
+ * well. Service falls with the rate; where chance makes it otherwise, the result lies between a rate at which
+ * the goal was met and a higher one at which it failed.
  */
 public final class Bisection {
 
-    private final double from;
-    private final double to;
-    private final double within;
-    private double held = Double.NaN;
-    private double failed = Double.NaN;
+    private final double lowRate;
+    private final double highRate;
+    private final double precision;
+    private double highestMet = Double.NaN;
+    private double lowestFailed = Double.NaN;
 
-    /** @param within how near the two sides must come, as a part of the rate; above 0 */
+    /**
+     * Searches between two rates.
+     *
+     * @param within width of the final interval as a fraction of the rate, above 0
+     * @throws IllegalArgumentException unless 0 &lt; from &lt; to and within is above 0
+     */
     public Bisection(double from, double to, double within) {
         if (!(from > 0 && to > from && within > 0)) {
-            throw new IllegalArgumentException("from above 0, to above from, within above 0");
+            throw new IllegalArgumentException("expected 0 < from < to and within > 0, got from " + from
+                    + ", to " + to + ", within " + within);
         }
-        this.from = from;
-        this.to = to;
-        this.within = within;
+        this.lowRate = from;
+        this.highRate = to;
+        this.precision = within;
     }
 
-    /** The rate to be tried next, or 0 when the search is over. */
+    /** The rate to try next, or 0 when the search is over. */
     public double nextRate() {
-        if (Double.isNaN(failed)) {
-            return held == to ? 0 : to;
+        if (Double.isNaN(lowestFailed)) {
+            return highestMet == highRate ? 0 : highRate;
         }
-        if (Double.isNaN(held)) {
-            return failed == from ? 0 : from;
+        if (Double.isNaN(highestMet)) {
+            return lowestFailed == lowRate ? 0 : lowRate;
         }
-        return failed - held <= within * failed ? 0 : (held + failed) / 2;
+        return lowestFailed - highestMet <= precision * lowestFailed ? 0 : (highestMet + lowestFailed) / 2;
     }
 
-    public void recordResult(double rate, boolean kept) {
-        if (kept) {
-            held = rate;
+    /** Records whether the goal was met at a rate. */
+    public void recordResult(double rate, boolean met) {
+        if (met) {
+            highestMet = rate;
         } else {
-            failed = rate;
+            lowestFailed = rate;
         }
     }
 
-    /** The middle of what is left; 0 if the goal failed even at the low end, infinite if nothing failed. */
+    /** The middle of the final interval; 0 if the goal failed at the low end, infinite if it never failed. */
     public double result() {
-        return Double.isNaN(failed) ? Double.POSITIVE_INFINITY : Double.isNaN(held) ? 0 : (held + failed) / 2;
+        return Double.isNaN(lowestFailed) ? Double.POSITIVE_INFINITY : Double.isNaN(highestMet) ? 0
+                : (highestMet + lowestFailed) / 2;
     }
 }
--- a/src/main/java/rowanmoor/plan/Finding.java
+++ b/src/main/java/rowanmoor/plan/Finding.java
@@ -1,15 +1,15 @@
 package rowanmoor.plan;
 
 /**
- * A resource under pressure.
+ * How close a resource was to its limit.
  *
- * @param location where: a kind, a zone, a class, a controller
- * @param pressure how hard it is pressed; 1 is its limit
- * @param evidence the figures that say so
+ * @param location a kind in a zone, a class or a controller
+ * @param pressure use relative to its limit; 1 is the limit
+ * @param evidence the figures behind it, as text
  */
 public record Finding(Resource resource, String location, double pressure, String evidence) {
 
-    /** What can run out. */
+    /** The resources that can run out. */
     public enum Resource {
         CORES("cores"), WAITING_ROOM("slots and waiting room"), CONNECTIONS("connections"),
         CONFINED_CLASS("backends open to a class"), CHANNEL("lines of the channel"),
--- a/src/main/java/rowanmoor/standin/BackendModel.java
+++ b/src/main/java/rowanmoor/standin/BackendModel.java
@@ -7,32 +7,34 @@
 import java.util.TreeMap;
 
 /**
- * The machine inside a backend stand-in, without I/O: cores shared evenly by the requests in its slots, a
- * waiting room, a ramp from cold to warm, and a fall if far more is sent to it than it can do while cold.
- * Work is seconds on a core of speed 1. Time is passed in and never goes back.
+ * The capacity model of a backend stand-in, without I/O: cores shared evenly by the requests in its slots
+ * (processor sharing), a FIFO queue, and a speed that rises linearly from cold to warm. A cold backend falls
+ * (goes down until its next start) if it is sent far more work than it can do. Work is seconds on a core of
+ * speed 1. Callers pass the time in nanoseconds, which must not decrease.
  */
 public final class BackendModel {
 
     /**
-     * What it is.
+     * Parameters of a backend.
      *
-     * @param cores how many requests run at full speed at once
-     * @param speed work that a core does a second
+     * @param cores number of requests that run at full speed at once
+     * @param speed work that a core does per second
      * @param slots requests in work at once
      * @param queueCapacity requests that may wait beyond those
-     * @param coldSpeedFraction part of its speed right after a start
-     * @param warmUpNs how long until it is warm, ns
-     * @param fallMultiple so many times its capacity, sent for {@code fallSpanNs}, push it over while cold
+     * @param coldSpeedFraction fraction of its speed right after a start
+     * @param warmUpNs time from a start until full speed, ns
+     * @param fallMultiple a cold backend falls when the work sent within {@code fallSpanNs} exceeds this
+     *     multiple of its capacity
      */
-    public record Spec(int cores, double speed, int slots, int queueCapacity, double coldSpeedFraction, long warmUpNs,
-            double fallMultiple, long fallSpanNs) { }
+    public record Spec(int cores, double speed, int slots, int queueCapacity, double coldSpeedFraction,
+            long warmUpNs, double fallMultiple, long fallSpanNs) { }
 
-    /** What becomes of an offered request. */
+    /** Whether a request was taken, or why it was not. */
     public enum Offer { TAKEN, FULL, DOWN }
 
-    private record Sent(long at, double work) { }
+    private record SentWork(long sentAt, double work) { }
 
-    /** One request: {@code id} is the caller's. */
+    /** One request; the caller chooses {@code id}. */
     private static final class Job {
         private final long id;
         private final double work;
@@ -43,106 +45,108 @@
         }
     }
 
-    private static final double SECOND = 1e9;
-    private static final long RAMP_STEP = 50_000_000L;
+    private static final double NS_PER_SECOND = 1e9;
+    private static final long WARM_UP_STEP_NS = 50_000_000L;
 
     private final Spec spec;
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
     private final TreeMap<Double, List<Job>> running = new TreeMap<>();
-    private final Map<Long, Double> ends = new java.util.HashMap<>();
-    private final ArrayDeque<Sent> lately = new ArrayDeque<>();
-    private int inWork;
+    private final Map<Long, Double> finishById = new java.util.HashMap<>();
+    private final ArrayDeque<SentWork> recentWork = new ArrayDeque<>();
+    private int runningCount;
     private double progress;
-    private double slower = 1;
+    private double slowdown = 1;
     private boolean stalled;
     private boolean down;
     private boolean fallen;
     private long startedAt;
-    private long at;
+    private long updatedAt;
     private double busySeconds;
-    private double worstPush;
+    private double maxColdOverload;
 
-    /** A machine that has run for long. */
+    /** A backend that is already warm. */
     public BackendModel(Spec spec, long now) {
         this.spec = spec;
-        this.at = now;
+        this.updatedAt = now;
         this.startedAt = now - spec.warmUpNs();
     }
 
-    /** Starts anew, cold; all that it held is gone. */
+    /** Restarts it, cold; the requests that it held are lost. */
     public void start(long now) {
         stop(now);
         down = false;
         fallen = false;
         startedAt = now;
-        lately.clear();
+        recentWork.clear();
     }
 
-    /** Stops; all that it held is gone. */
+    /** Stops it; the requests that it held are lost. */
     public void stop(long now) {
         advance(now);
         waiting.clear();
         running.clear();
-        ends.clear();
-        inWork = 0;
+        finishById.clear();
+        runningCount = 0;
         down = true;
     }
 
+    /** Whether it is stopped or has fallen. */
     public boolean isDown() {
         return down || fallen;
     }
 
-    /** Whether it was pushed over since its last start. */
+    /** Whether it has fallen since its last start. */
     public boolean isFallen() {
         return fallen;
     }
 
-    /** The most that was ever sent to it while cold, as a multiple of its capacity over a fall span. */
+    /** The most work ever sent to it while cold, as a multiple of its capacity over a fall span. */
     public double maxColdOverload() {
-        return worstPush;
+        return maxColdOverload;
     }
 
-    /** So many times slower than it should be; 1 is as it should be. */
+    /** Divides its speed by a factor; 1 restores it. */
     public void setSlowdown(long now, double factor) {
         advance(now);
-        slower = factor;
+        slowdown = factor;
     }
 
-    /** Stands still, or goes on. */
+    /** Stops all work, or resumes it. */
     public void setStalled(long now, boolean on) {
         advance(now);
         stalled = on;
     }
 
-    private double warmth(long now) {
+    private double speedFraction(long now) {
         double age = spec.warmUpNs() == 0 ? 1 : (now - startedAt) / (double) spec.warmUpNs();
         return Math.min(1, spec.coldSpeedFraction() + (1 - spec.coldSpeedFraction()) * Math.max(0, age));
     }
 
-    /** Work a second that it can do at a time; troubles aside. */
+    /** Work per second that it can do at a time, without injected faults. */
     public double capacity(long now) {
-        return spec.cores() * spec.speed() * warmth(now);
+        return spec.cores() * spec.speed() * speedFraction(now);
     }
 
-    private double rateOfOne(long now) {
-        if (stalled || inWork == 0) {
+    private double speedPerRequest(long now) {
+        if (stalled || runningCount == 0) {
             return 0;
         }
-        return spec.speed() * warmth(now) / slower * Math.min(1, spec.cores() / (double) inWork);
+        return spec.speed() * speedFraction(now) / slowdown * Math.min(1,
+                spec.cores() / (double) runningCount);
     }
 
-    /** A request comes. */
+    /** Starts or queues a request, or rejects it. */
     public Offer offer(long now, long id, double work) {
         advance(now);
         if (isDown()) {
             return Offer.DOWN;
         }
-        push(now, work);
+        recordColdWork(now, work);
         if (fallen) {
             return Offer.DOWN;
         }
-        if (inWork < spec.slots()) {
-            run(new Job(id, work));
+        if (runningCount < spec.slots()) {
+            startJob(new Job(id, work));
             return Offer.TAKEN;
         }
         if (waiting.size() >= spec.queueCapacity()) {
@@ -152,105 +156,113 @@
         return Offer.TAKEN;
     }
 
-    /** Books what is sent while it is cold, refused or not, against what it could do in the span. */
-    private void push(long now, double work) {
-        if (warmth(now) >= 1) {
+    /** While cold, compares the work sent within the fall span, rejected or not, with its capacity. */
+    private void recordColdWork(long now, double work) {
+        if (speedFraction(now) >= 1) {
             return;
         }
-        lately.add(new Sent(now, work));
-        while (lately.peek().at() < now - spec.fallSpanNs()) {
-            lately.poll();
+        recentWork.add(new SentWork(now, work));
+        while (recentWork.peek().sentAt() < now - spec.fallSpanNs()) {
+            recentWork.poll();
         }
-        double sum = lately.stream().mapToDouble(Sent::work).sum();
-        double multiple = sum / (capacity(now) * spec.fallSpanNs() / SECOND);
-        worstPush = Math.max(worstPush, multiple);
+        double sum = recentWork.stream().mapToDouble(SentWork::work).sum();
+        double multiple = sum / (capacity(now) * spec.fallSpanNs() / NS_PER_SECOND);
+        maxColdOverload = Math.max(maxColdOverload, multiple);
         if (multiple > spec.fallMultiple()) {
             stop(now);
             fallen = true;
         }
     }
 
-    private void run(Job job) {
-        inWork++;
+    private void startJob(Job job) {
+        runningCount++;
         double end = progress + job.work;
         running.computeIfAbsent(end, e -> new ArrayList<>()).add(job);
-        ends.put(job.id, end);
+        finishById.put(job.id, end);
     }
 
-    /** Drops a request whose client is gone, if it still waits or if running work stops too. */
+    /**
+     * Removes a request whose client is gone, if it is queued, or running and {@code alsoRunning} is set;
+     * returns whether it did.
+     */
     public boolean cancel(long now, long id, boolean alsoRunning) {
         advance(now);
         if (waiting.removeIf(job -> job.id == id)) {
             return true;
         }
-        Double end = ends.get(id);
+        Double end = finishById.get(id);
         if (alsoRunning && end != null) {
             running.get(end).removeIf(job -> job.id == id);
-            ended(end, id);
+            removeRunning(end, id);
             return true;
         }
         return false;
     }
 
-    private void ended(double end, long id) {
-        ends.remove(id);
-        inWork--;
+    private void removeRunning(double end, long id) {
+        finishById.remove(id);
+        runningCount--;
         if (running.containsKey(end) && running.get(end).isEmpty()) {
             running.remove(end);
         }
-        if (!waiting.isEmpty() && inWork < spec.slots()) {
-            run(waiting.poll());
+        if (!waiting.isEmpty() && runningCount < spec.slots()) {
+            startJob(waiting.poll());
         }
     }
 
     /** Moves on to a time at which nothing ends before it; see {@link #nextTickAt}. */
     private void advance(long now) {
-        double seconds = (now - at) / SECOND;
-        busySeconds += seconds * Math.min(inWork, spec.cores());
-        progress += seconds * rateOfOne(at + (now - at) / 2);
-        at = now;
+        double seconds = (now - updatedAt) / NS_PER_SECOND;
+        busySeconds += seconds * Math.min(runningCount, spec.cores());
+        progress += seconds * speedPerRequest(updatedAt + (now - updatedAt) / 2);
+        updatedAt = now;
     }
 
-    /** The requests that end by now, in order. */
-    public List<Long> ended(long now) {
+    /** Removes the requests that have finished by now and returns their ids, in order. */
+    public List<Long> pollFinished(long now) {
         advance(now);
-        List<Long> over = new ArrayList<>();
+        List<Long> finished = new ArrayList<>();
         while (!running.isEmpty() && running.firstKey() <= progress + 1e-9) {
             double end = running.firstKey();
             List<Job> jobs = running.get(end);
             Job job = jobs.remove(0);
-            over.add(job.id);
-            ended(end, job.id);
+            finished.add(job.id);
+            removeRunning(end, job.id);
         }
-        return over;
+        return finished;
     }
 
-    /** When to look again, or a very long time. While it warms up its speed changes: steps are short. */
-    public long nextAt() {
+    /**
+     * When to poll for finished requests, or {@link Long#MAX_VALUE}. While it warms up its speed changes, so
+     * the interval is at most {@link #WARM_UP_STEP_NS}.
+     */
+    public long nextEventAt() {
         if (running.isEmpty() || stalled) {
             return Long.MAX_VALUE;
         }
         double left = Math.max(0, running.firstKey() - progress);
-        double wait = left / rateOfOne(at) * SECOND;
-        long most = warmth(at) < 1 ? RAMP_STEP : Long.MAX_VALUE / 4;
-        return at + Math.max(1, (long) Math.ceil(Math.min(wait, most)));
+        double wait = left / speedPerRequest(updatedAt) * NS_PER_SECOND;
+        long maxStep = speedFraction(updatedAt) < 1 ? WARM_UP_STEP_NS : Long.MAX_VALUE / 4;
+        return updatedAt + Math.max(1, (long) Math.ceil(Math.min(wait, maxStep)));
     }
 
+    /** Requests running and queued. */
     public int inflight() {
-        return inWork + waiting.size();
+        return runningCount + waiting.size();
     }
 
+    /** Requests queued. */
     public int queued() {
         return waiting.size();
     }
 
-    /** The same by a time at which nothing ends before it. */
+    /** Core-seconds in use up to a time before which no request finishes. */
     public double busySeconds(long now) {
         advance(now);
         return busySeconds;
     }
 
-    /** Core-seconds in use since it was made. */
+    /** Core-seconds in use since it was created, up to the last call that passed a time. */
     public double busySeconds() {
         return busySeconds;
     }
--- a/src/main/java/rowanmoor/standin/BackendServer.java
+++ b/src/main/java/rowanmoor/standin/BackendServer.java
@@ -24,76 +24,78 @@
 import rowanmoor.proxy.Proxy;
 
 /**
- * An HTTP/1.1 backend whose work is done by timers. A request states its work in {@value #WORK} (seconds on a
- * core of speed 1). Its load is in every answer and at {@code /load}, in ORCA's form.
+ * An HTTP/1.1 backend that simulates work with timers. A request states its work in {@value #WORK_FIELD}
+ * (seconds on a core of speed 1). Every answer carries the load in ORCA format, and so does {@code /load}.
  */
 public final class BackendServer implements ServerConnection.Service {
 
+    /** Request field with the work, seconds on a core of speed 1. */
     public static final String WORK_FIELD = "x-work";
+    /** Request field with an id for the ledger. */
     public static final String REQUEST_ID_FIELD = "x-request-id";
-    private static final double SECOND = 1e9;
-    private static final long BUSY_SPAN = 500_000_000L;
+    private static final double NS_PER_SECOND = 1e9;
+    private static final long UTILIZATION_WINDOW_NS = 500_000_000L;
 
     private final Loop loop;
     private final BackendModel model;
-    private final int connectionsMost;
+    private final int maxConnections;
     private final RandomGenerator random;
     private final Ledger ledger;
     private final Set<Connection> connections = new LinkedHashSet<>();
-    private final Map<Long, ServerConnection.Exchange> working = new HashMap<>();
-    private final Map<Long, Ledger.Entry> entries = new HashMap<>();
-    private InetSocketAddress at;
+    private final Map<Long, ServerConnection.Exchange> exchanges = new HashMap<>();
+    private final Map<Long, Ledger.Entry> ledgerEntries = new HashMap<>();
+    private InetSocketAddress address;
     private Backend backend;
     private Loop.Listener listener;
-    private Timer next;
-    private long number;
-    private long turnedAway;
-    private double failing;
-    private double lost;
-    private double broken;
-    private double loadFactor = 1;
-    private double busy;
-    private double busyBefore;
-    private double latency;
-    private java.util.function.Predicate<InetSocketAddress> cut = a -> false;
+    private Timer workTimer;
+    private long lastJob;
+    private long refusedConnections;
+    private double errorFraction;
+    private double lostAnswerFraction;
+    private double truncatedAnswerFraction;
+    private double loadReportFactor = 1;
+    private double utilization;
+    private double lastBusySeconds;
+    private double meanLatencyMs;
+    private java.util.function.Predicate<InetSocketAddress> partitioned = a -> false;
 
     public BackendServer(Loop loop, InetSocketAddress at, BackendModel.Spec spec, int connectionsMost,
             RandomGenerator random, Ledger ledger) throws IOException {
         this.loop = loop;
         this.model = new BackendModel(spec, loop.now());
-        this.connectionsMost = connectionsMost;
+        this.maxConnections = connectionsMost;
         this.random = random;
         this.ledger = ledger;
-        this.at = at;
+        this.address = at;
         listen();
-        this.backend = Addresses.toBackend(this.at);
-        loop.after(BUSY_SPAN, this::measure);
+        this.backend = Addresses.toBackend(this.address);
+        loop.after(UTILIZATION_WINDOW_NS, this::measureUtilization);
     }
 
     private void listen() throws IOException {
-        listener = loop.listen(at, Connection.Options.defaults(), connection -> {
-            if (connections.size() >= connectionsMost) {
-                turnedAway++;
+        listener = loop.listen(address, Connection.Options.defaults(), connection -> {
+            if (connections.size() >= maxConnections) {
+                refusedConnections++;
                 return null;
             }
             connections.add(connection);
             return new ServerConnection(MessageLimits.defaults(), this) {
                 @Override
-                public void onOpen(Connection its) {
-                    super.onOpen(its);
-                    if (cut.test(its.remote())) {
-                        its.pause(); // made by the system, and silent
+                public void onOpen(Connection accepted) {
+                    super.onOpen(accepted);
+                    if (partitioned.test(accepted.remote())) {
+                        accepted.pause(); // the operating system made the connection; it stays silent
                     }
                 }
 
                 @Override
-                public void onClose(Connection its, CloseReason why, String detail) {
-                    connections.remove(its);
-                    super.onClose(its, why, detail);
+                public void onClose(Connection accepted, CloseReason why, String detail) {
+                    connections.remove(accepted);
+                    super.onClose(accepted, why, detail);
                 }
             };
         });
-        at = listener.address();
+        address = listener.address();
     }
 
     public Backend backend() {
@@ -104,28 +106,32 @@
         return model;
     }
 
-    /** Connections that it did not take since it was made, because it held as many as it may. */
+    /** Connections refused since it was created because it was at its limit. */
     public long refusedConnections() {
-        return turnedAway;
+        return refusedConnections;
     }
 
-    // ---- troubles ------------------------------------------------------------------------------------
+    // ---- faults --------------------------------------------------------------------------------------
 
-    /** The process dies: its address refuses, its connections break, its work is gone. */
+    /** The process crashes: its address refuses connections, its connections are reset, its work is lost. */
     public void crash() {
         if (listener == null) {
             return;
         }
         listener.close();
         listener = null;
-        entries.values().forEach(e -> e.close(Ledger.End.LOST, loop.now()));
-        entries.clear();
-        working.clear();
+        ledgerEntries.values().forEach(e -> e.close(Ledger.End.LOST, loop.now()));
+        ledgerEntries.clear();
+        exchanges.clear();
         model.stop(loop.now());
         List.copyOf(connections).forEach(c -> c.reset("crashed"));
     }
 
-    /** The process starts again, cold, at the same address. */
+    /**
+     * The process starts again, cold, at the same address.
+     *
+     * @throws IOException if the address cannot be bound
+     */
     public void restart() throws IOException {
         if (listener == null) {
             model.start(loop.now());
@@ -133,45 +139,48 @@
         }
     }
 
+    /** Whether the process runs. */
     public boolean isRunning() {
         return listener != null;
     }
 
+    /** Divides the backend's speed by a factor; 1 ends it. */
     public void setSlowdown(double factor) {
         model.setSlowdown(loop.now(), factor);
         schedule();
     }
 
+    /** Stops all work while the connections stay open, or resumes it. */
     public void setStalled(boolean on) {
         model.setStalled(loop.now(), on);
         schedule();
     }
 
-    /** This share of requests is answered 500 at once. */
-    public void setErrorFraction(double share) {
-        failing = share;
+    /** Answers this fraction of the requests with 500 at once. */
+    public void setErrorFraction(double fraction) {
+        errorFraction = fraction;
     }
 
-    /** This share of requests is done and never answered. */
-    public void setLostAnswerFraction(double share) {
-        lost = share;
+    /** Runs this fraction of the requests and never answers them. */
+    public void setLostAnswerFraction(double fraction) {
+        lostAnswerFraction = fraction;
     }
 
-    /** This share of requests is broken off in mid-answer. */
-    public void setTruncatedAnswerFraction(double share) {
-        broken = share;
+    /** Breaks the connection in the middle of the answer to this fraction of the requests. */
+    public void setTruncatedAnswerFraction(double fraction) {
+        truncatedAnswerFraction = fraction;
     }
 
-    /** Load reports are so many times the truth. */
+    /** Multiplies reported load by a factor; 1 ends it. */
     public void setLoadReportFactor(double factor) {
-        loadFactor = factor;
+        loadReportFactor = factor;
     }
 
-    /** Hears nothing from, and says nothing to, the addresses that this holds of; null ends it. */
+    /** Partitions it from the addresses that match: no bytes pass either way. Null ends the partition. */
     public void partitionFrom(java.util.function.Predicate<InetSocketAddress> from) {
-        cut = from == null ? a -> false : from;
+        partitioned = from == null ? a -> false : from;
         for (Connection connection : List.copyOf(connections)) {
-            if (cut.test(connection.remote())) {
+            if (partitioned.test(connection.remote())) {
                 connection.pause();
             } else {
                 connection.resume();
@@ -187,37 +196,37 @@
             exchange.respond(withLoad(200, "ok\n"));
             return;
         }
-        double work = seconds(request.fields().get(WORK_FIELD, "0"));
+        double work = parseNumber(request.fields().get(WORK_FIELD, "0"));
         String id = request.fields().get(REQUEST_ID_FIELD, "?");
-        int proxy = (int) seconds(request.fields().get(Proxy.PROXY_NUMBER_FIELD, "-1"));
+        int proxy = (int) parseNumber(request.fields().get(Proxy.PROXY_NUMBER_FIELD, "-1"));
         Ledger.Entry entry = ledger.open(backend, id, request.path(), proxy, work, loop.now());
-        if (failing > 0 && random.nextDouble() < failing) {
+        if (errorFraction > 0 && random.nextDouble() < errorFraction) {
             entry.close(Ledger.End.FAILED, loop.now());
             exchange.respond(withLoad(500, "failed\n"));
             return;
         }
-        long job = ++number;
-        boolean fallen = model.isFallen();
+        long job = ++lastJob;
+        boolean hadFallen = model.isFallen();
         BackendModel.Offer offer = model.offer(loop.now(), job, work);
         if (offer == BackendModel.Offer.TAKEN) {
             exchange.attachment = job;
-            working.put(job, exchange);
-            entries.put(job, entry);
+            exchanges.put(job, exchange);
+            ledgerEntries.put(job, entry);
         } else {
             entry.close(offer == BackendModel.Offer.FULL ? Ledger.End.FULL : Ledger.End.DOWN, loop.now());
-            if (!fallen && model.isFallen()) {
-                ledger.fell(backend, model.startedAt(), loop.now());
-                entries.values().forEach(e -> e.close(Ledger.End.LOST, loop.now()));
-                entries.clear();
-                List.copyOf(working.values()).forEach(ServerConnection.Exchange::abort);
-                working.clear();
+            if (!hadFallen && model.isFallen()) {
+                ledger.recordFall(backend, model.startedAt(), loop.now());
+                ledgerEntries.values().forEach(e -> e.close(Ledger.End.LOST, loop.now()));
+                ledgerEntries.clear();
+                List.copyOf(exchanges.values()).forEach(ServerConnection.Exchange::abort);
+                exchanges.clear();
             }
             exchange.respond(withLoad(503, "full\n", Proxy.NEVER_RAN_FIELD, "1"));
         }
         schedule();
     }
 
-    private static double seconds(String text) {
+    private static double parseNumber(String text) {
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
@@ -227,28 +236,28 @@
 
     @Override
     public void onAborted(ServerConnection.Exchange exchange) {
-        if (exchange.attachment instanceof Long job && working.remove(job) != null
+        if (exchange.attachment instanceof Long job && exchanges.remove(job) != null
                 && model.cancel(loop.now(), job, false)) {
-            entries.remove(job).close(Ledger.End.CANCELLED, loop.now());
+            ledgerEntries.remove(job).close(Ledger.End.CANCELLED, loop.now());
             schedule();
         }
     }
 
-    private void finishSome() {
-        for (long job : model.ended(loop.now())) {
-            Ledger.Entry entry = entries.remove(job);
-            ServerConnection.Exchange exchange = working.remove(job);
+    private void finishJobs() {
+        for (long job : model.pollFinished(loop.now())) {
+            Ledger.Entry entry = ledgerEntries.remove(job);
+            ServerConnection.Exchange exchange = exchanges.remove(job);
             if (entry == null) {
                 continue;
             }
-            latency += ((loop.now() - entry.arrivedAt) / 1e6 - latency) / 8;
+            meanLatencyMs += ((loop.now() - entry.arrivedAt) / 1e6 - meanLatencyMs) / 8;
             entry.close(Ledger.End.SERVED, loop.now());
-            if (exchange == null || lost > 0 && random.nextDouble() < lost) {
+            if (exchange == null || lostAnswerFraction > 0 && random.nextDouble() < lostAnswerFraction) {
                 continue;
             }
-            if (broken > 0 && random.nextDouble() < broken) {
+            if (truncatedAnswerFraction > 0 && random.nextDouble() < truncatedAnswerFraction) {
                 exchange.abort();
-            } else if (!cut.test(exchange.connection().remote())) {
+            } else if (!partitioned.test(exchange.connection().remote())) {
                 exchange.respond(withLoad(200, "done\n"));
             }
         }
@@ -256,27 +265,28 @@
     }
 
     private void schedule() {
-        if (next != null) {
-            next.cancel();
+        if (workTimer != null) {
+            workTimer.cancel();
         }
-        long time = model.nextAt();
-        next = time == Long.MAX_VALUE ? null : loop.at(time, this::finishSome);
+        long time = model.nextEventAt();
+        workTimer = time == Long.MAX_VALUE ? null : loop.at(time, this::finishJobs);
     }
 
-    private void measure() {
-        double now = model.busySeconds();
-        busy = Math.min(1, (now - busyBefore) / (BUSY_SPAN / SECOND) / model.spec().cores());
-        busyBefore = now;
-        loop.after(BUSY_SPAN, this::measure);
+    private void measureUtilization() {
+        double busySeconds = model.busySeconds();
+        utilization = Math.min(1, (busySeconds - lastBusySeconds) / (UTILIZATION_WINDOW_NS / NS_PER_SECOND)
+                / model.spec().cores());
+        lastBusySeconds = busySeconds;
+        loop.after(UTILIZATION_WINDOW_NS, this::measureUtilization);
     }
 
-    private Message.Response withLoad(int status, String text, String... more) {
+    private Message.Response withLoad(int status, String text, String... extraFields) {
         Map<String, Double> load = new TreeMap<>();
-        load.put(LoadColumns.orcaName("busy"), busy * loadFactor);
-        load.put(LoadColumns.orcaName("queue"), model.queued() * loadFactor);
-        load.put(LoadColumns.orcaName("inflight"), model.inflight() * loadFactor);
-        load.put(LoadColumns.orcaName("latency-ms"), latency * loadFactor);
-        List<String> fields = new ArrayList<>(List.of(more));
+        load.put(LoadColumns.orcaName("busy"), utilization * loadReportFactor);
+        load.put(LoadColumns.orcaName("queue"), model.queued() * loadReportFactor);
+        load.put(LoadColumns.orcaName("inflight"), model.inflight() * loadReportFactor);
+        load.put(LoadColumns.orcaName("latency-ms"), meanLatencyMs * loadReportFactor);
+        List<String> fields = new ArrayList<>(List.of(extraFields));
         fields.add(OrcaLoadReport.HEADER_NAME);
         fields.add(OrcaLoadReport.format(load));
         return Message.Response.of(status, text, fields.toArray(new String[0]));
--- a/src/main/java/rowanmoor/standin/Clients.java
+++ b/src/main/java/rowanmoor/standin/Clients.java
@@ -20,19 +20,25 @@
 import rowanmoor.net.Timer;
 
 /**
- * Open-loop clients: all arrivals are drawn ahead from a seed and come when they come, whatever became of
- * those before. Times count from the drawn arrival, so that a stall is not left out of the figures
- * (coordinated omission). A client repeats what failed: what is safe, or what was refused before it ran.
+ * Open-loop clients: all arrivals are drawn ahead from a seed and do not depend on the fate of earlier
+ * requests. Latency counts from the drawn arrival, so that stalls are not left out of the figures
+ * (coordinated omission). A client repeats a failed request if it is safe or was refused before it ran.
  */
 public final class Clients {
 
-    /** Which request, when, to which proxy, how much work (seconds on a core of speed 1). */
+    /** One request: its time from the start, ns, class, proxy and work, seconds on a core of speed 1. */
     public record Arrival(long offsetNs, int cls, int proxy, double workSeconds) { }
 
-    /** How clients repeat: so many times, after a wait, each try given up after this part of the deadline. */
+    /**
+     * How clients retry.
+     *
+     * @param maxRetries retries of a request
+     * @param backoffNs wait before a retry
+     * @param tryTimeoutFraction fraction of the deadline after which a try is abandoned
+     */
     public record RetryPolicy(int maxRetries, long backoffNs, double tryTimeoutFraction) { }
 
-    /** What came of the requests of one class. Latencies are microseconds of good and late answers. */
+    /** Results of the requests of one class. Latencies are microseconds of good and late answers. */
     public static final class ClassStats {
         public long offered;
         public long good;
@@ -42,24 +48,28 @@
         public final Histogram latency = new Histogram(3_600_000_000L, 3);
     }
 
-    /** What came of one request. */
+    /** The result of one request; {@code latencyNs} counts from its drawn arrival. */
     public record RequestOutcome(long arrivedAt, int cls, long latencyNs, boolean answered) { }
 
-    private static final long MICRO = 1000;
+    private static final long NS_PER_US = 1000;
 
     private final Loop loop;
     private final Site site;
     private final List<InetSocketAddress> proxies;
     private final List<Arrival> arrivals;
-    private final RetryPolicy habits;
-    private final long start;
+    private final RetryPolicy retryPolicy;
+    private final long startNs;
     private final Map<Integer, ArrayDeque<ClientConnection>> idle = new HashMap<>();
-    private final List<ClassStats> met = new ArrayList<>();
+    private final List<ClassStats> classStats = new ArrayList<>();
     private final List<RequestOutcome> outcomes = new ArrayList<>();
     private int nextArrival;
-    private int open;
+    private int pendingRequests;
 
-    /** @param start the loop's time that arrivals count from */
+    /**
+     * Clients that start sending at once.
+     *
+     * @param start loop time from which arrivals count, ns
+     */
     public Clients(Loop loop, Site site, List<InetSocketAddress> proxies, List<Arrival> arrivals,
             RetryPolicy habits,
             long start) {
@@ -67,117 +77,119 @@
         this.site = site;
         this.proxies = proxies;
         this.arrivals = arrivals;
-        this.habits = habits;
-        this.start = start;
-        site.classes().forEach(c -> met.add(new ClassStats()));
-        next();
+        this.retryPolicy = habits;
+        this.startNs = start;
+        site.classes().forEach(c -> classStats.add(new ClassStats()));
+        scheduleNextArrival();
     }
 
-    private void next() {
+    private void scheduleNextArrival() {
         if (nextArrival < arrivals.size()) {
-            loop.at(start + arrivals.get(nextArrival).offsetNs(), () -> {
+            loop.at(startNs + arrivals.get(nextArrival).offsetNs(), () -> {
                 long now = loop.now();
-                while (nextArrival < arrivals.size() && start + arrivals.get(nextArrival).offsetNs() <= now) {
-                    new Asking(nextArrival, arrivals.get(nextArrival)).tryOnce();
+                while (nextArrival < arrivals.size() && startNs + arrivals.get(nextArrival)
+                        .offsetNs() <= now) {
+                    new ClientRequest(nextArrival, arrivals.get(nextArrival)).sendTry();
                     nextArrival++;
                 }
-                next();
+                scheduleNextArrival();
             });
         }
     }
 
-    /** Whether every request has come and got its end. */
+    /** Whether every request has been sent and has ended. */
     public boolean isDone() {
-        return nextArrival == arrivals.size() && open == 0;
+        return nextArrival == arrivals.size() && pendingRequests == 0;
     }
 
     public List<ClassStats> classStats() {
-        return met;
+        return classStats;
     }
 
     public List<RequestOutcome> outcomes() {
         return outcomes;
     }
 
-    /** One client with one request. */
-    private final class Asking {
+    /** One client with one request and its retries. */
+    private final class ClientRequest {
         private final int number;
         private final Arrival arrival;
         private final ClassSpec spec;
         private final long arrivedAt;
         private int tries;
 
-        Asking(int number, Arrival arrival) {
+        ClientRequest(int number, Arrival arrival) {
             this.number = number;
             this.arrival = arrival;
             this.spec = site.classes().get(arrival.cls());
-            this.arrivedAt = start + arrival.offsetNs();
-            open++;
-            met.get(arrival.cls()).offered++;
+            this.arrivedAt = startNs + arrival.offsetNs();
+            pendingRequests++;
+            classStats.get(arrival.cls()).offered++;
         }
 
-        void tryOnce() {
+        void sendTry() {
             tries++;
-            met.get(arrival.cls()).tries++;
-            ClientConnection connection = connection(arrival.proxy());
-            long left = arrivedAt + spec.deadline() - loop.now();
-            long within = Math.min(left, (long) (habits.tryTimeoutFraction() * spec.deadline()));
-            Timer patience = loop.after(Math.max(1, within), () -> {
+            classStats.get(arrival.cls()).tries++;
+            ClientConnection connection = acquireConnection(arrival.proxy());
+            long remaining = arrivedAt + spec.deadline() - loop.now();
+            long timeout = Math.min(remaining, (long) (retryPolicy.tryTimeoutFraction() * spec.deadline()));
+            Timer tryTimeout = loop.after(Math.max(1, timeout), () -> {
                 connection.cancel();
-                tryFailed(false);
+                onTryFailed(false);
             });
             String path = site.pathPrefixes().get(arrival.cls()) + "/" + number;
             connection.send(Message.Request.get(path, "Host", "rowanmoor.test", BackendServer.WORK_FIELD,
-                    Double.toString(arrival.workSeconds()), BackendServer.REQUEST_ID_FIELD, number + "." + tries),
-                    new ClientConnection.ResponseHandler() {
+                    Double.toString(arrival.workSeconds()), BackendServer.REQUEST_ID_FIELD,
+                    number + "." + tries), new ClientConnection.ResponseHandler() {
                         @Override
                         public void onResponse(Message.Response response) {
-                            patience.cancel();
-                            keep(arrival.proxy(), connection);
+                            tryTimeout.cancel();
+                            returnToPool(arrival.proxy(), connection);
                             if (response.status() == 200) {
                                 finish(true);
                             } else {
-                                tryFailed(response.status() == 503);
+                                onTryFailed(response.status() == 503);
                             }
                         }
 
                         @Override
-                        public void onFailure(boolean neverRan, CloseReason why, String detail) {
-                            patience.cancel();
-                            tryFailed(neverRan);
+                        public void onFailure(boolean neverRan, CloseReason reason, String detail) {
+                            tryTimeout.cancel();
+                            onTryFailed(neverRan);
                         }
                     });
         }
 
-        private void tryFailed(boolean refused) {
-            boolean may = refused || spec.idempotency() == Idempotency.SAFE;
-            boolean time = loop.now() + habits.backoffNs() < arrivedAt + spec.deadline();
-            if (may && time && tries <= habits.maxRetries()) {
-                loop.after(habits.backoffNs(), this::tryOnce);
+        private void onTryFailed(boolean refused) {
+            boolean allowed = refused || spec.idempotency() == Idempotency.SAFE;
+            boolean timeLeft = loop.now() + retryPolicy.backoffNs() < arrivedAt + spec.deadline();
+            if (allowed && timeLeft && tries <= retryPolicy.maxRetries()) {
+                loop.after(retryPolicy.backoffNs(), this::sendTry);
             } else {
                 finish(false);
             }
         }
 
         private void finish(boolean answered) {
-            open--;
-            long took = loop.now() - arrivedAt;
-            ClassStats its = met.get(arrival.cls());
+            pendingRequests--;
+            long latency = loop.now() - arrivedAt;
+            ClassStats stats = classStats.get(arrival.cls());
             if (!answered) {
-                its.failed++;
-            } else if (took <= spec.aim()) {
-                its.good++;
+                stats.failed++;
+            } else if (latency <= spec.aim()) {
+                stats.good++;
             } else {
-                its.late++;
+                stats.late++;
             }
             if (answered) {
-                its.latency.recordValue(Math.min(took / MICRO, its.latency.getHighestTrackableValue()));
+                stats.latency.recordValue(Math.min(latency / NS_PER_US,
+                        stats.latency.getHighestTrackableValue()));
             }
-            outcomes.add(new RequestOutcome(arrivedAt, arrival.cls(), took, answered));
+            outcomes.add(new RequestOutcome(arrivedAt, arrival.cls(), latency, answered));
         }
     }
 
-    private ClientConnection connection(int proxy) {
+    private ClientConnection acquireConnection(int proxy) {
         ArrayDeque<ClientConnection> free = idle.computeIfAbsent(proxy, p -> new ArrayDeque<>());
         while (!free.isEmpty()) {
             ClientConnection last = free.pollLast();
@@ -189,41 +201,42 @@
                 MessageLimits.defaults(), c -> { });
     }
 
-    private void keep(int proxy, ClientConnection connection) {
+    private void returnToPool(int proxy, ClientConnection connection) {
         if (connection.isAvailable()) {
             idle.computeIfAbsent(proxy, p -> new ArrayDeque<>()).addLast(connection);
         }
     }
 
-    /** Draws arrivals: Poisson in time, classes by share, proxies by weight, exponential work. */
-    public static List<Arrival> drawArrivals(RandomGenerator random, long length, ArrivalRate rate, double[] shares,
-            double[] meanWork, double[] proxyWeights) {
+    /** Draws arrivals: a Poisson process, classes by share, proxies by weight, exponential work. */
+    public static List<Arrival> drawArrivals(RandomGenerator random, long length, ArrivalRate rate,
+            double[] shares, double[] meanWork, double[] proxyWeights) {
         List<Arrival> arrivals = new ArrayList<>();
-        double most = rate.maxPerSecond();
-        double at = 0;
+        double maxRate = rate.maxPerSecond();
+        double time = 0;
         while (true) {
-            at += -Math.log(1 - random.nextDouble()) / most * 1e9;
-            if (at >= length) {
+            time += -Math.log(1 - random.nextDouble()) / maxRate * 1e9;
+            if (time >= length) {
                 return arrivals;
             }
-            if (random.nextDouble() * most < rate.perSecondAt((long) at)) {
-                int cls = pick(random, shares);
+            if (random.nextDouble() * maxRate < rate.perSecondAt((long) time)) {
+                int cls = pickWeighted(random, shares);
                 double work = -Math.log(1 - random.nextDouble()) * meanWork[cls];
-                arrivals.add(new Arrival((long) at, cls, pick(random, proxyWeights), work));
+                arrivals.add(new Arrival((long) time, cls, pickWeighted(random, proxyWeights), work));
             }
         }
     }
 
-    /** Requests a second over time. */
+    /** Rate of arrivals over time. */
     public interface ArrivalRate {
 
+        /** Requests per second at a time from the start, ns. */
         double perSecondAt(long time);
 
         /** Never less than any answer of {@link #perSecondAt}. */
         double maxPerSecond();
     }
 
-    private static int pick(RandomGenerator random, double[] weights) {
+    private static int pickWeighted(RandomGenerator random, double[] weights) {
         double sum = 0;
         for (double weight : weights) {
             sum += weight;
--- a/src/main/java/rowanmoor/standin/Ledger.java
+++ b/src/main/java/rowanmoor/standin/Ledger.java
@@ -4,13 +4,15 @@
 import java.util.List;
 import rowanmoor.ControlApi.Backend;
 
-/** What truly came to backends: every request that reached one, with when it began and how it ended. */
+/**
+ * Records every request that reached a backend, with its arrival and its end, independently of the proxies.
+ */
 public final class Ledger {
 
     /** How a request ended at its backend. */
     public enum End { OPEN, SERVED, FAILED, FULL, DOWN, CANCELLED, LOST }
 
-    /** One request at one backend; times by the ledger's clock, 0 for not yet. */
+    /** One request at one backend; times in ns of the backends' loop, {@code endedAt} 0 while it is open. */
     public static final class Entry {
         public final Backend backend;
         public final String id;
@@ -30,7 +32,7 @@
             this.arrivedAt = arrivedAt;
         }
 
-        /** Whether it may have taken effect. One that was cancelled may have run in part. */
+        /** Whether it may have taken effect; a cancelled one may have run in part. */
         public boolean mayHaveRun() {
             return end != End.FULL && end != End.DOWN;
         }
@@ -43,20 +45,20 @@
         }
     }
 
-    /** A push-over of a cold backend. */
+    /** The fall of a cold backend under too much work. */
     public record Fall(Backend backend, long startedAt, long at) { }
 
     private final List<Entry> entries = new ArrayList<>();
     private final List<Fall> falls = new ArrayList<>();
 
-    /** A request has come to a backend. */
+    /** Records a request that reached a backend. */
     public Entry open(Backend backend, String id, String path, int proxy, double work, long now) {
         Entry entry = new Entry(backend, id, path, proxy, work, now);
         entries.add(entry);
         return entry;
     }
 
-    void fell(Backend backend, long startedAt, long now) {
+    void recordFall(Backend backend, long startedAt, long now) {
         falls.add(new Fall(backend, startedAt, now));
     }
 
--- a/src/main/java/rowanmoor/standin/Link.java
+++ b/src/main/java/rowanmoor/standin/Link.java
@@ -13,31 +13,37 @@
 import rowanmoor.net.Loop;
 
 /**
- * A stretch of network between two sides: passes bytes on, both ways, until it is cut. A cut says nothing to
- * either side: bytes wait, new connections are made and stay silent; what was cut and joins again goes on.
+ * A network link: a TCP relay that can be partitioned. A partition is silent: bytes wait, new connections are
+ * accepted and stay silent, and connections that outlast it continue.
  */
 public final class Link {
 
-    private static final WriteLimit BOUND = new WriteLimit(1 << 20, 4096, WriteLimit.OverflowPolicy.REFUSE);
+    private static final WriteLimit WRITE_LIMIT = new WriteLimit(1 << 20, 4096,
+            WriteLimit.OverflowPolicy.REFUSE);
 
     private final Loop loop;
-    private InetSocketAddress to;
+    private InetSocketAddress target;
     private final Loop.Listener listener;
-    private final Set<Half> halves = new LinkedHashSet<>();
-    private boolean cut;
-    private long bytesPerSecond;
+    private final Set<LinkEnd> ends = new LinkedHashSet<>();
+    private boolean partitioned;
+    private long returnBytesPerSecond;
 
-    /** @param to the far side, or null while there is none: connections are then refused */
+    /**
+     * Listens on an address.
+     *
+     * @param to the target, or null while there is none: connections are then refused
+     * @throws IOException if the address cannot be bound
+     */
     public Link(Loop loop, InetSocketAddress at, InetSocketAddress to) throws IOException {
         this.loop = loop;
-        this.to = to;
-        this.listener = loop.listen(at, Connection.Options.defaults().bound(BOUND), connection -> {
-            if (this.to == null && !cut) {
+        this.target = to;
+        this.listener = loop.listen(at, Connection.Options.defaults().bound(WRITE_LIMIT), connection -> {
+            if (this.target == null && !partitioned) {
                 return null;
             }
-            Half near = new Half();
-            near.connection = connection;
-            return near;
+            LinkEnd accepted = new LinkEnd();
+            accepted.connection = connection;
+            return accepted;
         });
     }
 
@@ -45,92 +51,96 @@
         return listener.address();
     }
 
-    /** Where new connections lead from now on, or null to refuse them. */
+    /** Sets the target of new connections, or null to refuse them. */
     public void setTarget(InetSocketAddress other) {
-        to = other;
+        target = other;
     }
 
-    /** Lets only so many bytes a second come back from the far side; 0 for no such limit. */
+    /** Limits the bytes per second that the target side sends back; 0 for no limit. */
     public void limitReturnRate(long bytes) {
-        bytesPerSecond = bytes;
+        returnBytesPerSecond = bytes;
         if (bytes == 0) {
-            setPartitioned(cut);
+            setPartitioned(partitioned);
         }
     }
 
-    /** Cuts, or joins again. Streams that were broken meanwhile on one side then break on the other. */
+    /**
+     * Begins or ends a partition. At its end, connections that were closed on one side close on the other.
+     */
     public void setPartitioned(boolean on) {
-        cut = on;
-        for (Half half : List.copyOf(halves)) {
+        partitioned = on;
+        for (LinkEnd linkEnd : List.copyOf(ends)) {
             if (on) {
-                half.connection.pause();
+                linkEnd.connection.pause();
             } else {
-                half.connection.resume();
-                if (half.other == null || half.other.gone) {
-                    half.connection.close(CloseReason.LOCAL, "the other side is gone");
+                linkEnd.connection.resume();
+                if (linkEnd.peer == null || linkEnd.peer.closed) {
+                    linkEnd.connection.close(CloseReason.LOCAL, "the other side has closed");
                 }
             }
         }
     }
 
-    private final class Half implements ConnectionHandler {
+    private final class LinkEnd implements ConnectionHandler {
         private Connection connection;
-        private Half other;
-        private boolean gone;
-        private boolean far;
+        private LinkEnd peer;
+        private boolean closed;
+        private boolean targetSide;
 
         @Override
-        public void onOpen(Connection its) {
-            halves.add(this);
-            if (other == null) {
-                its.pause();
-                if (to == null) {
-                    return; // made during a cut to a side that is not there: it stays silent
+        public void onOpen(Connection from) {
+            ends.add(this);
+            if (peer == null) {
+                from.pause();
+                if (target == null) {
+                    return; // made during a partition while there is no target: it stays silent
                 }
-                other = new Half();
-                other.other = this;
-                other.far = true;
-                other.connection = loop.connect(null, to, Connection.Options.defaults().bound(BOUND), other);
-            } else if (!cut) {
-                other.connection.resume();
+                peer = new LinkEnd();
+                peer.peer = this;
+                peer.targetSide = true;
+                peer.connection = loop.connect(null, target, Connection.Options.defaults().bound(WRITE_LIMIT),
+                        peer);
+            } else if (!partitioned) {
+                peer.connection.resume();
             }
-            if (cut) {
-                its.pause();
+            if (partitioned) {
+                from.pause();
             }
         }
 
         @Override
-        public void onData(Connection its, ByteBuffer bytes) {
+        public void onData(Connection from, ByteBuffer bytes) {
             ByteBuffer copy = ByteBuffer.allocate(bytes.remaining()).put(bytes).flip();
-            if (other.gone || !other.connection.send(copy)) {
-                its.close(CloseReason.LOCAL, "the other side does not take it");
-            } else if (far && bytesPerSecond > 0) {
-                its.pause();
-                loop.after(copy.capacity() * 1_000_000_000L / bytesPerSecond, this::goOn);
-            } else if (other.connection.queuedBytes() > BOUND.maxBytes() / 2) {
-                its.pause();
+            if (peer.closed || !peer.connection.send(copy)) {
+                from.close(CloseReason.LOCAL, "the other side closed or its write queue is full");
+            } else if (targetSide && returnBytesPerSecond > 0) {
+                from.pause();
+                loop.after(copy.capacity() * 1_000_000_000L / returnBytesPerSecond, this::resumeReading);
+            } else if (peer.connection.queuedBytes() > WRITE_LIMIT.maxBytes() / 2) {
+                from.pause();
             }
         }
 
-        private void goOn() {
-            if (!cut && !gone) {
+        private void resumeReading() {
+            if (!partitioned && !closed) {
                 connection.resume();
             }
         }
 
         @Override
-        public void onDrained(Connection its) {
-            if (!cut && other != null && !other.gone && !(other.far && bytesPerSecond > 0)) {
-                other.connection.resume();
+        public void onDrained(Connection from) {
+            if (!partitioned && peer != null && !peer.closed
+                    && !(peer.targetSide && returnBytesPerSecond > 0)) {
+                peer.connection.resume();
             }
         }
 
         @Override
-        public void onClose(Connection its, CloseReason why, String detail) {
-            gone = true;
-            halves.remove(this);
-            if (other != null && !other.gone && !cut) {
-                other.connection.closeGracefully();
+        public void onClose(Connection from, CloseReason reason, String detail) {
+            closed = true;
+            ends.remove(this);
+            if (peer != null && !peer.closed && !partitioned) {
+                peer.connection.closeGracefully();
             }
         }
     }
--- a/src/main/java/rowanmoor/standin/RosterServer.java
+++ b/src/main/java/rowanmoor/standin/RosterServer.java
@@ -19,45 +19,49 @@
 import rowanmoor.net.Connection;
 import rowanmoor.net.Loop;
 
-/** The part of Consul's HTTP API that controllers use: one service's health, with blocking queries. */
+/** The part of Consul's HTTP API that controllers use: the health of one service, with blocking queries. */
 public final class RosterServer implements ServerConnection.Service {
 
     /**
-     * One instance as listed.
+     * One instance in the roster.
      *
-     * @param startedAtMs milliseconds since 1970, 0 for long ago
-     * @param startedAtNs the same by the roster's loop; not told to anyone
+     * @param startedAtMs start in milliseconds since 1970, 0 for long ago
+     * @param startedAtNs the same in ns of the roster's loop; not part of answers
      */
-    public record Instance(Backend backend, String zone, String kind, double weight, Availability availability,
-            long startedAtMs, long startedAtNs) {
+    public record Instance(Backend backend, String zone, String kind, double weight,
+            Availability availability, long startedAtMs, long startedAtNs) {
 
+        /** A copy with another availability. */
         public Instance withAvailability(Availability other) {
             return new Instance(backend, zone, kind, weight, other, startedAtMs, startedAtNs);
         }
 
+        /** A ready copy with another start. */
         public Instance restarted(long wall, long at) {
             return new Instance(backend, zone, kind, weight, Availability.READY, wall, at);
         }
     }
 
-    /** An answer that was sent: to whom, when, and what it listed. */
+    /**
+     * An answer that was sent: to which user agent, when (loop time, ns), and the instances that it listed.
+     */
     public record SentAnswer(String userAgent, long at, List<Instance> instances) { }
 
-    private record Held(ServerConnection.Exchange exchange, String asker, long index) { }
+    private record PendingQuery(ServerConnection.Exchange exchange, String userAgent, long index) { }
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long WAIT_MOST = 600_000_000_000L;
+    private static final long MAX_WAIT_NS = 600_000_000_000L;
 
     private final Loop loop;
-    private final InetSocketAddress at;
+    private final InetSocketAddress address;
     private final String path;
     private final TreeMap<Backend, Instance> instances = new TreeMap<>();
-    private final Set<Held> held = new LinkedHashSet<>();
+    private final Set<PendingQuery> pendingQueries = new LinkedHashSet<>();
     private final Set<Connection> connections = new LinkedHashSet<>();
     private final List<SentAnswer> answers = new ArrayList<>();
     private Loop.Listener listener;
     private long index = 1;
-    private long delay;
+    private long answerDelayNs;
     private boolean failing;
     private int emptyAnswers;
 
@@ -65,7 +69,7 @@
         this.loop = loop;
         this.path = "/v1/health/service/" + service;
         listener = listen(at);
-        this.at = listener.address();
+        this.address = listener.address();
     }
 
     private Loop.Listener listen(InetSocketAddress where) throws IOException {
@@ -73,72 +77,79 @@
             connections.add(connection);
             return new ServerConnection(MessageLimits.defaults(), this) {
                 @Override
-                public void onClose(Connection its, CloseReason why, String detail) {
-                    connections.remove(its);
-                    super.onClose(its, why, detail);
+                public void onClose(Connection closing, CloseReason reason, String detail) {
+                    connections.remove(closing);
+                    super.onClose(closing, reason, detail);
                 }
             };
         });
     }
 
     public InetSocketAddress address() {
-        return at;
+        return address;
     }
 
-    /** All answers sent so far. */
+    /** All answers sent so far, in order. */
     public List<SentAnswer> answers() {
         return answers;
     }
 
+    /** The listed instance of a backend, or null. */
     public Instance instance(Backend backend) {
         return instances.get(backend);
     }
 
-    /** Lists an instance, or with {@link Availability#GONE} lists it no more; held questions are answered. */
+    /**
+     * Adds or replaces an instance, or removes it if {@link Availability#GONE}; pending queries are answered.
+     */
     public void update(Instance instance) {
         if (instance.availability() == Availability.GONE) {
             instances.remove(instance.backend());
         } else {
             instances.put(instance.backend(), instance);
         }
-        changed();
+        bumpIndex();
     }
 
-    private void changed() {
+    private void bumpIndex() {
         index++;
-        for (Held one : List.copyOf(held)) {
-            release(one);
+        for (PendingQuery query : List.copyOf(pendingQueries)) {
+            answerPending(query);
         }
     }
 
-    // ---- troubles ------------------------------------------------------------------------------------
+    // ---- faults --------------------------------------------------------------------------------------
 
-    /** Refuses and breaks all connections, or listens again. */
+    /**
+     * Closes its port and resets all connections, or listens again.
+     *
+     * @throws IOException if the address cannot be bound
+     */
     public void setDown(boolean on) throws IOException {
         if (on && listener != null) {
             listener.close();
             listener = null;
-            held.clear();
+            pendingQueries.clear();
             List.copyOf(connections).forEach(c -> c.reset("the roster is down"));
         } else if (!on && listener == null) {
-            listener = listen(at);
+            listener = listen(address);
         }
     }
 
-    /** Answers 500. */
+    /** Answers all requests with 500, or ends that. */
     public void setFailing(boolean on) {
         failing = on;
     }
 
-    /** Answers so much later, ns. */
-    public void setAnswerDelay(long nanos) {
-        delay = nanos;
+    /** Delays answers, ns. */
+    public void setAnswerDelay(long delayNs) {
+        answerDelayNs = delayNs;
     }
 
-    /** The next so many answers list nothing. */
-    public void setEmptyAnswers(int times) {
-        emptyAnswers = times;
-        changed();
+    /** Makes the next answers, this many, list no instance. */
+    public void setEmptyAnswers(int count) {
+        emptyAnswers = count;
+        bumpIndex();
     }
 
     // ---- requests ------------------------------------------------------------------------------------
@@ -153,44 +164,44 @@
             exchange.respond(Message.Response.of(500, "rpc error\n"));
             return;
         }
-        String asker = request.fields().get("user-agent", "?");
-        long known = number(request.queryParameter("index"));
-        Held one = new Held(exchange, asker, known);
-        exchange.attachment = one;
-        held.add(one);
-        if (known != index) {
-            release(one);
+        String userAgent = request.fields().get("user-agent", "?");
+        long knownIndex = parseIndex(request.queryParameter("index"));
+        PendingQuery query = new PendingQuery(exchange, userAgent, knownIndex);
+        exchange.attachment = query;
+        pendingQueries.add(query);
+        if (knownIndex != index) {
+            answerPending(query);
         } else {
-            loop.after(waitOf(request.queryParameter("wait")), () -> release(one));
+            loop.after(parseWaitNs(request.queryParameter("wait")), () -> answerPending(query));
         }
     }
 
     @Override
     public void onAborted(ServerConnection.Exchange exchange) {
-        if (exchange.attachment instanceof Held one) {
-            held.remove(one);
+        if (exchange.attachment instanceof PendingQuery query) {
+            pendingQueries.remove(query);
         }
     }
 
-    private void release(Held one) {
-        if (held.remove(one)) {
-            if (delay > 0) {
-                loop.after(delay, () -> answer(one));
+    private void answerPending(PendingQuery query) {
+        if (pendingQueries.remove(query)) {
+            if (answerDelayNs > 0) {
+                loop.after(answerDelayNs, () -> answer(query));
             } else {
-                answer(one);
+                answer(query);
             }
         }
     }
 
-    private void answer(Held one) {
-        List<Instance> listed = emptyAnswers > 0 ? List.of() : List.copyOf(instances.values());
+    private void answer(PendingQuery query) {
+        List<Instance> instancesNow = emptyAnswers > 0 ? List.of() : List.copyOf(instances.values());
         emptyAnswers = Math.max(0, emptyAnswers - 1);
         ArrayNode list = JSON.createArrayNode();
-        listed.forEach(i -> list.add(json(i)));
-        boolean sent = one.exchange().respond(Message.Response.of(200, list.toString(),
+        instancesNow.forEach(i -> list.add(json(i)));
+        boolean sent = query.exchange().respond(Message.Response.of(200, list.toString(),
                 "Content-Type", "application/json", "X-Consul-Index", Long.toString(index)));
         if (sent) {
-            answers.add(new SentAnswer(one.asker(), loop.now(), listed));
+            answers.add(new SentAnswer(query.userAgent(), loop.now(), instancesNow));
         }
     }
 
@@ -216,7 +227,7 @@
         return root;
     }
 
-    private static long number(String text) {
+    private static long parseIndex(String text) {
         try {
             return text == null ? 0 : Long.parseLong(text);
         } catch (NumberFormatException e) {
@@ -224,10 +235,10 @@
         }
     }
 
-    private static long waitOf(String text) {
+    private static long parseWaitNs(String text) {
         if (text == null || !text.endsWith("ms")) {
-            return WAIT_MOST / 2;
+            return MAX_WAIT_NS / 2;
         }
-        return Math.min(WAIT_MOST, number(text.substring(0, text.length() - 2)) * 1_000_000);
+        return Math.min(MAX_WAIT_NS, parseIndex(text.substring(0, text.length() - 2)) * 1_000_000);
     }
 }
--- a/src/main/java/rowanmoor/standin/package-info.java
+++ b/src/main/java/rowanmoor/standin/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Stand-ins for the systems outside: backends, a roster with Consul's HTTP API, clients. Job: behave as the
- * real ones may, also badly, and keep a ledger of what truly happened. Thread rule: each on one loop.
+ * Stand-ins for outside systems: backends, a roster with Consul's HTTP API, clients and network links. They
+ * behave as the real systems do, with injected faults, and a ledger records every request that reached a
+ * backend. Each stand-in belongs to one loop.
  */
 package rowanmoor.standin;
--- a/src/test/java/rowanmoor/capture/CaptureTest.java
+++ b/src/test/java/rowanmoor/capture/CaptureTest.java
@@ -13,10 +13,11 @@
 import org.junit.jupiter.api.io.TempDir;
 import rowanmoor.config.CaptureConfig;
 
+/** Captures written and read back: time line, damage, gaps, rolling, dropped records, cutting and scaling. */
 class CaptureTest {
 
     private static final long SECOND = 1_000_000_000L;
-    private static final long WALL = 1_700_000_000_000L;
+    private static final long WALL_MS = 1_700_000_000_000L;
 
     @TempDir
     private Path dir;
@@ -38,31 +39,31 @@
                 });
     }
 
-    private Path captured(int count) throws IOException {
-        try (CaptureWriter writer = writer(start(0, 100 * SECOND, WALL), 1 << 20, 1 << 30, 4096)) {
+    private Path writeCapture(int count) throws IOException {
+        try (CaptureWriter writer = writer(start(0, 100 * SECOND, WALL_MS), 1 << 20, 1 << 30, 4096)) {
             writer.offer(new LoadRecord.Listed(101 * SECOND, "10.0.0.1:80", 0, 0, "READY", 2, 0));
             writer.offer(new LoadRecord.Joined(101 * SECOND, 3, 1, 5));
             for (int i = 0; i < count; i++) {
                 writer.offer(use((102 + i) * SECOND, 10));
             }
         }
-        return CaptureWriter.segments(dir).get(0);
+        return CaptureWriter.listSegments(dir).get(0);
     }
 
     @Test
-    void whatIsWrittenIsReadOnTheWallClocksTimeLine() throws IOException {
-        captured(5);
+    void recordsAreReadBackInWallClockTime() throws IOException {
+        writeCapture(5);
         Capture capture = Capture.read(dir);
         assertEquals(List.of(), capture.problems());
         Capture.Info info = capture.info();
         assertEquals(50, info.requests());
-        assertEquals(WALL * 1_000_000, info.startNs());
+        assertEquals(WALL_MS * 1_000_000, info.startNs());
         assertEquals(6 * SECOND, info.endNs() - info.startNs());
     }
 
     @Test
-    void aCaptureCutOffInMidRecordLosesThatRecordAloneAndSaysSo() throws IOException {
-        Path file = captured(5);
+    void truncatedRecordIsReportedAndAllOthersAreRead() throws IOException {
+        Path file = writeCapture(5);
         byte[] bytes = Files.readAllBytes(file);
         for (int lost = 1; lost < 30; lost += 7) {
             Files.write(file, java.util.Arrays.copyOf(bytes, bytes.length - lost));
@@ -73,8 +74,8 @@
     }
 
     @Test
-    void aDamagedRecordInTheMiddleIsSkippedAndNamed() throws IOException {
-        Path file = captured(5);
+    void damagedRecordIsSkippedAndReported() throws IOException {
+        Path file = writeCapture(5);
         byte[] bytes = Files.readAllBytes(file);
         bytes[bytes.length / 2] ^= 0x40;
         Files.write(file, bytes);
@@ -85,8 +86,8 @@
     }
 
     @Test
-    void aGapIsTold() throws IOException {
-        try (CaptureWriter writer = writer(start(0, 100 * SECOND, WALL), 1 << 20, 1 << 30, 100)) {
+    void gapIsReported() throws IOException {
+        try (CaptureWriter writer = writer(start(0, 100 * SECOND, WALL_MS), 1 << 20, 1 << 30, 100)) {
             writer.offer(use(101 * SECOND, 1));
             writer.offer(use(160 * SECOND, 1));
         }
@@ -94,9 +95,9 @@
     }
 
     @Test
-    void controllersWhoseClocksAreApartAreLaidBesideEachOther() throws IOException {
-        try (CaptureWriter one = writer(start(0, 5 * SECOND, WALL), 1 << 20, 1 << 30, 100);
-                CaptureWriter other = writer(start(1, 900 * SECOND, WALL + 1000), 1 << 20, 1 << 30, 100)) {
+    void controllersWithDifferentClocksAreMergedByWallClock() throws IOException {
+        try (CaptureWriter one = writer(start(0, 5 * SECOND, WALL_MS), 1 << 20, 1 << 30, 100);
+                CaptureWriter other = writer(start(1, 900 * SECOND, WALL_MS + 1000), 1 << 20, 1 << 30, 100)) {
             one.offer(use(7 * SECOND, 1));
             other.offer(use(900 * SECOND + SECOND / 2, 2));
         }
@@ -109,13 +110,13 @@
     }
 
     @Test
-    void segmentsRollAndTheOldestAreDeleted() throws IOException {
-        try (CaptureWriter writer = writer(start(0, 0, WALL), 2000, 9000, 100_000)) {
+    void segmentsRollAndOldestAreDeleted() throws IOException {
+        try (CaptureWriter writer = writer(start(0, 0, WALL_MS), 2000, 9000, 100_000)) {
             for (int i = 0; i < 1000; i++) {
                 writer.offer(use(i * SECOND / 10, 1));
             }
         }
-        List<Path> files = CaptureWriter.segments(dir);
+        List<Path> files = CaptureWriter.listSegments(dir);
         assertTrue(files.size() >= 3 && files.size() <= 6, files.size() + " segments");
         assertTrue(!files.get(0).toString().contains("000001"));
         Capture capture = Capture.read(dir);
@@ -124,9 +125,9 @@
     }
 
     @Test
-    void aFullQueueDropsCountsAndWritesThatDown() throws IOException {
+    void fullQueueDropsRecordsAndRecordsTheirNumber() throws IOException {
         long dropped;
-        try (CaptureWriter writer = writer(start(0, 0, WALL), 1 << 20, 1 << 30, 4)) {
+        try (CaptureWriter writer = writer(start(0, 0, WALL_MS), 1 << 20, 1 << 30, 4)) {
             for (int i = 0; i < 50_000; i++) {
                 writer.offer(use(SECOND, 1));
             }
@@ -143,8 +144,8 @@
     }
 
     @Test
-    void cutAndScaleKeepWhatTheyShouldAndAreReadBack() throws IOException {
-        captured(10);
+    void cutAndScaledCaptureIsReadBack() throws IOException {
+        writeCapture(10);
         Capture capture = Capture.read(dir);
         Capture part = capture.cut(4 * SECOND, 8 * SECOND);
         assertEquals(40, part.info().requests());
