--- a/src/test/java/rowanmoor/DocsTest.java
+++ b/src/test/java/rowanmoor/DocsTest.java
@@ -11,13 +11,14 @@
 import java.util.TreeSet;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import rowanmoor.ControlApi.CatalogUpdateKind;
 import rowanmoor.ControlApi.Availability;
+import rowanmoor.ControlApi.CatalogUpdateKind;
 import rowanmoor.ControlApi.Log;
 import rowanmoor.ControlApi.Members;
 
-/** The on-call page quotes only log lines that the module emits. */
+/** The operators' pages quote only log lines that the program emits. */
 class DocsTest {
 
     @Test
@@ -31,17 +32,17 @@
             }
         }
         assertEquals(9, quoted.size(), quoted.toString());
-        String emitted = emitted();
+        String emitted = emittedLogLines();
         for (String words : quoted) {
             assertTrue(emitted.contains(words), words + " is not in:\n" + emitted);
         }
     }
 
-    /** Each line of the operators' page is one that the program logs. */
+    /** Checks docs/running.md against the log statements in the source. */
     @Test
-    void everyLineOfTheOperatorsPageIsLogged() throws IOException {
+    void everyLogLineOfTheOperatorsPageIsLogged() throws IOException {
         StringBuilder sources = new StringBuilder();
-        try (java.util.stream.Stream<Path> files = Files.walk(Path.of("src/main/java"))) {
+        try (Stream<Path> files = Files.walk(Path.of("src/main/java"))) {
             for (Path file : files.filter(f -> f.toString().endsWith(".java")).toList()) {
                 sources.append(Files.readString(file));
             }
@@ -51,34 +52,38 @@
             Matcher matcher = Pattern.compile("^\\| `([^`]+)` \\|").matcher(line);
             if (matcher.find()) {
                 lines++;
-                assertTrue(Pattern.compile("((LOG|getLogger\\([^)]*\\))\\.[a-z]+\\(|Level.WARN, )\"" + matcher.group(1))
-                        .matcher(sources).find(), matcher.group(1) + " is never logged");
+                String statement = "((LOG|getLogger\\([^)]*\\))\\.[a-z]+\\(|Level.WARN, )\""
+                        + matcher.group(1);
+                assertTrue(Pattern.compile(statement).matcher(sources).find(),
+                        matcher.group(1) + " is never logged");
             }
         }
         assertEquals(12, lines);
     }
 
-    /** What the module logs through a day with a sick backend, an overload, a loss and a return. */
-    private static String emitted() {
-        Stand stand = new Stand(TestSettings.plain()).start(8, 4);
+    /** What the module logs for a failing backend, an overload, and a backend that goes and comes back. */
+    private static String emittedLogLines() {
+        PolicyHarness harness = new PolicyHarness(TestSettings.plain()).start(8, 4);
         for (int i = 0; i < 4; i++) {
-            stand.report(8, 2, b -> b == 2 ? 9 : 0, b -> 100 * MS);
+            harness.reportRound(8, 2, b -> b == 2 ? 9 : 0, b -> 100 * MS);
         }
         for (int i = 0; i < 50; i++) {
             boolean calm = i >= 8;
             for (int p = 0; p < 4; p++) {
-                stand.usage(p, 0, 50);
+                harness.reportUsage(p, 0, 50);
             }
-            stand.report(8, 2, b -> calm ? 0 : 4, b -> calm ? 100 * MS : 900 * MS);
+            harness.reportRound(8, 2, b -> calm ? 0 : 4, b -> calm ? 100 * MS : 900 * MS);
         }
-        stand.hear(new Members(CatalogUpdateKind.DELTA, 2, List.of(Stand.member(3, 1, Availability.GONE, 0))));
-        stand.second();
-        stand.hear(new Members(CatalogUpdateKind.DELTA, 3, List.of(Stand.member(3, 1, Availability.READY, stand.now))));
+        harness.handle(new Members(CatalogUpdateKind.DELTA, 2,
+                List.of(PolicyHarness.member(3, 1, Availability.GONE, 0))));
+        harness.advanceOneSecond();
+        harness.handle(new Members(CatalogUpdateKind.DELTA, 3,
+                List.of(PolicyHarness.member(3, 1, Availability.READY, harness.now))));
         for (int i = 0; i < 10; i++) {
-            stand.second();
+            harness.advanceOneSecond();
         }
         StringBuilder text = new StringBuilder();
-        stand.all.stream().filter(Log.class::isInstance).forEach(a ->
+        harness.allActions.stream().filter(Log.class::isInstance).forEach(a ->
                 text.append(((Log) a).text()).append('\n'));
         return text.toString();
     }
