--- a/src/main/java/rowanmoor/emulator/Emulator.java
+++ b/src/main/java/rowanmoor/emulator/Emulator.java
@@ -62,11 +62,11 @@
     private static final long MAX_TAIL_NS = 30_000 * NS_PER_MS;
 
     private final Model model;
-    private final Agenda eventQueue = new Agenda();
+    private final EventQueue eventQueue = new EventQueue();
     private final SplittableRandom arrivalRandom;
     private final SplittableRandom workRandom;
     private final SplittableRandom delayRandom;
-    private final Station[] servers;
+    private final SimulatedBackend[] servers;
     private final Backend[] backends;
     private final Availability[] availability;
     private final long[] startedAt;
@@ -149,12 +149,12 @@
         SplittableRandom choices = root.split();
         int count = model.backends().size();
         int proxies = model.proxyZones().length;
-        this.servers = new Station[count];
+        this.servers = new SimulatedBackend[count];
         this.backends = new Backend[count];
         this.availability = new Availability[count];
         this.startedAt = new long[count];
         for (int b = 0; b < count; b++) {
-            servers[b] = new Station(model.backends().get(b), START_NS);
+            servers[b] = new SimulatedBackend(model.backends().get(b), START_NS);
             backends[b] = new Backend(0x0a0000000000L + ((long) b << 16) + 80);
             availability[b] = Availability.READY;
         }
@@ -723,7 +723,7 @@
             return;
         }
         int b = requestBackend[request];
-        Station server = servers[b];
+        SimulatedBackend server = servers[b];
         long back = now + drawDelay(requestProxy[request], b);
         if (server.isDown()) {
             eventQueue.add(back, CONNECT_FAILED, request, id);
@@ -769,7 +769,7 @@
     }
 
     private void onBackendTimer(int b, int id) {
-        Station server = servers[b];
+        SimulatedBackend server = servers[b];
         if (server.timerId() != id) {
             return;
         }
@@ -801,7 +801,7 @@
     }
 
     private List<Double> loadFigures(int b) {
-        Station server = servers[b];
+        SimulatedBackend server = servers[b];
         if (now - utilizationSampledAt[b] > 300 * NS_PER_MS) {
             double busy = server.busySeconds(now);
             sampledUtilization[b] = Math.min(1, (busy - sampledBusySeconds[b])
--- a/src/main/java/rowanmoor/emulator/Agenda.java
+++ b/src/main/java/rowanmoor/emulator/EventQueue.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /** Pending events, ordered by time and then by insertion: a binary heap in parallel arrays. */
-final class Agenda {
+final class EventQueue {
 
     private long[] times = new long[1024];
     private long[] sequences = new long[1024];
--- a/src/main/java/rowanmoor/emulator/Station.java
+++ b/src/main/java/rowanmoor/emulator/SimulatedBackend.java
@@ -8,7 +8,7 @@
  * servers. Requests are numbers; none allocates memory. Work is seconds on a core of speed 1; times are
  * nanoseconds.
  */
-final class Station {
+final class SimulatedBackend {
 
     private static final double NS_PER_SECOND = 1e9;
     private static final long WARM_UP_STEP_NS = 100_000_000L;
@@ -33,7 +33,7 @@
     private double heldSeconds;
     private int maxQueued;
 
-    Station(Model.BackendSpec machine, long now) {
+    SimulatedBackend(Model.BackendSpec machine, long now) {
         this.spec = machine;
         this.updatedAt = now;
         this.startedAt = now - machine.warmUpNs();
