--- a/src/main/java/rowanmoor/emulator/Emulator.java
+++ b/src/main/java/rowanmoor/emulator/Emulator.java
@@ -521,21 +521,21 @@
         sentAt[request] = now;
         tryPending[request] = true;
         routers[p].onTrySent(picked);
-        int mine = ++tryId[request];
+        int currentTryId = ++tryId[request];
         long timeout = routers[p].tryTimeoutNs(c);
         if (timeout > 0) {
             tryDeadline[request] = now + timeout;
-            eventQueue.add(now + timeout, TRY_TIMEOUT, request, mine);
+            eventQueue.add(now + timeout, TRY_TIMEOUT, request, currentTryId);
         }
         connected[request] = acquireConnection(p, b);
         if (!connected[request]) {
             // The operating system accepts the connection and the request, then the backend closes it: that
             // does not prove that the request never ran.
             outcome.backends().get(b).refusedConnections++;
-            eventQueue.add(now + 2 * drawDelay(p, b), LOST, request, mine);
+            eventQueue.add(now + 2 * drawDelay(p, b), LOST, request, currentTryId);
             return;
         }
-        eventQueue.add(now + drawDelay(p, b), AT_BACKEND, request, mine);
+        eventQueue.add(now + drawDelay(p, b), AT_BACKEND, request, currentTryId);
     }
 
     private Set<Backend> tried(int request) {
@@ -574,8 +574,8 @@
         return true;
     }
 
-    private void releaseConnection(int p, int b, boolean kept) {
-        if (newestIdle != null && kept && routers[p].uses(backends[b])) {
+    private void releaseConnection(int p, int b, boolean reusable) {
+        if (newestIdle != null && reusable && routers[p].uses(backends[b])) {
             int index = p * servers.length + b;
             int slot = freeIdle;
             if (slot >= 0) {
@@ -595,14 +595,14 @@
         }
     }
 
-    private void endTry(int request, boolean well, boolean kept) {
+    private void endTry(int request, boolean successful, boolean reusable) {
         int p = requestProxy[request];
         int b = requestBackend[request];
         tryPending[request] = false;
-        routers[p].onTryEnded(backends[b], well, now);
-        tallies[p].onTryEnded(backends[b], well, now - sentAt[request], List.of());
+        routers[p].onTryEnded(backends[b], successful, now);
+        tallies[p].onTryEnded(backends[b], successful, now - sentAt[request], List.of());
         if (connected[request]) {
-            releaseConnection(p, b, kept);
+            releaseConnection(p, b, reusable);
         }
     }
 
@@ -613,15 +613,15 @@
         endTry(request, true, true);
         var spec = model.site().classes().get(requestClass[request]);
         Outcome.ClassStats stats = outcome.classes().get(requestClass[request]);
-        long took = now - arrivedAt[request];
-        if (took <= spec.aim()) {
+        long latency = now - arrivedAt[request];
+        if (latency <= spec.aim()) {
             stats.good++;
             goodWorth[secondOf(arrivedAt[request])] += spec.worth();
         } else {
             stats.late++;
             goodWorth[secondOf(arrivedAt[request])] += spec.worth() * spec.lateWorth();
         }
-        stats.latency.recordValue(Math.min(took / 1000, stats.latency.getHighestTrackableValue()));
+        stats.latency.recordValue(Math.min(latency / 1000, stats.latency.getHighestTrackableValue()));
         releaseRequest(request);
     }
 
@@ -696,16 +696,16 @@
 
     /** Closes a pair's connections that were last used before a time; they are at the end of its list. */
     private void closeIdleBefore(int index, int b, long before) {
-        int above = -1;
+        int previous = -1;
         int at = newestIdle[index];
         while (at >= 0 && idleSince[at] >= before) {
-            above = at;
+            previous = at;
             at = idleNext[at];
         }
-        if (above < 0) {
+        if (previous < 0) {
             newestIdle[index] = -1;
         } else {
-            idleNext[above] = -1;
+            idleNext[previous] = -1;
         }
         while (at >= 0) {
             int next = idleNext[at];
@@ -724,20 +724,20 @@
         }
         int b = requestBackend[request];
         SimulatedBackend server = servers[b];
-        long back = now + drawDelay(requestProxy[request], b);
+        long answerAt = now + drawDelay(requestProxy[request], b);
         if (server.isDown()) {
-            eventQueue.add(back, CONNECT_FAILED, request, id);
+            eventQueue.add(answerAt, CONNECT_FAILED, request, id);
             return;
         }
         if (errorFraction[b] > 0 && workRandom.nextDouble() < errorFraction[b]) {
-            eventQueue.add(back, LOST, request, id);
+            eventQueue.add(answerAt, LOST, request, id);
             return;
         }
         int job = allocateJob(request, id);
         if (!server.offer(now, job, requestWork[request])) {
             freeJobs[freeJobCount++] = job;
             outcome.backends().get(b).rejectedFull++;
-            eventQueue.add(back, REFUSED, request, id);
+            eventQueue.add(answerAt, REFUSED, request, id);
             return;
         }
         currentJob[request] = job;
--- a/src/main/java/rowanmoor/emulator/Outcome.java
+++ b/src/main/java/rowanmoor/emulator/Outcome.java
@@ -93,7 +93,7 @@
 
     /** Service of one class: answered in time over offered. */
     public double service(int cls) {
-        ClassStats met = classes.get(cls);
-        return met.offered == 0 ? 1 : met.good / (double) met.offered;
+        ClassStats stats = classes.get(cls);
+        return stats.offered == 0 ? 1 : stats.good / (double) stats.offered;
     }
 }
--- a/src/main/java/rowanmoor/emulator/SimulatedBackend.java
+++ b/src/main/java/rowanmoor/emulator/SimulatedBackend.java
@@ -33,12 +33,13 @@
     private double heldSeconds;
     private int maxQueued;
 
-    SimulatedBackend(Model.BackendSpec machine, long now) {
-        this.spec = machine;
+    SimulatedBackend(Model.BackendSpec spec, long now) {
+        this.spec = spec;
         this.updatedAt = now;
-        this.startedAt = now - machine.warmUpNs();
+        this.startedAt = now - spec.warmUpNs();
     }
 
+    /** Fraction of its full speed at a time. */
     double speedFraction(long now) {
         double age = spec.warmUpNs() == 0 ? 1 : (now - startedAt) / (double) spec.warmUpNs();
         return Math.min(1, spec.coldSpeedFraction() + (1 - spec.coldSpeedFraction()) * Math.max(0, age));
@@ -61,6 +62,7 @@
         }
     }
 
+    /** Whether it has crashed and not been restarted. */
     boolean isDown() {
         return down;
     }
@@ -162,6 +164,7 @@
         return request;
     }
 
+    /** Starts a request that {@link #pollQueued} returned. */
     void startQueued(int request, double work) {
         start(request, work);
     }
@@ -184,6 +187,7 @@
         return ++timerId;
     }
 
+    /** Number of the newest timer. */
     int timerId() {
         return timerId;
     }
@@ -204,35 +208,42 @@
         return -1;
     }
 
+    /** Restarts it, cold. */
     void restart(long now) {
         advance(now);
         down = false;
         startedAt = now;
     }
 
+    /** Divides its speed by a factor; 1 restores it. */
     void setSlowdown(long now, double factor) {
         advance(now);
         slowdown = factor;
     }
 
+    /** Requests running and queued. */
     int inflight() {
         return runningCount + queued;
     }
 
+    /** Requests queued. */
     int queued() {
         return queued;
     }
 
+    /** Core-seconds in use so far. */
     double busySeconds(long now) {
         advance(now);
         return busySeconds;
     }
 
+    /** Request-seconds that it held so far, running or queued. */
     double heldSeconds(long now) {
         advance(now);
         return heldSeconds;
     }
 
+    /** Longest queue so far. */
     int maxQueued() {
         return maxQueued;
     }
--- a/src/main/java/rowanmoor/plan/Trial.java
+++ b/src/main/java/rowanmoor/plan/Trial.java
@@ -63,10 +63,12 @@
         this.fallbackRate = fallbackRate;
     }
 
+    /** The forecast under test. */
     public Forecast forecast() {
         return forecast;
     }
 
+    /** The steps so far, in order. */
     public List<Step> steps() {
         return List.copyOf(steps);
     }
--- a/src/main/java/rowanmoor/standin/BackendModel.java
+++ b/src/main/java/rowanmoor/standin/BackendModel.java
@@ -210,7 +210,7 @@
         }
     }
 
-    /** Moves on to a time at which nothing ends before it; see {@link #nextTickAt}. */
+    /** Advances to a time before which no request finishes; see {@link #nextTickAt}. */
     private void advance(long now) {
         double seconds = (now - updatedAt) / NS_PER_SECOND;
         busySeconds += seconds * Math.min(runningCount, spec.cores());
@@ -267,10 +267,12 @@
         return busySeconds;
     }
 
+    /** Its parameters. */
     public Spec spec() {
         return spec;
     }
 
+    /** Time of its last start, ns. */
     public long startedAt() {
         return startedAt;
     }
--- a/src/main/java/rowanmoor/standin/BackendServer.java
+++ b/src/main/java/rowanmoor/standin/BackendServer.java
@@ -59,11 +59,18 @@
     private double meanLatencyMs;
     private java.util.function.Predicate<InetSocketAddress> partitioned = a -> false;
 
-    public BackendServer(Loop loop, InetSocketAddress at, BackendModel.Spec spec, int connectionsMost,
+    /**
+     * Starts a warm backend.
+     *
+     * @param at address to listen on, port 0 for any
+     * @param maxConnections connections that it holds at most
+     * @throws IOException if the address cannot be bound
+     */
+    public BackendServer(Loop loop, InetSocketAddress at, BackendModel.Spec spec, int maxConnections,
             RandomGenerator random, Ledger ledger) throws IOException {
         this.loop = loop;
         this.model = new BackendModel(spec, loop.now());
-        this.maxConnections = connectionsMost;
+        this.maxConnections = maxConnections;
         this.random = random;
         this.ledger = ledger;
         this.address = at;
@@ -89,19 +96,21 @@
                 }
 
                 @Override
-                public void onClose(Connection accepted, CloseReason why, String detail) {
+                public void onClose(Connection accepted, CloseReason reason, String detail) {
                     connections.remove(accepted);
-                    super.onClose(accepted, why, detail);
+                    super.onClose(accepted, reason, detail);
                 }
             };
         });
         address = listener.address();
     }
 
+    /** Its address as the controllers know it. */
     public Backend backend() {
         return backend;
     }
 
+    /** Its capacity model. */
     public BackendModel model() {
         return model;
     }
@@ -177,8 +186,8 @@
     }
 
     /** Partitions it from the addresses that match: no bytes pass either way. Null ends the partition. */
-    public void partitionFrom(java.util.function.Predicate<InetSocketAddress> from) {
-        partitioned = from == null ? a -> false : from;
+    public void partitionFrom(java.util.function.Predicate<InetSocketAddress> peers) {
+        partitioned = peers == null ? a -> false : peers;
         for (Connection connection : List.copyOf(connections)) {
             if (partitioned.test(connection.remote())) {
                 connection.pause();
--- a/src/main/java/rowanmoor/standin/Clients.java
+++ b/src/main/java/rowanmoor/standin/Clients.java
@@ -71,14 +71,14 @@
      * @param start loop time from which arrivals count, ns
      */
     public Clients(Loop loop, Site site, List<InetSocketAddress> proxies, List<Arrival> arrivals,
-            RetryPolicy habits,
-            long start) {
+            RetryPolicy retryPolicy,
+            long startNs) {
         this.loop = loop;
         this.site = site;
         this.proxies = proxies;
         this.arrivals = arrivals;
-        this.retryPolicy = habits;
-        this.startNs = start;
+        this.retryPolicy = retryPolicy;
+        this.startNs = startNs;
         site.classes().forEach(c -> classStats.add(new ClassStats()));
         scheduleNextArrival();
     }
@@ -102,10 +102,12 @@
         return nextArrival == arrivals.size() && pendingRequests == 0;
     }
 
+    /** Results by class. */
     public List<ClassStats> classStats() {
         return classStats;
     }
 
+    /** Results of all requests that have ended, in the order of their ends. */
     public List<RequestOutcome> outcomes() {
         return outcomes;
     }
--- a/src/main/java/rowanmoor/standin/Ledger.java
+++ b/src/main/java/rowanmoor/standin/Ledger.java
@@ -62,10 +62,12 @@
         falls.add(new Fall(backend, startedAt, now));
     }
 
+    /** All requests, in order of arrival. */
     public List<Entry> entries() {
         return entries;
     }
 
+    /** All falls, in order. */
     public List<Fall> falls() {
         return falls;
     }
--- a/src/main/java/rowanmoor/standin/Link.java
+++ b/src/main/java/rowanmoor/standin/Link.java
@@ -34,9 +34,9 @@
      * @param to the target, or null while there is none: connections are then refused
      * @throws IOException if the address cannot be bound
      */
-    public Link(Loop loop, InetSocketAddress at, InetSocketAddress to) throws IOException {
+    public Link(Loop loop, InetSocketAddress at, InetSocketAddress target) throws IOException {
         this.loop = loop;
-        this.target = to;
+        this.target = target;
         this.listener = loop.listen(at, Connection.Options.defaults().bound(WRITE_LIMIT), connection -> {
             if (this.target == null && !partitioned) {
                 return null;
@@ -47,19 +47,20 @@
         });
     }
 
+    /** The address on which it listens. */
     public InetSocketAddress address() {
         return listener.address();
     }
 
     /** Sets the target of new connections, or null to refuse them. */
-    public void setTarget(InetSocketAddress other) {
-        target = other;
+    public void setTarget(InetSocketAddress newTarget) {
+        target = newTarget;
     }
 
     /** Limits the bytes per second that the target side sends back; 0 for no limit. */
-    public void limitReturnRate(long bytes) {
-        returnBytesPerSecond = bytes;
-        if (bytes == 0) {
+    public void limitReturnRate(long bytesPerSecond) {
+        returnBytesPerSecond = bytesPerSecond;
+        if (bytesPerSecond == 0) {
             setPartitioned(partitioned);
         }
     }
--- a/src/main/java/rowanmoor/standin/RosterServer.java
+++ b/src/main/java/rowanmoor/standin/RosterServer.java
@@ -65,6 +65,13 @@
     private boolean failing;
     private int emptyAnswers;
 
+    /**
+     * Starts an empty roster.
+     *
+     * @param at address to listen on, port 0 for any
+     * @param service name of the service that it lists
+     * @throws IOException if the address cannot be bound
+     */
     public RosterServer(Loop loop, InetSocketAddress at, String service) throws IOException {
         this.loop = loop;
         this.path = "/v1/health/service/" + service;
@@ -85,6 +92,7 @@
         });
     }
 
+    /** The address on which it listens. */
     public InetSocketAddress address() {
         return address;
     }
--- a/src/test/java/rowanmoor/plan/EstimatorTest.java
+++ b/src/test/java/rowanmoor/plan/EstimatorTest.java
@@ -87,7 +87,7 @@
     @Test
     void rateMixWorkAndVariationLieInTheirIntervals() throws ConfigException {
         Estimator.Result result = new Estimator(model(), SIMULATOR, 1).estimate(capture(400, 1, false, 0, 12));
-        assertInterval(of(result, "requests that received"), 60, 10);
+        assertInterval(of(result, "requests that came"), 60, 10);
         assertInterval(of(result, "share of pay"), 0.5, 0.02);
         // The synthetic latencies contain no waiting, and the simulation at this load finds almost none to remove.
         assertInterval(of(result, "work of read"), 50, 25);
@@ -109,7 +109,7 @@
         Estimator.Result result = new Estimator(model(), SIMULATOR, 1).estimate(capture(400, 1, true, 0.8, 7));
         Estimator.Estimate repeats = of(result, "requests more for each failure");
         assertTrue(repeats.low() > 0 && repeats.low() <= 0.8 && repeats.high() >= 0.6, repeats.toString());
-        assertTrue(result.model().requestsPerSecond() < 0.95 * of(result, "requests that received").value());
+        assertTrue(result.model().requestsPerSecond() < 0.95 * of(result, "requests that came").value());
         Estimator.Result none = new Estimator(model(), SIMULATOR, 1).estimate(capture(400, 1, false, 0, 12));
         assertTrue(none.notes().stream().anyMatch(n -> n.contains("too few failures")));
     }
