--- a/src/main/java/rowanmoor/emulator/Emulator.java
+++ b/src/main/java/rowanmoor/emulator/Emulator.java
@@ -57,7 +57,7 @@
     private static final long REDIAL_DELAY_NS = 300 * NS_PER_MS;
     private static final long SILENCE_TIMEOUT_NS = 3000 * NS_PER_MS;
     private static final long IDLE_CONNECTION_TIMEOUT_NS = 15_000 * NS_PER_MS;
-    /** With more proxy-backend pairs idle connections are not tracked, to bound memory. */
+    /** With more proxy-backend pairs, connections are not tracked and their limits do not apply. */
     private static final int MAX_CONNECTION_PAIRS = 8_000_000;
     private static final long MAX_TAIL_NS = 30_000 * NS_PER_MS;
 
--- a/src/main/java/rowanmoor/plan/Estimator.java
+++ b/src/main/java/rowanmoor/plan/Estimator.java
@@ -398,11 +398,11 @@
         return factor;
     }
 
-    private static Estimate bootstrapEstimate(String what, double value, double[] resampled, String unit,
-            String from) {
+    private static Estimate bootstrapEstimate(String name, double value, double[] resampled, String unit,
+            String source) {
         Percentile percentile = new Percentile();
         percentile.setData(resampled);
-        return new Estimate(what, value, Math.min(value, percentile.evaluate(2.5)),
-                Math.max(value, percentile.evaluate(97.5)), unit, from);
+        return new Estimate(name, value, Math.min(value, percentile.evaluate(2.5)),
+                Math.max(value, percentile.evaluate(97.5)), unit, source);
     }
 }
--- a/src/main/java/rowanmoor/plan/Planner.java
+++ b/src/main/java/rowanmoor/plan/Planner.java
@@ -223,8 +223,7 @@
         }
         Finding first = Diagnosis.of(model, at).get(0);
         return String.format(Locale.ROOT, "%s service is %.3f; hardest pressed are %s (%s)", begin,
-                at.service(),
-                first.resource(), first.evidence());
+                at.service(), first.resource(), first.evidence());
     }
 
     private boolean goalMetWithLosses(Model model, List<java.util.function.Function<Model,
--- a/src/main/java/rowanmoor/standin/Clients.java
+++ b/src/main/java/rowanmoor/standin/Clients.java
@@ -68,11 +68,10 @@
     /**
      * Clients that start sending at once.
      *
-     * @param start loop time from which arrivals count, ns
+     * @param startNs loop time from which arrivals count, ns
      */
     public Clients(Loop loop, Site site, List<InetSocketAddress> proxies, List<Arrival> arrivals,
-            RetryPolicy retryPolicy,
-            long startNs) {
+            RetryPolicy retryPolicy, long startNs) {
         this.loop = loop;
         this.site = site;
         this.proxies = proxies;
@@ -87,8 +86,8 @@
         if (nextArrival < arrivals.size()) {
             loop.at(startNs + arrivals.get(nextArrival).offsetNs(), () -> {
                 long now = loop.now();
-                while (nextArrival < arrivals.size() && startNs + arrivals.get(nextArrival)
-                        .offsetNs() <= now) {
+                while (nextArrival < arrivals.size()
+                        && startNs + arrivals.get(nextArrival).offsetNs() <= now) {
                     new ClientRequest(nextArrival, arrivals.get(nextArrival)).sendTry();
                     nextArrival++;
                 }
