--- a/src/main/java/rowanmoor/net/TickScheduler.java
+++ b/src/main/java/rowanmoor/net/TickScheduler.java
@@ -3,53 +3,54 @@
 import java.util.function.LongConsumer;
 import java.util.function.LongSupplier;
 
-/** Calls a tick soon after something came, and when it is next due, keeping a distance between two. */
+/** Runs ticks on request and when they are due, at least a minimum interval apart. */
 public final class TickScheduler {
 
     private final Loop loop;
-    private final long distance;
+    private final long minIntervalNs;
     private final LongConsumer tick;
     private final LongSupplier nextAt;
     private Timer timer;
     private long dueAt = Long.MAX_VALUE;
-    private long lastAt;
+    private long lastTickAt;
 
     /**
-     * @param distance least time between two ticks, ns
-     * @param nextAt when the next is due if nothing comes, or {@link Long#MAX_VALUE}
+     * @param minIntervalNs the least time between two ticks, ns
+     * @param tick is called with the time of the tick, ns
+     * @param nextAt when the next tick is due without a request, ns, or {@link Long#MAX_VALUE}
      */
-    public TickScheduler(Loop loop, long distance, LongConsumer tick, LongSupplier nextAt) {
+    public TickScheduler(Loop loop, long minIntervalNs, LongConsumer tick, LongSupplier nextAt) {
         this.loop = loop;
-        this.distance = distance;
+        this.minIntervalNs = minIntervalNs;
         this.tick = tick;
         this.nextAt = nextAt;
-        this.lastAt = loop.now() - distance;
+        this.lastTickAt = loop.now() - minIntervalNs;
     }
 
-    /** What comes at once is ticked for at once. */
+    /** Requests a tick as soon as the minimum interval allows. */
     public void requestTick() {
-        by(Math.max(loop.now(), lastAt + distance));
+        scheduleBy(Math.max(loop.now(), lastTickAt + minIntervalNs));
     }
 
-    private void by(long time) {
+    private void scheduleBy(long time) {
         if (time < dueAt) {
             if (timer != null) {
                 timer.cancel();
             }
             dueAt = time;
-            timer = loop.at(time, this::now);
+            timer = loop.at(time, this::runTick);
         }
     }
 
-    private void now() {
+    private void runTick() {
         dueAt = Long.MAX_VALUE;
-        lastAt = loop.now();
+        lastTickAt = loop.now();
         try {
-            tick.accept(lastAt);
-        } finally { // whatever a tick throws, the next one is due: messages wait for it
+            tick.accept(lastTickAt);
+        } finally { // schedules the next tick also if this one throws: messages wait for it
             long next = nextAt.getAsLong();
             if (next != Long.MAX_VALUE) {
-                by(Math.max(next, lastAt + distance));
+                scheduleBy(Math.max(next, lastTickAt + minIntervalNs));
             }
         }
     }
--- a/src/test/java/rowanmoor/discovery/ProberTest.java
+++ b/src/test/java/rowanmoor/discovery/ProberTest.java
@@ -19,76 +19,76 @@
 import rowanmoor.net.Loop;
 import rowanmoor.net.MemoryNet;
 
-/** Probes whose answers come at the wrong instant. */
+/** Probes whose responses arrive together with the timeout, too late, or after the backend has moved. */
 class ProberTest {
 
     private static final long MS = 1_000_000;
-    private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    private static final InetSocketAddress LOOPBACK = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     private static final Backend BACKEND = new Backend(1);
 
     private final List<Throwable> faults = new ArrayList<>();
     private final MemoryNet net = new MemoryNet(1, 3);
-    private final Loop near = net.newLoop(faults::add);
-    private final Loop far = net.newLoop(faults::add);
-    private final Map<Backend, InetSocketAddress> where = new HashMap<>();
-    private final List<Probed> told = new ArrayList<>();
-    private final List<Connection> asked = new ArrayList<>();
-    private final Prober prober = new Prober(near, "/ping", 500 * MS, 2, where::get, r -> List.of(), told::add);
+    private final Loop proberLoop = net.newLoop(faults::add);
+    private final Loop backendLoop = net.newLoop(faults::add);
+    private final Map<Backend, InetSocketAddress> addresses = new HashMap<>();
+    private final List<Probed> probed = new ArrayList<>();
+    private final List<Connection> requests = new ArrayList<>();
+    private final Prober prober = new Prober(proberLoop, "/ping", 500 * MS, 2, addresses::get, r -> List.of(), probed::add);
 
-    private InetSocketAddress backend() throws IOException {
-        return far.listen(ANY, Connection.Options.defaults(), c -> new ConnectionHandler() {
+    private InetSocketAddress listenAsBackend() throws IOException {
+        return backendLoop.listen(LOOPBACK, Connection.Options.defaults(), c -> new ConnectionHandler() {
             @Override
-            public void onData(Connection its, ByteBuffer bytes) {
-                asked.add(its);
+            public void onData(Connection source, ByteBuffer bytes) {
+                requests.add(source);
             }
         }).address();
     }
 
-    private void answer(int which) {
-        asked.get(which).send(ByteBuffer.wrap("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+    private void sendOk(int index) {
+        requests.get(index).send(ByteBuffer.wrap("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
                 .getBytes(StandardCharsets.ISO_8859_1)));
     }
 
     @Test
-    void anAnswerAndItsTimeOutInOneTurnAreToldOnce() throws IOException {
-        where.put(BACKEND, backend());
+    void responseAndTimeoutInOneTurnAreReportedOnce() throws IOException {
+        addresses.put(BACKEND, listenAsBackend());
         prober.probe(BACKEND);
         net.runFor(100 * MS);
-        net.setFrozen(near, true);
-        answer(0);
-        net.runFor(600 * MS); // the answer has come and the time is over when it looks again
-        net.setFrozen(near, false);
+        net.setFrozen(proberLoop, true);
+        sendOk(0);
+        net.runFor(600 * MS); // when the loop runs again, the response has arrived and the timeout has passed
+        net.setFrozen(proberLoop, false);
         net.runFor(100 * MS);
-        assertEquals(1, told.size());
+        assertEquals(1, probed.size());
         prober.probe(BACKEND);
         net.runFor(700 * MS);
-        answer(1); // too late
+        sendOk(1); // after the timeout
         net.runFor(100 * MS);
-        assertEquals(2, told.size());
-        assertEquals(List.of(true, false), told.stream().map(Probed::ok).toList());
-        assertEquals(0, net.liveTimerCount(near));
-        assertEquals(0, net.openConnectionCount(near));
+        assertEquals(2, probed.size());
+        assertEquals(List.of(true, false), probed.stream().map(Probed::ok).toList());
+        assertEquals(0, net.liveTimerCount(proberLoop));
+        assertEquals(0, net.openConnectionCount(proberLoop));
         assertEquals(List.of(), faults);
     }
 
     @Test
-    void whatIsSaidAtAnAddressThatWasLeftMeanwhileIsNotTold() throws IOException {
-        where.put(BACKEND, backend());
+    void responseFromAFormerAddressIsNotReported() throws IOException {
+        addresses.put(BACKEND, listenAsBackend());
         prober.probe(BACKEND);
         net.runFor(100 * MS);
-        where.put(BACKEND, backend());
-        answer(0);
+        addresses.put(BACKEND, listenAsBackend());
+        sendOk(0);
         net.runFor(100 * MS);
-        assertEquals(List.of(), told);
+        assertEquals(List.of(), probed);
         prober.probe(BACKEND);
         net.runFor(100 * MS);
-        answer(1);
+        sendOk(1);
         net.runFor(100 * MS);
-        assertEquals(1, told.size());
-        where.remove(BACKEND);
+        assertEquals(1, probed.size());
+        addresses.remove(BACKEND);
         prober.probe(BACKEND);
         net.runFor(100 * MS);
-        assertEquals(2, told.size(), "one without an address is down");
-        assertEquals(0, net.openConnectionCount(near));
+        assertEquals(2, probed.size(), "a backend without an address is unreachable");
+        assertEquals(0, net.openConnectionCount(proberLoop));
     }
 }
--- a/src/test/java/rowanmoor/net/LoopTest.java
+++ b/src/test/java/rowanmoor/net/LoopTest.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The loop on pipes in memory, and once on sockets. */
+/** The event loop on the in-memory network, and once on sockets. */
 class LoopTest {
 
     private static final long MS = 1_000_000;
@@ -25,28 +25,28 @@
     private final MemoryNet net = new MemoryNet(0, 5);
     private final Loop loop = net.newLoop(faults::add);
 
-    /** Keeps what it hears. */
-    private static class Ear implements ConnectionHandler {
-        final StringBuilder heard = new StringBuilder();
+    /** Records the events of a connection. */
+    private static class RecordingHandler implements ConnectionHandler {
+        final StringBuilder received = new StringBuilder();
         Connection connection;
         boolean opened;
-        CloseReason why;
+        CloseReason closeReason;
 
         @Override
-        public void onOpen(Connection its) {
-            connection = its;
+        public void onOpen(Connection openedConnection) {
+            connection = openedConnection;
             opened = true;
         }
 
         @Override
-        public void onData(Connection its, ByteBuffer bytes) {
-            heard.append(StandardCharsets.ISO_8859_1.decode(bytes));
+        public void onData(Connection openedConnection, ByteBuffer bytes) {
+            received.append(StandardCharsets.ISO_8859_1.decode(bytes));
         }
 
         @Override
-        public void onClose(Connection its, CloseReason how, String detail) {
-            assertEquals(null, why, "closed twice");
-            why = how;
+        public void onClose(Connection openedConnection, CloseReason reason, String detail) {
+            assertEquals(null, closeReason, "closed twice");
+            closeReason = reason;
         }
     }
 
@@ -54,103 +54,105 @@
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private Loop.Listener listen(Ear server, Connection.Options options) throws IOException {
+    private Loop.Listener listen(RecordingHandler server, Connection.Options options) throws IOException {
         return loop.listen(ANY, options, c -> server);
     }
 
-    private static final Connection.Options USUAL = Connection.Options.defaults();
+    private static final Connection.Options DEFAULTS = Connection.Options.defaults();
 
     @Test
-    void bytesArriveInOrderHoweverTheyAreSplitAndDelayed() throws IOException {
+    void bytesArriveInOrderDespiteSplitsAndDelays() throws IOException {
         net.setFaults(new MemoryNet.Faults(7, MS, 50 * MS, 0, 0));
-        Ear server = new Ear();
-        Ear client = new Ear();
-        Connection connection = loop.connect(null, listen(server, USUAL).address(), USUAL, client);
+        RecordingHandler server = new RecordingHandler();
+        RecordingHandler client = new RecordingHandler();
+        Connection connection = loop.connect(null, listen(server, DEFAULTS).address(), DEFAULTS, client);
         StringBuilder sent = new StringBuilder();
         for (int i = 0; i < 300; i++) {
             sent.append(i).append(' ');
             connection.send(bytes(i + " "));
         }
-        assertTrue(net.runUntil(100_000 * MS, () -> server.heard.length() == sent.length()));
-        assertEquals(sent.toString(), server.heard.toString());
+        assertTrue(net.runUntil(100_000 * MS, () -> server.received.length() == sent.length()));
+        assertEquals(sent.toString(), server.received.toString());
         assertTrue(client.opened);
     }
 
     @Test
-    void aRefusedConnectionIsClosedOnce() {
-        Ear client = new Ear();
-        loop.connect(null, new InetSocketAddress(InetAddress.getLoopbackAddress(), 9), USUAL, client);
+    void refusedConnectionIsClosedOnce() {
+        RecordingHandler client = new RecordingHandler();
+        loop.connect(null, new InetSocketAddress(InetAddress.getLoopbackAddress(), 9), DEFAULTS, client);
         net.runFor(10 * MS);
-        assertEquals(CloseReason.REFUSED, client.why);
+        assertEquals(CloseReason.REFUSED, client.closeReason);
         assertFalse(client.opened);
     }
 
     @Test
-    void aConnectThatHangsIsGivenUp() throws IOException {
-        Ear client = new Ear();
-        InetSocketAddress to = listen(new Ear(), USUAL).address();
+    void connectTimesOut() throws IOException {
+        RecordingHandler client = new RecordingHandler();
+        InetSocketAddress to = listen(new RecordingHandler(), DEFAULTS).address();
         net.blackhole(to, true);
-        loop.connect(null, to, USUAL.connectWithin(400 * MS), client);
+        loop.connect(null, to, DEFAULTS.connectWithin(400 * MS), client);
         net.runFor(399 * MS);
-        assertEquals(null, client.why);
+        assertEquals(null, client.closeReason);
         net.runFor(2 * MS);
-        assertEquals(CloseReason.CONNECT_TIMEOUT, client.why);
+        assertEquals(CloseReason.CONNECT_TIMEOUT, client.closeReason);
     }
 
     @Test
-    void aSilentConnectionIsClosedAndOneThatSpeaksIsNot() throws IOException {
-        Ear server = new Ear();
-        InetSocketAddress to = listen(server, USUAL.idleAfter(100 * MS)).address();
-        Connection connection = loop.connect(null, to, USUAL, new Ear());
+    void idleConnectionIsClosedAndActiveOneIsNot() throws IOException {
+        RecordingHandler server = new RecordingHandler();
+        InetSocketAddress to = listen(server, DEFAULTS.idleAfter(100 * MS)).address();
+        Connection connection = loop.connect(null, to, DEFAULTS, new RecordingHandler());
         for (int i = 0; i < 5; i++) {
             connection.send(bytes("x"));
             net.runFor(80 * MS);
-            assertEquals(null, server.why);
+            assertEquals(null, server.closeReason);
         }
         net.runFor(200 * MS);
-        assertEquals(CloseReason.IDLE, server.why);
+        assertEquals(CloseReason.IDLE, server.closeReason);
     }
 
     @Test
-    void aHalfClosedPeerIsStillAnswered() throws IOException {
-        Ear server = new Ear() {
+    void halfClosedPeerIsStillServed() throws IOException {
+        RecordingHandler server = new RecordingHandler() {
             @Override
-            public boolean onInputEnd(Connection its) {
-                its.send(bytes("late answer"));
-                its.closeGracefully();
+            public boolean onInputEnd(Connection openedConnection) {
+                openedConnection.send(bytes("late response"));
+                openedConnection.closeGracefully();
                 return true;
             }
         };
-        Ear client = new Ear();
-        Connection connection = loop.connect(null, listen(server, USUAL).address(), USUAL, client);
-        connection.send(bytes("question"));
+        RecordingHandler client = new RecordingHandler();
+        Connection connection = loop.connect(null, listen(server, DEFAULTS).address(), DEFAULTS, client);
+        connection.send(bytes("request"));
         net.runFor(10 * MS);
         connection.closeGracefully();
         net.runFor(10 * MS);
-        assertEquals("question", server.heard.toString());
-        assertEquals(CloseReason.ENDED, server.why);
+        assertEquals("request", server.received.toString());
+        assertEquals(CloseReason.ENDED, server.closeReason);
     }
 
     @Test
-    void aResetIsHeardAsOne() throws IOException {
-        Ear server = new Ear();
-        Connection connection = loop.connect(null, listen(server, USUAL).address(), USUAL, new Ear());
+    void resetIsReportedAsReset() throws IOException {
+        RecordingHandler server = new RecordingHandler();
+        Connection connection = loop.connect(null, listen(server, DEFAULTS).address(), DEFAULTS,
+                new RecordingHandler());
         net.runFor(10 * MS);
         connection.reset("test");
         net.runFor(10 * MS);
-        assertEquals(CloseReason.RESET, server.why);
+        assertEquals(CloseReason.RESET, server.closeReason);
     }
 
-    /** A reader that has paused: the window fills, then the queue. */
-    private Connection stuck(WriteLimit bound, Ear client) throws IOException {
-        Ear server = new Ear() {
+    /** A connection to a peer that has paused reading; its window is full, so that further frames stay queued. */
+    private Connection connectionWithFullWindow(WriteLimit writeLimit, RecordingHandler client) throws IOException {
+        RecordingHandler server = new RecordingHandler() {
             @Override
-            public void onOpen(Connection its) {
-                super.onOpen(its);
-                its.pause();
+            public void onOpen(Connection openedConnection) {
+                super.onOpen(openedConnection);
+                openedConnection.pause();
             }
         };
-        Connection connection = loop.connect(null, listen(server, USUAL).address(), USUAL.bound(bound), client);
+        Connection connection = loop.connect(null, listen(server, DEFAULTS).address(), DEFAULTS.bound(writeLimit),
+                client);
         net.runFor(5 * MS);
         connection.send(ByteBuffer.allocate(1 << 16));
         net.runFor(5 * MS);
@@ -159,8 +161,9 @@
     }
 
     @Test
-    void aFullQueueRefuses() throws IOException {
-        Connection connection = stuck(new WriteLimit(1 << 16, 2, WriteLimit.OverflowPolicy.REFUSE), new Ear());
+    void fullQueueRefusesFrames() throws IOException {
+        Connection connection = connectionWithFullWindow(
+                new WriteLimit(1 << 16, 2, WriteLimit.OverflowPolicy.REFUSE), new RecordingHandler());
         assertTrue(connection.send(bytes("a")));
         assertTrue(connection.send(bytes("b")));
         assertFalse(connection.send(bytes("c")));
@@ -168,24 +171,25 @@
     }
 
     @Test
-    void aFullQueueCloses() throws IOException {
-        Ear client = new Ear();
-        Connection connection = stuck(new WriteLimit(1 << 16, 1, WriteLimit.OverflowPolicy.CLOSE), client);
+    void fullQueueClosesConnection() throws IOException {
+        RecordingHandler client = new RecordingHandler();
+        Connection connection = connectionWithFullWindow(
+                new WriteLimit(1 << 16, 1, WriteLimit.OverflowPolicy.CLOSE), client);
         assertTrue(connection.send(bytes("0123456789")));
         assertFalse(connection.send(bytes("x")));
-        assertEquals(CloseReason.OVERFLOW, client.why);
+        assertEquals(CloseReason.OVERFLOW, client.closeReason);
     }
 
     @Test
-    void withoutDescriptorsAcceptingRestsAndDoesNotSpin() throws IOException {
-        List<Ear> served = new ArrayList<>();
-        InetSocketAddress to = loop.listen(ANY, USUAL, c -> {
-            served.add(new Ear());
+    void acceptingPausesWhenDescriptorsRunOut() throws IOException {
+        List<RecordingHandler> served = new ArrayList<>();
+        InetSocketAddress to = loop.listen(ANY, DEFAULTS, c -> {
+            served.add(new RecordingHandler());
             return served.get(served.size() - 1);
         }).address();
         net.limitDescriptors(1);
         for (int i = 0; i < 3; i++) {
-            loop.connect(null, to, USUAL, new Ear());
+            loop.connect(null, to, DEFAULTS, new RecordingHandler());
         }
         net.runFor(1000 * MS);
         assertEquals(1, served.size());
@@ -196,27 +200,27 @@
     }
 
     @Test
-    void aHandlerThatThrowsCostsItsOwnConnectionOnly() throws IOException {
-        Ear bad = new Ear() {
+    void throwingHandlerClosesOnlyItsConnection() throws IOException {
+        RecordingHandler throwing = new RecordingHandler() {
             @Override
-            public void onData(Connection its, ByteBuffer bytes) {
+            public void onData(Connection openedConnection, ByteBuffer bytes) {
                 throw new IllegalStateException("on purpose");
             }
         };
-        Ear good = new Ear();
-        Connection one = loop.connect(null, listen(bad, USUAL).address(), USUAL, new Ear());
-        Connection other = loop.connect(null, listen(good, USUAL).address(), USUAL, new Ear());
-        one.send(bytes("x"));
+        RecordingHandler healthy = new RecordingHandler();
+        Connection first = loop.connect(null, listen(throwing, DEFAULTS).address(), DEFAULTS, new RecordingHandler());
+        Connection second = loop.connect(null, listen(healthy, DEFAULTS).address(), DEFAULTS, new RecordingHandler());
+        first.send(bytes("x"));
         net.runFor(10 * MS);
-        other.send(bytes("y"));
+        second.send(bytes("y"));
         net.runFor(10 * MS);
-        assertEquals(CloseReason.FAULT, bad.why);
-        assertEquals("y", good.heard.toString());
+        assertEquals(CloseReason.FAULT, throwing.closeReason);
+        assertEquals("y", healthy.received.toString());
         assertEquals(1, faults.size());
     }
 
     @Test
-    void timersOfOneTimeRunInTheirOrderAndCancelledOnesNever() {
+    void simultaneousTimersRunInOrderAndCancelledOnesDoNot() {
         StringBuilder order = new StringBuilder();
         loop.after(10, () -> order.append("b"));
         loop.after(5, () -> order.append("a"));
@@ -227,69 +231,69 @@
     }
 
     @Test
-    void theSameSeedGivesTheSameRunCutsAndAll() throws IOException {
-        String first = cutRun(3);
-        assertEquals(first, cutRun(3));
-        assertFalse(first.equals(cutRun(4)));
+    void sameSeedReproducesRunWithFaults() throws IOException {
+        String first = runWithFaults(3);
+        assertEquals(first, runWithFaults(3));
+        assertFalse(first.equals(runWithFaults(4)));
     }
 
-    private static String cutRun(long seed) throws IOException {
-        MemoryNet its = new MemoryNet(0, seed);
-        its.setFaults(new MemoryNet.Faults(100, MS, 20 * MS, 0.01, 0.02));
-        Loop one = its.newLoop(e -> { });
-        StringBuilder story = new StringBuilder();
-        InetSocketAddress to = one.listen(ANY, USUAL, c -> new Ear() {
+    private static String runWithFaults(long seed) throws IOException {
+        MemoryNet memoryNet = new MemoryNet(0, seed);
+        memoryNet.setFaults(new MemoryNet.Faults(100, MS, 20 * MS, 0.01, 0.02));
+        Loop eventLoop = memoryNet.newLoop(e -> { });
+        StringBuilder events = new StringBuilder();
+        InetSocketAddress to = eventLoop.listen(ANY, DEFAULTS, c -> new RecordingHandler() {
             @Override
             public void onData(Connection connection, ByteBuffer bytes) {
-                story.append(bytes.remaining()).append('@').append(its.now()).append(' ');
+                events.append(bytes.remaining()).append('@').append(memoryNet.now()).append(' ');
             }
 
             @Override
-            public void onClose(Connection connection, CloseReason how, String detail) {
-                story.append(how).append(' ');
+            public void onClose(Connection connection, CloseReason reason, String detail) {
+                events.append(reason).append(' ');
             }
         }).address();
         for (int i = 0; i < 10; i++) {
-            one.connect(null, to, USUAL, new Ear()).send(ByteBuffer.allocate(2000));
+            eventLoop.connect(null, to, DEFAULTS, new RecordingHandler()).send(ByteBuffer.allocate(2000));
         }
-        its.runFor(1000 * MS);
-        return story.toString();
+        memoryNet.runFor(1000 * MS);
+        return events.toString();
     }
 
     @Test
-    void socketsCarryAMegabyteBothWaysAndStopFromAnotherThread() throws Exception {
-        List<Throwable> thrown = new ArrayList<>();
-        Loop sockets = Loop.onSockets(thrown::add);
-        CountDownLatch back = new CountDownLatch(1);
+    void socketsEchoOneMebibyteAndStopFromAnotherThread() throws Exception {
+        List<Throwable> socketFaults = new ArrayList<>();
+        Loop socketLoop = Loop.onSockets(socketFaults::add);
+        CountDownLatch allEchoed = new CountDownLatch(1);
         int size = 1 << 20;
-        InetSocketAddress to = sockets.listen(ANY, USUAL, c -> new ConnectionHandler() {
+        InetSocketAddress to = socketLoop.listen(ANY, DEFAULTS, c -> new ConnectionHandler() {
             @Override
-            public void onData(Connection its, ByteBuffer bytes) {
-                its.send(ByteBuffer.allocate(bytes.remaining()).put(bytes).flip());
+            public void onData(Connection openedConnection, ByteBuffer bytes) {
+                openedConnection.send(ByteBuffer.allocate(bytes.remaining()).put(bytes).flip());
             }
         }).address();
-        int[] count = {0};
-        Thread thread = new Thread(sockets);
+        int[] echoedBytes = {0};
+        Thread thread = new Thread(socketLoop);
         thread.start();
-        sockets.post(() -> sockets.connect(null, to, USUAL, new ConnectionHandler() {
+        socketLoop.post(() -> socketLoop.connect(null, to, DEFAULTS, new ConnectionHandler() {
             @Override
-            public void onOpen(Connection its) {
-                its.send(ByteBuffer.allocate(size));
+            public void onOpen(Connection openedConnection) {
+                openedConnection.send(ByteBuffer.allocate(size));
             }
 
             @Override
-            public void onData(Connection its, ByteBuffer bytes) {
-                count[0] += bytes.remaining();
+            public void onData(Connection openedConnection, ByteBuffer bytes) {
+                echoedBytes[0] += bytes.remaining();
                 bytes.position(bytes.limit());
-                if (count[0] == size) {
-                    back.countDown();
+                if (echoedBytes[0] == size) {
+                    allEchoed.countDown();
                 }
             }
         }));
-        assertTrue(back.await(60, TimeUnit.SECONDS));
-        sockets.stop();
+        assertTrue(allEchoed.await(60, TimeUnit.SECONDS));
+        socketLoop.stop();
         thread.join(60_000);
         assertFalse(thread.isAlive());
-        assertEquals(List.of(), thrown);
+        assertEquals(List.of(), socketFaults);
     }
 }
