--- a/src/main/java/rowanmoor/lab/ControllerProcesses.java
+++ b/src/main/java/rowanmoor/lab/ControllerProcesses.java
@@ -16,8 +16,8 @@
 import rowanmoor.emulator.Outcome;
 
 /**
- * Controllers as processes of their own, started by this program's own command line. Their log lines are
- * kept; one of them tells where a controller listens. Only processes started here are ever signalled.
+ * Runs controllers in child processes of this program. Their log lines are kept in files; one of the lines
+ * tells where the controller listens. Only processes started here are ever signalled.
  */
 final class ControllerProcesses implements Controllers {
 
@@ -26,12 +26,12 @@
     private final DayFile day;
     private final Path dayFile;
     private final Path directory;
-    private final Map<Integer, Child> running = new ConcurrentHashMap<>();
-    private final List<Child> all = Collections.synchronizedList(new ArrayList<>());
+    private final Map<Integer, ChildProcess> running = new ConcurrentHashMap<>();
+    private final List<ChildProcess> all = Collections.synchronizedList(new ArrayList<>());
     private final List<JsonNode> stats = Collections.synchronizedList(new ArrayList<>());
     private int starts;
 
-    /** @param directory where their settings, traces and logs are put */
+    /** @param directory for the controllers' settings, traces and logs */
     ControllerProcesses(DayFile day, Path dayFile, Path directory) {
         this.day = day;
         this.dayFile = dayFile;
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public void start(int rank, InetSocketAddress roster, Up up) throws IOException {
+    public void start(int rank, InetSocketAddress roster, StartListener listener) throws IOException {
         int start = ++starts;
         String name = "controller-" + rank + "-" + start;
         Path config = directory.resolve(name + ".kdl");
@@ -60,7 +60,8 @@
                 quoted(directory.resolve(name + ".trace").toAbsolutePath()),
                 quoted(directory.resolve("capture").toAbsolutePath()), roster.getHostString(),
                 roster.getPort(), day.rosterWait() / 1_000_000, day.emptyHold() / 1_000_000));
-        Child child = Child.start(name, "1g", directory.resolve(name + ".log"), line -> hear(rank, line, up),
+        ChildProcess child = ChildProcess.start(name, "1g", directory.resolve(name + ".log"),
+                line -> handleLogLine(rank, line, listener),
                 "controller", "--config", config.toString(), "--seed",
                         Long.toString(day.seed() * 31 + start));
         running.put(rank, child);
@@ -71,7 +72,7 @@
         return path.toString().replace("\\", "\\\\").replace("\"", "\\\"");
     }
 
-    private void hear(int rank, String text, Up up) {
+    private void handleLogLine(int rank, String text, StartListener listener) {
         if (!text.startsWith("{")) {
             return;
         }
@@ -79,59 +80,60 @@
         try {
             line = JSON.readTree(text);
         } catch (IOException e) {
-            return; // cut off by the end of its process
+            return; // truncated when the process ended
         }
         if (line.has("at") && line.has("epoch")) {
             String at = line.get("at").asText();
             InetSocketAddress address = Section.parseAddress(at.replace("localhost", "127.0.0.1"));
-            up.up(rank, address, line.get("epoch").asLong());
+            listener.started(rank, address, line.get("epoch").asLong());
         } else if (line.has("decideP99us")) {
             ((ObjectNode) line).put("rank", rank);
             stats.add(line);
         }
     }
 
-    /** The lines of figures that controllers logged, each with its rank. */
+    /** The statistics lines that the controllers logged, each with its rank. */
     List<JsonNode> stats() {
         return List.copyOf(stats);
     }
 
     @Override
-    public List<Outcome.ControllerStats> met() {
+    public List<Outcome.ControllerStats> totals() {
         List<Outcome.ControllerStats> all = new ArrayList<>();
         for (int rank = 0; rank < day.controllerZones().size(); rank++) {
             all.add(new Outcome.ControllerStats());
         }
-        for (JsonNode line : stats()) { // in order: the newest of a rank stands
+        for (JsonNode line : stats()) { // in order: the last line of a rank wins
             Outcome.ControllerStats met = all.get(line.get("rank").asInt());
             met.totalQueuedLines = line.get("lines").asDouble();
             met.maxQueuedLines = Math.max(met.maxQueuedLines, line.get("mostWaiting").asDouble());
-            met.maxPendingReportLines = Math.max(met.maxPendingReportLines, line.get("mostReportsWaiting").asInt());
+            met.maxPendingReportLines = Math.max(met.maxPendingReportLines,
+                    line.get("mostReportsWaiting").asInt());
         }
         return all;
     }
 
     @Override
     public void kill(int rank) {
-        Child child = running.remove(rank);
+        ChildProcess child = running.remove(rank);
         if (child != null) {
             child.kill();
         }
     }
 
     @Override
-    public void stall(int rank, boolean on) throws IOException {
-        Child child = running.get(rank);
+    public void setPaused(int rank, boolean paused) throws IOException {
+        ChildProcess child = running.get(rank);
         if (child != null) {
-            child.stall(on);
+            child.setPaused(paused);
         }
     }
 
     @Override
     public void close() {
-        running.values().forEach(Child::end);
+        running.values().forEach(ChildProcess::terminate);
         running.clear();
-        all.forEach(Child::awaitEnd);
+        all.forEach(ChildProcess::awaitExit);
         all.clear();
     }
 }
--- a/src/main/java/rowanmoor/lab/ProxyStateModel.java
+++ b/src/main/java/rowanmoor/lab/ProxyStateModel.java
@@ -8,34 +8,37 @@
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.channel.Frame;
 
-/** What a proxy must hold, going by the bytes that it read: the judge's own reckoning of docs/channel.md. */
+/**
+ * The state that a proxy must hold after the bytes that it read. It implements docs/channel.md independently
+ * of the proxy, for the rule checker.
+ */
 final class ProxyStateModel {
 
-    private static final int STANDING = -1;
+    private static final int FALLBACK = -1;
 
-    private final int[] tableOf;
+    private final int[] tableByClass;
     private final Map<Integer, TreeMap<Backend, Double>> tables = new TreeMap<>();
-    private final Map<Integer, TreeMap<Backend, Double>> kept = new TreeMap<>();
+    private final Map<Integer, TreeMap<Backend, Double>> fallbackLines = new TreeMap<>();
     private final TreeSet<Backend> withdrawn = new TreeSet<>();
     private boolean bound;
     private long epoch;
     private long version = -1;
 
     ProxyStateModel(int classes, Collection<Backend> standing) {
-        tableOf = new int[classes];
-        Arrays.fill(tableOf, STANDING);
+        tableByClass = new int[classes];
+        Arrays.fill(tableByClass, FALLBACK);
         TreeMap<Backend, Double> lines = new TreeMap<>();
         standing.forEach(b -> lines.put(b, 1.0));
         for (int c = 0; c < classes; c++) {
-            kept.put(c, lines);
+            fallbackLines.put(c, lines);
         }
     }
 
-    /** A stream opens: what is held stays, by class, until this stream binds the class. */
-    void opened() {
-        for (int c = 0; c < tableOf.length; c++) {
-            kept.put(c, new TreeMap<>(lines(c)));
-            tableOf[c] = STANDING;
+    /** A stream opens: each class keeps its lines until the new stream binds the class. */
+    void streamOpened() {
+        for (int c = 0; c < tableByClass.length; c++) {
+            fallbackLines.put(c, new TreeMap<>(lines(c)));
+            tableByClass[c] = FALLBACK;
         }
         tables.clear();
         bound = false;
@@ -43,15 +46,15 @@
     }
 
     private TreeMap<Backend, Double> lines(int cls) {
-        return tableOf[cls] == STANDING ? kept.get(cls) : table(tableOf[cls]);
+        return tableByClass[cls] == FALLBACK ? fallbackLines.get(cls) : table(tableByClass[cls]);
     }
 
     private TreeMap<Backend, Double> table(int number) {
         return tables.computeIfAbsent(number, n -> new TreeMap<>());
     }
 
-    /** Takes a frame; answers what is wrong with its numbering, or null. */
-    String take(Frame frame) {
+    /** Applies a frame; returns a description of a numbering error, or null. */
+    String apply(Frame frame) {
         if (frame instanceof Frame.Snapshot s) {
             epoch = s.epoch();
             version = s.version();
@@ -65,18 +68,18 @@
             }
         } else if (frame instanceof Frame.Update u) {
             if (version < 0) {
-                return "an update before the stream's snapshot";
+                return "update before the stream's snapshot";
             }
             if (u.epoch() != epoch || u.version() != version + 1) {
                 return "version " + u.epoch() + "/" + u.version() + " after " + epoch + "/" + version;
             }
             version = u.version();
-            u.orders().forEach(this::take);
+            u.orders().forEach(this::apply);
         }
         return null;
     }
 
-    private void take(Frame.Order order) {
+    private void apply(Frame.Order order) {
         if (order instanceof Frame.SetLine o) {
             if (o.line().weight() > 0) {
                 table(o.table()).put(o.line().backend(), o.line().weight());
@@ -99,8 +102,8 @@
         }
     }
 
-    private void withdraw(Backend backend, boolean out) {
-        if (out) {
+    private void withdraw(Backend backend, boolean isWithdrawn) {
+        if (isWithdrawn) {
             withdrawn.add(backend);
         } else {
             withdrawn.remove(backend);
@@ -114,30 +117,30 @@
     }
 
     private void bind(int classes, int table) {
-        for (int c = 0; c < tableOf.length; c++) {
+        for (int c = 0; c < tableByClass.length; c++) {
             if (classes == 0 || (classes >> c & 1) == 1) {
-                tableOf[c] = table;
+                tableByClass[c] = table;
             }
         }
     }
 
-    /** Lines to pick, by class. */
-    int[] open() {
-        int[] open = new int[tableOf.length];
-        for (int c = 0; c < open.length; c++) {
-            open[c] = (int) lines(c).keySet().stream().filter(b -> !withdrawn.contains(b)).count();
+    /** Number of lines that can be picked, by class. */
+    int[] availableCounts() {
+        int[] counts = new int[tableByClass.length];
+        for (int c = 0; c < counts.length; c++) {
+            counts[c] = (int) lines(c).keySet().stream().filter(b -> !withdrawn.contains(b)).count();
         }
-        return open;
+        return counts;
     }
 
-    /** In how many classes there are fewer lines to pick than there were. */
-    long fewerThan(int[] before) {
-        int[] now = open();
+    /** Number of classes that have fewer available lines than before. */
+    long countDecreases(int[] before) {
+        int[] now = availableCounts();
         return java.util.stream.IntStream.range(0, now.length).filter(c -> now[c] < before[c]).count();
     }
 
-    /** Whether there is no line to pick for a class. */
-    boolean bare(int cls) {
+    /** Whether no line can be picked for a class. */
+    boolean hasNoBackend(int cls) {
         return withdrawn.containsAll(lines(cls).keySet());
     }
 
@@ -145,7 +148,7 @@
         return epoch;
     }
 
-    /** Whether this stream's snapshot has come. */
+    /** Whether this stream's snapshot has been received. */
     boolean joined() {
         return version >= 0;
     }
--- a/src/main/java/rowanmoor/lab/SoakClient.java
+++ b/src/main/java/rowanmoor/lab/SoakClient.java
@@ -13,24 +13,24 @@
 import java.util.regex.Pattern;
 
 /**
- * A client of a soak, on a thread of its own: one kept connection, one request at a time. It looks for the
- * end of its connection before each request, as a careful pool does.
+ * A client of a soak test, on its own thread: one persistent connection, one request at a time. Like a
+ * careful connection pool it checks before each request whether the server has closed the connection.
  */
 final class SoakClient implements Runnable {
 
-    /** What a client tells of each request that it has written; from its own thread. */
+    /** Is notified of the result of each request that was written; called on the client's thread. */
     interface Listener {
 
         void answered(String id, int status);
 
-        /** No answer came. Times by {@link System#nanoTime}. */
+        /** No response came. {@code connectedAt} is in the time of {@link System#nanoTime}. */
         void unanswered(String id, long connectedAt, String why);
     }
 
-    private static final int ANSWER_WITHIN_MS = 15_000;
-    private static final int PAUSE_MOST_MS = 40;
-    private static final int REDIAL_MS = 20;
-    private static final int HEAD_MOST = 1 << 14;
+    private static final int RESPONSE_TIMEOUT_MS = 15_000;
+    private static final int MAX_PAUSE_MS = 40;
+    private static final int RECONNECT_DELAY_MS = 20;
+    private static final int MAX_HEAD_BYTES = 1 << 14;
     private static final Pattern STATUS = Pattern.compile("HTTP/1\\.1 (\\d{3}) ");
     private static final Pattern LENGTH = Pattern.compile("(?i)\r\ncontent-length: (\\d+)\r\n");
     private static final Pattern CLOSE = Pattern.compile("(?i)\r\nconnection: close\r\n");
@@ -39,27 +39,27 @@
     private final InetSocketAddress server;
     private final SplittableRandom random;
     private final Listener listener;
-    private final BooleanSupplier goesOn;
+    private final BooleanSupplier running;
     private SocketChannel channel;
     private long connectedAt;
 
     SoakClient(String name, InetSocketAddress server, SplittableRandom random, Listener listener,
-            BooleanSupplier goesOn) {
+            BooleanSupplier running) {
         this.name = name;
         this.server = server;
         this.random = random;
         this.listener = listener;
-        this.goesOn = goesOn;
+        this.running = running;
     }
 
     @Override
     public void run() {
-        for (int number = 0; goesOn.getAsBoolean(); number++) {
+        for (int number = 0; running.getAsBoolean(); number++) {
             if (connect()) {
-                pause(random.nextInt(PAUSE_MOST_MS));
-                askIfOpen(number);
+                pause(random.nextInt(MAX_PAUSE_MS));
+                sendIfOpen(number);
             } else {
-                pause(REDIAL_MS);
+                pause(RECONNECT_DELAY_MS);
             }
         }
         close();
@@ -71,7 +71,7 @@
         }
         try {
             channel = SocketChannel.open(server);
-            channel.socket().setSoTimeout(ANSWER_WITHIN_MS);
+            channel.socket().setSoTimeout(RESPONSE_TIMEOUT_MS);
             connectedAt = System.nanoTime();
             return true;
         } catch (IOException e) {
@@ -80,8 +80,8 @@
         }
     }
 
-    private void askIfOpen(int number) {
-        if (hasEnded()) {
+    private void sendIfOpen(int number) {
+        if (isClosedByServer()) {
             close();
             return;
         }
@@ -91,15 +91,18 @@
                 + "\r\n\r\n";
         try {
             channel.write(ByteBuffer.wrap(request.getBytes(StandardCharsets.ISO_8859_1)));
-            readAnswer(id);
+            readResponse(id);
         } catch (IOException e) {
             listener.unanswered(id, connectedAt, e.toString());
             close();
         }
     }
 
-    /** Whether the server has ended the connection or said something unasked: nothing is asked on it then. */
-    private boolean hasEnded() {
+    /**
+     * Whether the server has closed the connection or sent unsolicited bytes; it must not be used any more
+     * then.
+     */
+    private boolean isClosedByServer() {
         try {
             channel.configureBlocking(false);
             int read = channel.read(ByteBuffer.allocate(1));
@@ -110,19 +113,19 @@
         }
     }
 
-    private void readAnswer(String id) throws IOException {
+    private void readResponse(String id) throws IOException {
         InputStream in = channel.socket().getInputStream();
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             head.append((char) readByte(in));
-            if (head.length() > HEAD_MOST) {
-                throw new IOException("an endless head");
+            if (head.length() > MAX_HEAD_BYTES) {
+                throw new IOException("response head is longer than " + MAX_HEAD_BYTES + " bytes");
             }
         }
         Matcher status = STATUS.matcher(head);
         Matcher length = LENGTH.matcher(head);
         if (!status.lookingAt() || !length.find()) {
-            throw new IOException("no answer: " + head);
+            throw new IOException("not a response with a content length: " + head);
         }
         for (int left = Integer.parseInt(length.group(1)); left > 0; left--) {
             readByte(in);
@@ -137,11 +140,11 @@
         try {
             int value = in.read();
             if (value < 0) {
-                throw new IOException("the connection ended");
+                throw new IOException("connection closed before the end of the response");
             }
             return value;
         } catch (SocketTimeoutException e) {
-            throw new IOException("nothing for " + ANSWER_WITHIN_MS + " ms", e);
+            throw new IOException("no byte received for " + RESPONSE_TIMEOUT_MS + " ms", e);
         }
     }
 
@@ -150,7 +153,7 @@
             try {
                 channel.close();
             } catch (IOException e) {
-                // its descriptor is given up either way
+                // the descriptor is released in either case
             }
             channel = null;
         }
