--- a/src/main/java/rowanmoor/lab/Child.java
+++ b/src/main/java/rowanmoor/lab/ChildProcess.java
@@ -13,22 +13,22 @@
 import java.util.function.Consumer;
 
 /**
- * One process of this program, started by its own command line. What it prints on both outputs is kept in a
- * file and told line by line, on a thread of its own. Only processes started here are ever signalled.
+ * A child process that runs a command of this program. A reader thread writes its standard output and error
+ * to a log file and passes each line to a consumer. Only processes started here are ever signalled.
  */
-final class Child {
+final class ChildProcess {
 
-    private static final long END_SECONDS = 5;
+    private static final long EXIT_TIMEOUT_SECONDS = 5;
 
     private final Process process;
     private final Thread reader;
 
-    private Child(Process process, Thread reader) {
+    private ChildProcess(Process process, Thread reader) {
         this.process = process;
         this.reader = reader;
     }
 
-    static Child start(String name, String heap, Path log, Consumer<String> line, String... arguments)
+    static ChildProcess start(String name, String heap, Path log, Consumer<String> line, String... arguments)
             throws IOException {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx" + heap, "-cp",
@@ -38,7 +38,7 @@
         Thread reader = new Thread(() -> read(process, log, line), name);
         reader.setDaemon(true);
         reader.start();
-        return new Child(process, reader);
+        return new ChildProcess(process, reader);
     }
 
     private static void read(Process process, Path log, Consumer<String> each) {
@@ -50,7 +50,7 @@
                 each.accept(line);
             }
         } catch (IOException e) {
-            // its process has ended; what it said before is kept
+            // the process has ended; the lines read so far are kept
         }
     }
 
@@ -58,34 +58,35 @@
         return process.isAlive();
     }
 
-    /** Kills it outright. */
+    /** Kills the process (SIGKILL). */
     void kill() {
         process.destroyForcibly();
     }
 
-    /** Makes it stand still, or go on. */
-    void stall(boolean on) throws IOException {
+    /** Pauses (SIGSTOP) or resumes (SIGCONT) the process. */
+    void setPaused(boolean paused) throws IOException {
         if (process.isAlive()) {
-            new ProcessBuilder("kill", on ? "-STOP" : "-CONT", Long.toString(process.pid())).start();
+            new ProcessBuilder("kill", paused ? "-STOP" : "-CONT", Long.toString(process.pid())).start();
         }
     }
 
-    /** Asks it to end; {@link #awaitEnd} waits for that. */
-    void end() {
+    /** Requests termination (SIGTERM); {@link #awaitExit} waits for it. */
+    void terminate() {
         process.destroy();
     }
 
-    /** Waits for its end; false if it is still there after so many milliseconds. */
-    boolean endsWithin(long millis) throws InterruptedException {
+    /** Waits up to the given milliseconds for the process to exit; returns whether it has. */
+    boolean exitsWithin(long millis) throws InterruptedException {
         return process.waitFor(millis, TimeUnit.MILLISECONDS);
     }
 
-    void awaitEnd() {
+    /** Waits for the process to exit; kills it after {@value #EXIT_TIMEOUT_SECONDS} s. */
+    void awaitExit() {
         try {
-            if (!process.waitFor(END_SECONDS, TimeUnit.SECONDS)) {
+            if (!process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 process.destroyForcibly();
             }
-            reader.join(END_SECONDS * 1000);
+            reader.join(EXIT_TIMEOUT_SECONDS * 1000);
         } catch (InterruptedException e) {
             process.destroyForcibly();
             Thread.currentThread().interrupt();
--- a/src/test/java/rowanmoor/lab/BenchDayTest.java
+++ b/src/test/java/rowanmoor/lab/BenchDayConverterTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import rowanmoor.config.ConfigException;
 
-/** A day of the bench's shape, made up for this test. */
-class BenchDayTest {
+/** Converts a benchmark day that was made up for this test. */
+class BenchDayConverterTest {
 
     private static final String DAY = """
             {"family":"control","site":"made-up","kind":"big","noise":12345678901,"length":30000000,
@@ -39,17 +39,17 @@
                     + "{\"kind\":1,\"speed\":0.8,\"weight\":4.0}");
 
     @Test
-    void aDayIsConvertedScaledAndPlayedAndWhatCannotBeIsNamed(@TempDir Path dir) throws IOException, ConfigException {
+    void convertsScalesAndPlaysADayAndListsSkippedTroubles(@TempDir Path dir) throws IOException, ConfigException {
         Path json = dir.resolve("day.json");
         Files.writeString(json, DAY);
         BenchDayConverter.Conversion converted = BenchDayConverter.convert(json, 0.5);
         assertEquals(List.of("neighbour at 1000ms for 3000ms: no stand-in plays it"), converted.skippedTroubles());
-        DayFile day = TestDays.of(converted.text());
+        DayFile day = TestDays.parse(converted.text());
         assertEquals(4, day.proxies());
         assertEquals(5, day.backendCount());
         assertEquals(List.of(Trouble.Kind.CRASH, Trouble.Kind.BURST, Trouble.Kind.ZONE_CUT),
                 day.troubles().stream().map(Trouble::kind).toList());
-        // Half of (3 x 2 cores x 1.0 + 2 x 4 cores x 0.8), at 0.14 s a request.
+        // Half of (3 x 2 cores x 1.0 + 2 x 4 cores x 0.8), at 0.14 s per request.
         assertEquals(0.5 * (6 + 6.4) / 0.14, day.rate(), 0.1);
         DayResult played = DayRunner.simulate(day);
         assertEquals(List.of(), played.faults());
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void whatIsNoDayIsRefused(@TempDir Path dir) throws IOException {
+    void refusesAFileThatIsNotADay(@TempDir Path dir) throws IOException {
         Path json = dir.resolve("x.json");
         Files.writeString(json, "{\"family\":\"other\"}");
         assertThrows(IOException.class, () -> BenchDayConverter.convert(json, 1));
