--- a/src/main/java/rowanmoor/discovery/Prober.java
+++ b/src/main/java/rowanmoor/discovery/Prober.java
@@ -10,8 +10,8 @@
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Probed;
 import rowanmoor.http.ClientConnection;
-import rowanmoor.http.MessageLimits;
 import rowanmoor.http.Message;
+import rowanmoor.http.MessageLimits;
 import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
 import rowanmoor.net.Loop;
@@ -105,9 +105,9 @@
                     }
 
                     @Override
-                    public void onFailure(boolean neverRan, CloseReason why, String detail) {
+                    public void onFailure(boolean neverRan, CloseReason reason, String detail) {
                         timeout.cancel();
-                        int status = why == CloseReason.CONNECT_TIMEOUT ? STATUS_TIMEOUT
+                        int status = reason == CloseReason.CONNECT_TIMEOUT ? STATUS_TIMEOUT
                                 : neverRan ? STATUS_UNREACHABLE : STATUS_CONNECTION_LOST;
                         finish(address,
                                 new Probed(backend, false, status, loop.now() - startedAt, List.of()));
--- a/src/main/java/rowanmoor/discovery/RosterView.java
+++ b/src/main/java/rowanmoor/discovery/RosterView.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.CatalogUpdateKind;
-import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
 
@@ -150,7 +150,7 @@
         if (old != null && previousStart != null && previousStart == entry.startedAtMs()) {
             startedAt = old.startedAt();
         }
-        return new Member(entry.backend(), entry.zone(), entry.kind(), entry.cell(), entry.listed(),
+        return new Member(entry.backend(), entry.zone(), entry.kind(), entry.cell(), entry.availability(),
                 entry.weight(), startedAt);
     }
 }
--- a/src/main/java/rowanmoor/platform/PlatformController.java
+++ b/src/main/java/rowanmoor/platform/PlatformController.java
@@ -14,9 +14,9 @@
 import java.util.function.LongSupplier;
 import rowanmoor.ControlApi.Action;
 import rowanmoor.ControlApi.Applied;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.CatalogUpdateKind;
-import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Log;
 import rowanmoor.ControlApi.Members;
 import rowanmoor.ControlApi.Probe;
@@ -31,10 +31,10 @@
 import rowanmoor.discovery.Prober;
 import rowanmoor.host.Fanout;
 import rowanmoor.host.TickRunner;
-import rowanmoor.net.WriteLimit;
 import rowanmoor.net.Connection;
 import rowanmoor.net.Loop;
 import rowanmoor.net.TickScheduler;
+import rowanmoor.net.WriteLimit;
 
 /**
  * One controller of the platform: the decision module on one event loop, with its peers, its catalog client
@@ -62,7 +62,7 @@
 
     private final PlatformConfig config;
     private final Loop loop;
-    private final LongSupplier wallClock;
+    private final LongSupplier wallClockMs;
     private final Consumer<String> log;
     private final Runnable checkConfigFile;
     private final Settings settings;
@@ -93,15 +93,15 @@
     /**
      * Starts to listen; connections are served once the loop runs.
      *
-     * @param wallClock milliseconds since 1970
+     * @param wallClockMs milliseconds since 1970
      * @param checkConfigFile starts a check for a changed configuration; returns at once
      * @throws IOException if the listen address cannot be bound
      */
-    PlatformController(PlatformConfig config, Loop loop, LongSupplier wallClock, Consumer<String> log,
+    PlatformController(PlatformConfig config, Loop loop, LongSupplier wallClockMs, Consumer<String> log,
             Runnable checkConfigFile) throws IOException {
         this.config = config;
         this.loop = loop;
-        this.wallClock = wallClock;
+        this.wallClockMs = wallClockMs;
         this.log = log;
         this.checkConfigFile = checkConfigFile;
         this.settings = config.namedSettings().settings();
@@ -109,10 +109,13 @@
         this.catalogView = new CatalogView(config.namedSettings(), instances);
         this.fanout = new Fanout(settings.classes().size());
         this.tickRunner = new TickRunner(settings, config.seed(), System::nanoTime);
-        this.ticks = new TickScheduler(loop, config.namedSettings().tick(), this::runTick, tickRunner::nextTickAt);
+        this.ticks = new TickScheduler(loop, config.namedSettings().tick(), this::runTick,
+                tickRunner::nextTickAt);
         this.translator = new Translator(config.namedSettings().classes(), instances, fanout);
         this.listener = loop.listen(config.listenAddress(), Connection.Options.defaults()
-                .bound(new WriteLimit(MAX_QUEUED_BYTES, MAX_QUEUED_MESSAGES, WriteLimit.OverflowPolicy.CLOSE)), c -> accept());
+                .bound(new WriteLimit(MAX_QUEUED_BYTES, MAX_QUEUED_MESSAGES,
+                        WriteLimit.OverflowPolicy.CLOSE)),
+                c -> accept());
         this.catalog = new CatalogClient(loop, config.catalogAddress(), config.seed(), this);
         this.prober = new Prober(loop, config.namedSettings().columns().isEmpty() ? "/ping" : "/_load",
                 PROBE_TIMEOUT_NS, MAX_CONCURRENT_PROBES, instances::address,
@@ -278,9 +281,9 @@
     }
 
     @Override
-    public void onMalformed(Peer peer, MalformedMessageException why) {
+    public void onMalformed(Peer peer, MalformedMessageException exception) {
         malformedCount++;
-        logProblem("dropped: " + why.getMessage());
+        logProblem("dropped: " + exception.getMessage());
     }
 
     @Override
@@ -289,14 +292,14 @@
     }
 
     @Override
-    public void onEnded(Peer peer, String why) {
+    public void onEnded(Peer peer, String reason) {
         switch (peer.role()) {
             case UNJOINED -> unjoined.remove(peer);
             case COLLECTOR -> collectors.get(peer.number()).remove(peer);
             case PROXY -> removeProxy(peer);
         }
         if (peer.role() != Peer.Role.UNJOINED) {
-            logProblem(peer.role() + " " + peer.number() + " left: " + why);
+            logProblem(peer.role() + " " + peer.number() + " left: " + reason);
         }
     }
 
@@ -322,7 +325,7 @@
 
     private void applyCatalogObject(Map<String, Object> object, boolean known) throws IOException {
         List<String> problems = new ArrayList<>();
-        Members members = catalogView.apply(loop.now(), wallClock.getAsLong(), object, known, problems);
+        Members members = catalogView.apply(loop.now(), wallClockMs.getAsLong(), object, known, problems);
         problems.forEach(p -> logProblem("catalog: " + p));
         if (members != null) {
             log.accept("catalog: " + members.kind() + " " + members.version() + ": " + countByState(members));
@@ -340,8 +343,8 @@
     }
 
     @Override
-    public boolean onWatchLost(String why) {
-        logProblem("catalog: watch over: " + why);
+    public boolean onWatchLost(String reason) {
+        logProblem("catalog: watch over: " + reason);
         checkConfigFile.run(); // the catalog may have moved
         if (settings.catalogOnRequest()) {
             tickRunner.onCatalog(new Members(CatalogUpdateKind.FAILED, catalogView.generation(), List.of()));
--- a/src/main/java/rowanmoor/proxy/Proxy.java
+++ b/src/main/java/rowanmoor/proxy/Proxy.java
@@ -15,10 +15,10 @@
 import rowanmoor.discovery.LoadColumns;
 import rowanmoor.http.ClientStream;
 import rowanmoor.http.HttpFields;
-import rowanmoor.http.MessageLimits;
 import rowanmoor.http.Message;
-import rowanmoor.http.OrcaLoadReport;
+import rowanmoor.http.MessageLimits;
 import rowanmoor.http.MessagePart;
+import rowanmoor.http.OrcaLoadReport;
 import rowanmoor.http.ServerStream;
 import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
@@ -276,12 +276,13 @@
     }
 
     /** Answers a request without a backend. */
-    void answerDirectly(ServerStream.Exchange exchange, int status, String why) {
-        exchange.respond(status, why + "\n", REASON_FIELD, why, "Content-Type", "text/plain");
+    void answerDirectly(ServerStream.Exchange exchange, int status, String reason) {
+        exchange.respond(status, reason + "\n", REASON_FIELD, reason, "Content-Type", "text/plain");
     }
 
     /** The head to send to a backend; {@code remainingNs} is the time to the deadline. */
-    MessagePart.RequestHead backendRequestHead(MessagePart.RequestHead head, Backend backend, long remainingNs) {
+    MessagePart.RequestHead backendRequestHead(MessagePart.RequestHead head, Backend backend,
+            long remainingNs) {
         HttpFields fields = endToEndFields(head.fields());
         fields.set("Host", backend.toString());
         fields.set(PROXY_NUMBER_FIELD, Integer.toString(config.number()));
@@ -329,10 +330,10 @@
                 CLIENT_IDLE_FACTOR * config.backendIdleTimeoutNs());
         ServerStream stream = new ServerStream(loop, limits, timeouts, this) {
             @Override
-            public void onClose(Connection itsConnection, CloseReason why, String detail) {
+            public void onClose(Connection itsConnection, CloseReason reason, String detail) {
                 clients.remove(this);
                 connectionsByAddress.computeIfPresent(from, (a, n) -> n == 1 ? null : n - 1);
-                super.onClose(itsConnection, why, detail);
+                super.onClose(itsConnection, reason, detail);
                 finishStopIfDone();
             }
         };
@@ -358,7 +359,7 @@
         public void onData(Connection connection, ByteBuffer bytes) { }
 
         @Override
-        public void onClose(Connection connection, CloseReason why, String detail) {
+        public void onClose(Connection connection, CloseReason reason, String detail) {
             rejectedConnections--;
         }
     }
@@ -399,9 +400,9 @@
         return text.matches("[0-9]{1,9}") ? Long.parseLong(text) : -1;
     }
 
-    private void refuse(ServerStream.Exchange exchange, String why) {
-        exchange.respond(policy().refusalStatus(), why + "\n", REASON_FIELD, why, "Content-Type", "text/plain",
-                "Retry-After", Integer.toString(policy().retryAfterSeconds()));
+    private void refuse(ServerStream.Exchange exchange, String reason) {
+        exchange.respond(policy().refusalStatus(), reason + "\n", REASON_FIELD, reason,
+                "Content-Type", "text/plain", "Retry-After", Integer.toString(policy().retryAfterSeconds()));
     }
 
     @Override
--- a/src/test/java/rowanmoor/controller/DriverPartsTest.java
+++ b/src/test/java/rowanmoor/controller/DriverPartsTest.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import rowanmoor.ControlApi.Action;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Backend;
-import rowanmoor.ControlApi.Event;
 import rowanmoor.ControlApi.CatalogUpdateKind;
-import rowanmoor.ControlApi.Availability;
+import rowanmoor.ControlApi.Event;
 import rowanmoor.ControlApi.Member;
 import rowanmoor.ControlApi.Members;
 import rowanmoor.ControlApi.Settings;
@@ -162,7 +162,7 @@
             throws IOException, ConfigException {
         Path file = dir.resolve("t.trace");
         Settings settings = ControllerConfig.read(Path.of("conf/controller.kdl")).site().settings(1);
-        try (Trace trace = new Trace(file, settings, 3, why -> { })) {
+        try (Trace trace = new Trace(file, settings, 3, reason -> { })) {
             runScenario(3, trace);
         }
         Trace.ReplayResult replay = Trace.replay(file);
