--- a/src/main/java/rowanmoor/lab/DayFile.java
+++ b/src/main/java/rowanmoor/lab/DayFile.java
@@ -41,7 +41,7 @@
 
     private static final String SERVICE_KEY = "service";
 
-    /** Reads a day file; throws a {@link ConfigError} that names every problem with file and line. */
+    /** Reads a day file; throws a {@link ConfigException} that names every problem with file and line. */
     public static DayFile read(Path file) throws ConfigException {
         return read(Section.read(file));
     }
--- a/src/main/java/rowanmoor/standin/BackendModel.java
+++ b/src/main/java/rowanmoor/standin/BackendModel.java
@@ -210,7 +210,7 @@
         }
     }
 
-    /** Advances to a time before which no request finishes; see {@link #nextTickAt}. */
+    /** Advances to a time before which no request finishes; see {@link #nextEventAt}. */
     private void advance(long now) {
         double seconds = (now - updatedAt) / NS_PER_SECOND;
         busySeconds += seconds * Math.min(runningCount, spec.cores());
--- a/src/main/java/rowanmoor/standin/Link.java
+++ b/src/main/java/rowanmoor/standin/Link.java
@@ -31,7 +31,7 @@
     /**
      * Listens on an address.
      *
-     * @param to the target, or null while there is none: connections are then refused
+     * @param target the target, or null while there is none: connections are then refused
      * @throws IOException if the address cannot be bound
      */
     public Link(Loop loop, InetSocketAddress at, InetSocketAddress target) throws IOException {
