--- a/src/main/java/rowanmoor/lab/BenchDayConverter.java
+++ b/src/main/java/rowanmoor/lab/BenchDayConverter.java
@@ -52,7 +52,7 @@
 
     private static String quoted(Iterable<JsonNode> names) {
         List<String> all = new ArrayList<>();
-        names.forEach(n -> all.add("\"" + n.asText() + "\""));
+        names.forEach(name -> all.add("\"" + name.asText() + "\""));
         return String.join(" ", all);
     }
 
@@ -71,55 +71,53 @@
         line("troubles {");
         day.get("troubles").forEach(this::trouble);
         line("}");
-        skippedTroubles.forEach(l -> line("// left out: %s", l));
+        skippedTroubles.forEach(skipped -> line("// left out: %s", skipped));
         return new Conversion(out.toString(), List.copyOf(skippedTroubles));
     }
 
     private void site(JsonNode tier, int proxies) {
-        JsonNode fam = day.get("fam");
+        JsonNode family = day.get("fam");
         List<JsonNode> kinds = new ArrayList<>();
-        tier.get("kinds").forEach(k -> kinds.add(k.get("name")));
+        tier.get("kinds").forEach(kind -> kinds.add(kind.get("name")));
         line("site {%n    zones %s%n    kinds %s", quoted(day.get("zones")), quoted(kinds));
-        for (JsonNode c : day.get("classes")) {
-            String limits = c.path("only_kinds").size() == 0 ? "" : "; only-kinds " + quoted(names(c,
-                    "only_kinds",
-                    kinds));
-            limits += c.path("only_zones").size() == 0 ? "" : "; only-zones " + quoted(names(c, "only_zones",
-                    list(day.get("zones"))));
+        for (JsonNode cls : day.get("classes")) {
+            String limits = cls.path("only_kinds").size() == 0 ? ""
+                    : "; only-kinds " + quoted(names(cls, "only_kinds", kinds));
+            limits += cls.path("only_zones").size() == 0 ? ""
+                    : "; only-zones " + quoted(names(cls, "only_zones", list(day.get("zones"))));
             line("    class \"%s\" { prefix \"/%s\"; aim \"%s\"; deadline \"%s\"; worth %s; late-worth %s;"
-                    + " effect \"%s\"; group \"%s\"; window \"%s\"; write #%s%s }", c.get("name").asText(),
-                    c.get("name").asText(), ms(c.get("aim").asDouble()), ms(c.get("deadline").asDouble()),
-                    c.get("worth").asText(), c.get("late_worth").asText(), c.get("effect").asText(),
-                    c.path("group").asText("all"), ms(c.path("window").asDouble(5e6)),
-                    c.path("write").asBoolean(), limits);
+                    + " effect \"%s\"; group \"%s\"; window \"%s\"; write #%s%s }", cls.get("name").asText(),
+                    cls.get("name").asText(), ms(cls.get("aim").asDouble()),
+                    ms(cls.get("deadline").asDouble()), cls.get("worth").asText(),
+                    cls.get("late_worth").asText(), cls.get("effect").asText(), cls.path("group").asText("all"),
+                    ms(cls.path("window").asDouble(5e6)), cls.path("write").asBoolean(), limits);
         }
         List<String> columns = new ArrayList<>();
-        Map<String, String> names = Map.of("queue", "queue", "latency_ms", "latency-ms", "util", "busy",
-                "inflight",
-                "inflight");
+        Map<String, String> columnsByField = Map.of("queue", "queue", "latency_ms", "latency-ms",
+                "util", "busy", "inflight", "inflight");
         for (JsonNode field : tier.path("report_fields")) {
-            if (names.containsKey(field.asText())) {
-                columns.add("\"" + names.get(field.asText()) + "\"");
+            if (columnsByField.containsKey(field.asText())) {
+                columns.add("\"" + columnsByField.get(field.asText()) + "\"");
             }
         }
         if (!columns.isEmpty()) {
             line("    load-report %s", String.join(" ", columns));
         }
         line("    probes #%s%n    choice \"%s\"%n    admission \"%s\"%n    standing %d%n    ejects %d",
-                day.path("allow").path("probes").asBoolean(), fam.path("pick").asText("two"),
-                fam.path("admit").asText("rate").replace("none", "off"), fam.path("standing").asInt(5),
-                fam.path("ejects").asInt());
+                day.path("allow").path("probes").asBoolean(), family.path("pick").asText("two"),
+                family.path("admit").asText("rate").replace("none", "off"), family.path("standing").asInt(5),
+                family.path("ejects").asInt());
         line("    eject-for \"%s\"%n    proxies %d%n    period \"%s\"%n    intake \"%s/s\"",
-                ms(fam.path("eject").asDouble()), proxies, ms(fam.path("period").asDouble()),
-                fam.path("intake").asText());
+                ms(family.path("eject").asDouble()), proxies, ms(family.path("period").asDouble()),
+                family.path("intake").asText());
         line("    rules { bare \"%s\"; drain-grace \"%s\"; cold \"%s\"; cold-from %s; fall-multiple %s;"
-                + " fall-span \"%s\" }", ms(fam.path("bare").asDouble()),
-                        ms(day.path("drain_grace").asDouble()),
-                ms(tier.path("stated_cold").asDouble()), tier.path("stated_cold_from").asText(),
-                day.path("fall_multiple").asText(), ms(day.path("fall_for").asDouble()));
+                + " fall-span \"%s\" }", ms(family.path("bare").asDouble()),
+                ms(day.path("drain_grace").asDouble()), ms(tier.path("stated_cold").asDouble()),
+                tier.path("stated_cold_from").asText(), day.path("fall_multiple").asText(),
+                ms(day.path("fall_for").asDouble()));
         line("    channel { pace \"%s/s\"; head %s; backlog %s; late \"%s\"; latest \"%s\" }%n}%n",
-                fam.path("rate").asText(), fam.path("head").asText(), fam.path("backlog").asText(),
-                ms(fam.path("late").asDouble()), ms(3 * fam.path("late").asDouble()));
+                family.path("rate").asText(), family.path("head").asText(), family.path("backlog").asText(),
+                ms(family.path("late").asDouble()), ms(3 * family.path("late").asDouble()));
     }
 
     private static List<JsonNode> list(JsonNode array) {
@@ -131,34 +129,35 @@
     private static List<JsonNode> names(JsonNode cls, String key, List<JsonNode> names) {
         List<JsonNode> all = new ArrayList<>();
         // Either a list for each tier or one flat list; a control service has one tier.
-        cls.get(key).forEach(n -> (n.isArray() ? list(n) : List.of(n)).forEach(one ->
-                all.add(one.isInt() ? names.get(one.asInt()) : one)));
+        cls.get(key).forEach(entry -> (entry.isArray() ? list(entry) : List.of(entry)).forEach(name ->
+                all.add(name.isInt() ? names.get(name.asInt()) : name)));
         return all;
     }
 
     /** Writes the fleet; returns its capacity in seconds of work per second. */
     private double fleet(JsonNode tier, int proxies) {
         TreeMap<Integer, List<JsonNode>> byKind = new TreeMap<>();
-        day.get("servers").forEach(s -> byKind.computeIfAbsent(s.get("kind").asInt(),
-                k -> new ArrayList<>()).add(s));
+        day.get("servers").forEach(server -> byKind.computeIfAbsent(server.get("kind").asInt(),
+                kind -> new ArrayList<>()).add(server));
         List<String> controllers = new ArrayList<>();
-        day.get("fam").path("controllers").forEach(z -> controllers.add("\"" + day.get("zones").get(z.asInt())
-                .asText() + "\""));
+        day.get("fam").path("controllers").forEach(zone -> controllers.add(
+                "\"" + day.get("zones").get(zone.asInt()).asText() + "\""));
         line("fleet {%n    controllers %s%n    proxies %d%n    proxy-skew 0.8", String.join(" ", controllers),
                 proxies);
         double[] capacity = {0};
         byKind.forEach((kind, servers) -> {
-            JsonNode k = tier.get("kinds").get(kind);
+            JsonNode kindNode = tier.get("kinds").get(kind);
             int count = Math.max(1, (int) Math.round(servers.size() * scale));
-            double speed = servers.stream().mapToDouble(s -> s.get("speed").asDouble()).average().orElse(1);
-            capacity[0] += count * speed * k.get("cores").asInt();
+            double speed = servers.stream().mapToDouble(server -> server.get("speed").asDouble()).average()
+                    .orElse(1);
+            capacity[0] += count * speed * kindNode.get("cores").asInt();
             line("    backends \"%s\" { count %d; cores %d; speed %.3f; slots %d; queue %d; weight %s;"
-                    + " connections %d; cold-from %.3f; cold \"%s\" }", k.get("name").asText(), count,
-                            k.get("cores").asInt(),
-                    speed, k.get("slots").asInt(), k.get("queue").asInt(),
-                    servers.get(0).path("weight").asText("1"), Math.max(50, Math.round(
-                            tier.path("conn_cap_per_core").asDouble(100) * k.get("cores").asInt())),
-                    k.get("cold_from").asDouble(), ms(k.get("cold").asDouble()));
+                    + " connections %d; cold-from %.3f; cold \"%s\" }", kindNode.get("name").asText(),
+                    count, kindNode.get("cores").asInt(), speed, kindNode.get("slots").asInt(),
+                    kindNode.get("queue").asInt(), servers.get(0).path("weight").asText("1"),
+                    Math.max(50, Math.round(tier.path("conn_cap_per_core").asDouble(100)
+                            * kindNode.get("cores").asInt())),
+                    kindNode.get("cold_from").asDouble(), ms(kindNode.get("cold").asDouble()));
         });
         line("}%n");
         return capacity[0];
@@ -167,52 +166,52 @@
     private void load(double capacity) {
         double shares = 0;
         double work = 0;
-        for (JsonNode c : day.get("classes")) {
-            shares += c.get("share").asDouble();
-            work += c.get("share").asDouble() * c.get("work").asDouble() / US_PER_SECOND;
+        for (JsonNode cls : day.get("classes")) {
+            shares += cls.get("share").asDouble();
+            work += cls.get("share").asDouble() * cls.get("work").asDouble() / US_PER_SECOND;
         }
         double rate = day.get("traffic").get("load").asDouble() * capacity / (work / shares);
         line("load {%n    rate \"%.1f/s\"%n    swing 0.1", rate);
-        for (JsonNode c : day.get("classes")) {
-            line("    class \"%s\" { share %.4f; work \"%s\" }", c.get("name").asText(),
-                    Math.min(1, c.get("share").asDouble()), ms(c.get("work").asDouble()));
+        for (JsonNode cls : day.get("classes")) {
+            line("    class \"%s\" { share %.4f; work \"%s\" }", cls.get("name").asText(),
+                    Math.min(1, cls.get("share").asDouble()), ms(cls.get("work").asDouble()));
         }
         JsonNode clients = day.get("clients");
         line("}%n%nclients { retries %d; backoff \"%s\"; try-share %.3f }%n", clients.path("retries").asInt(),
                 ms(clients.path("backoff_us").asDouble()), clients.path("try_share").asDouble(1));
     }
 
-    private void trouble(JsonNode t) {
-        String kind = t.get("kind").asText();
-        double backendFraction = Math.min(1, t.path("on").size() / (double) day.get("servers").size());
-        double proxyFraction = Math.min(1, t.path("on").size() / (double) day.get("balancers").size());
-        String size = String.format(Locale.ROOT, "%.3f", t.path("size").asDouble());
+    private void trouble(JsonNode trouble) {
+        String kind = trouble.get("kind").asText();
+        double backendFraction = Math.min(1, trouble.path("on").size() / (double) day.get("servers").size());
+        double proxyFraction = Math.min(1, trouble.path("on").size() / (double) day.get("balancers").size());
+        String size = String.format(Locale.ROOT, "%.3f", trouble.path("size").asDouble());
         String zone = "zone \"" + day.get("zones").get(Math.min(day.get("zones").size() - 1,
-                t.path("which").asInt())).asText() + "\"";
+                trouble.path("which").asInt())).asText() + "\"";
         String block = switch (kind) {
             case "crash" -> "crash { %s; part " + number(backendFraction) + " }";
             case "slow" -> "slow { %s; part " + number(backendFraction) + "; size " + size + " }";
             case "shared_slow" -> "slow { %s; part 1; size " + size + " }";
-            case "fast_errors" -> "fast-errors { %s; part " + number(backendFraction) + "; size " + size
-                    + " }";
+            case "fast_errors" ->
+                    "fast-errors { %s; part " + number(backendFraction) + "; size " + size + " }";
             case "pauses" -> "pauses { %s; part " + number(backendFraction) + "; size " + size + " }";
             case "burst" -> "burst { %s; size " + size + " }";
             case "zone_cut" -> "zone-cut { %s; " + zone + " }";
             case "zone_loss" -> "zone-loss { %s; " + zone + " }";
             case "discovery_down" -> "roster-down { %s }";
             case "counter_down" -> "proxies-cut { %s; part " + number(proxyFraction) + " }";
-            case "answer_lost" -> "answers-lost { %s; part " + number(backendFraction) + "; size " + size
-                    + " }";
-            case "false_reports" -> "false-reports { %s; part " + number(backendFraction) + "; size " + size
-                    + " }";
+            case "answer_lost" ->
+                    "answers-lost { %s; part " + number(backendFraction) + "; size " + size + " }";
+            case "false_reports" ->
+                    "false-reports { %s; part " + number(backendFraction) + "; size " + size + " }";
             default -> null;
         };
         if (block == null) {
-            skippedTroubles.add(kind + " at " + ms(t.get("at").asDouble()) + " for "
-                    + ms(t.get("len").asDouble())
-                    + ": no stand-in plays it");
+            skippedTroubles.add(kind + " at " + ms(trouble.get("at").asDouble()) + " for "
+                    + ms(trouble.get("len").asDouble()) + ": no stand-in plays it");
         } else {
-            String when = "at \"" + ms(t.get("at").asDouble()) + "\"; for \"" + ms(t.get("len").asDouble());
+            String when = "at \"" + ms(trouble.get("at").asDouble()) + "\"; for \""
+                    + ms(trouble.get("len").asDouble());
             line("    " + block, when + "\"");
         }
     }
--- a/src/main/java/rowanmoor/lab/DayReport.java
+++ b/src/main/java/rowanmoor/lab/DayReport.java
@@ -21,36 +21,35 @@
     private DayReport() { }
 
     /** The report text that the command prints. */
-    public static String text(DayResult played) {
+    public static String text(DayResult result) {
         StringBuilder text = new StringBuilder();
-        DayFile day = played.day();
+        DayFile day = result.day();
         line(text, "%s, seed %d: %d controllers, %d proxies, %d backends, %.0f requests a second, %.0f s",
                 day.name(), day.seed(), day.controllerZones().size(), day.proxies(), day.backendCount(),
                 day.rate(), day.length() / NS_PER_SECOND);
         line(text, "%n%-32s %10s %10s  %s", "rule", "limit", "worst", "");
-        for (RuleChecker.Verdict v : played.verdicts()) {
-            line(text, "%-32s %10.3f %10.3f  %s%s", v.rule(), v.limit(), v.worst(),
-                    v.broken() ? "BROKEN " : "kept", v.broken() ? v.first() : " (" + v.unit() + ")");
+        for (RuleChecker.Verdict verdict : result.verdicts()) {
+            line(text, "%-32s %10.3f %10.3f  %s%s", verdict.rule(), verdict.limit(), verdict.worst(),
+                    verdict.broken() ? "BROKEN " : "kept",
+                    verdict.broken() ? verdict.first() : " (" + verdict.unit() + ")");
         }
         line(text, "%n%-16s %8s %8s %6s %7s %8s %10s %10s", "class", "offered", "good", "late", "failed",
                 "service", "p50 ms", "p99 ms");
-        for (int c = 0; c < played.classTotals().size(); c++) {
-            Clients.ClassStats met = played.classTotals().get(c);
-            line(text, "%-16s %8d %8d %6d %7d %8.3f %10.1f %10.1f", day.site().classNames().get(c),
-                    met.offered,
-                    met.good, met.late, met.failed, played.service(c),
-                    met.latency.getValueAtPercentile(50) / 1000.0,
-                    met.latency.getValueAtPercentile(99) / 1000.0);
+        for (int cls = 0; cls < result.classTotals().size(); cls++) {
+            Clients.ClassStats stats = result.classTotals().get(cls);
+            line(text, "%-16s %8d %8d %6d %7d %8.3f %10.1f %10.1f", day.site().classNames().get(cls),
+                    stats.offered, stats.good, stats.late, stats.failed, result.service(cls),
+                    stats.latency.getValueAtPercentile(50) / 1000.0,
+                    stats.latency.getValueAtPercentile(99) / 1000.0);
         }
-        line(text, "%-16s %8s %8s %6s %7s %8.3f", "all, by worth", "", "", "", "", played.service(-1));
-        changes(text, played);
+        line(text, "%-16s %8s %8s %6s %7s %8.3f", "all, by worth", "", "", "", "", result.service(-1));
+        appendChangeLatencies(text, result);
         line(text, "most sent to a cold backend: %.2f of its capacity (it falls at %.2f)",
-                played.worstColdOverload(),
-                day.site().rules().overloadFactor());
-        stats(text, played);
-        played.faults().forEach(f -> line(text, "fault: %s", f));
-        played.unmetExpectations().forEach(u -> line(text, "expectation: %s", u));
-        line(text, "%n%s", played.passed() ? "passed" : "FAILED");
+                result.worstColdOverload(), day.site().rules().overloadFactor());
+        appendControllerStats(text, result);
+        result.faults().forEach(fault -> line(text, "fault: %s", fault));
+        result.unmetExpectations().forEach(unmet -> line(text, "expectation: %s", unmet));
+        line(text, "%n%s", result.passed() ? "passed" : "FAILED");
         return text.toString();
     }
 
@@ -58,25 +57,25 @@
         text.append(String.format(Locale.ROOT, format, arguments)).append('\n');
     }
 
-    private static void changes(StringBuilder text, DayResult played) {
-        List<Double> took = new ArrayList<>(played.changeLatenciesMs());
-        took.sort(null);
-        if (!took.isEmpty()) {
+    private static void appendChangeLatencies(StringBuilder text, DayResult result) {
+        List<Double> latenciesMs = new ArrayList<>(result.changeLatenciesMs());
+        latenciesMs.sort(null);
+        if (!latenciesMs.isEmpty()) {
             line(text, "%nfrom a roster change to the last proxy's next message: %d changes, p50 %.0f ms,"
-                    + " p99 %.0f ms, max %.0f ms", took.size(), at(took, 0.5), at(took, 0.99),
-                    took.get(took.size() - 1));
+                    + " p99 %.0f ms, max %.0f ms", latenciesMs.size(), quantile(latenciesMs, 0.5),
+                    quantile(latenciesMs, 0.99), latenciesMs.get(latenciesMs.size() - 1));
         }
     }
 
-    private static double at(List<Double> sorted, double quantile) {
-        return sorted.get((int) Math.min(sorted.size() - 1, Math.floor(quantile * sorted.size())));
+    private static double quantile(List<Double> sorted, double fraction) {
+        return sorted.get((int) Math.min(sorted.size() - 1, Math.floor(fraction * sorted.size())));
     }
 
-    private static void stats(StringBuilder text, DayResult played) {
-        for (int rank = 0; rank < played.day().controllerZones().size(); rank++) {
-            int wanted = rank;
-            JsonNode last = played.stats().stream().filter(s -> s.get("rank").asInt() == wanted)
-                    .reduce((a, b) -> b).orElse(null);
+    private static void appendControllerStats(StringBuilder text, DayResult result) {
+        for (int rank = 0; rank < result.day().controllerZones().size(); rank++) {
+            int controllerRank = rank;
+            JsonNode last = result.stats().stream().filter(stat -> stat.get("rank").asInt() == controllerRank)
+                    .reduce((earlier, later) -> later).orElse(null);
             if (last != null) {
                 line(text, "controller %d: %d decisions, p50 %d us, p99 %d us, max %d us; CPU %d ms;"
                         + " heap %d MiB; most lines waiting %d; most report lines waiting %d", rank,
@@ -89,25 +88,25 @@
     }
 
     /** Writes the text, outcomes, verdicts, statistics and charts into a directory. */
-    public static void write(DayResult played, Path directory) throws IOException {
+    public static void write(DayResult result, Path directory) throws IOException {
         Files.createDirectories(directory);
-        Files.writeString(directory.resolve("report.txt"), text(played));
+        Files.writeString(directory.resolve("report.txt"), text(result));
         try (BufferedWriter out = Files.newBufferedWriter(directory.resolve("day.jsonl"))) {
-            for (RuleChecker.Verdict verdict : played.verdicts()) {
+            for (RuleChecker.Verdict verdict : result.verdicts()) {
                 ObjectNode node = JSON.valueToTree(verdict);
                 out.write(node.put("what", "verdict").toString() + "\n");
             }
-            for (Clients.RequestOutcome outcome : played.outcomes()) {
+            for (Clients.RequestOutcome outcome : result.outcomes()) {
                 ObjectNode node = JSON.createObjectNode().put("what", "outcome")
-                        .put("atMs", (outcome.arrivedAt() - played.evidence().start()) / 1e6)
-                        .put("class", played.day().site().classNames().get(outcome.cls()))
+                        .put("atMs", (outcome.arrivedAt() - result.evidence().start()) / 1e6)
+                        .put("class", result.day().site().classNames().get(outcome.cls()))
                         .put("tookMs", outcome.latencyNs() / 1e6).put("answered", outcome.answered());
                 out.write(node + "\n");
             }
-            for (JsonNode stat : played.stats()) {
+            for (JsonNode stat : result.stats()) {
                 out.write(((ObjectNode) stat.deepCopy()).put("what", "stats") + "\n");
             }
         }
-        new Charts(played, directory).write();
+        new Charts(result, directory).write();
     }
 }
