--- a/src/main/java/rowanmoor/config/Section.java
+++ b/src/main/java/rowanmoor/config/Section.java
@@ -14,8 +14,8 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import rowanmoor.kdl.KdlException;
-import rowanmoor.kdl.Node;
 import rowanmoor.kdl.KdlParser;
+import rowanmoor.kdl.Node;
 import rowanmoor.kdl.Value;
 
 /**
--- a/src/main/java/rowanmoor/lab/BenchDayConverter.java
+++ b/src/main/java/rowanmoor/lab/BenchDayConverter.java
@@ -89,8 +89,9 @@
                     + " effect \"%s\"; group \"%s\"; window \"%s\"; write #%s%s }", cls.get("name").asText(),
                     cls.get("name").asText(), ms(cls.get("aim").asDouble()),
                     ms(cls.get("deadline").asDouble()), cls.get("worth").asText(),
-                    cls.get("late_worth").asText(), cls.get("effect").asText(), cls.path("group").asText("all"),
-                    ms(cls.path("window").asDouble(5e6)), cls.path("write").asBoolean(), limits);
+                    cls.get("late_worth").asText(), cls.get("effect").asText(),
+                    cls.path("group").asText("all"), ms(cls.path("window").asDouble(5e6)),
+                    cls.path("write").asBoolean(), limits);
         }
         List<String> columns = new ArrayList<>();
         Map<String, String> columnsByField = Map.of("queue", "queue", "latency_ms", "latency-ms",
--- a/src/main/java/rowanmoor/lab/Charts.java
+++ b/src/main/java/rowanmoor/lab/Charts.java
@@ -1,5 +1,6 @@
 package rowanmoor.lab;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.file.Path;
@@ -9,7 +10,6 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Predicate;
-import com.fasterxml.jackson.databind.JsonNode;
 import org.knowm.xchart.VectorGraphicsEncoder;
 import org.knowm.xchart.VectorGraphicsEncoder.VectorGraphicsFormat;
 import org.knowm.xchart.XYChart;
@@ -27,35 +27,35 @@
     /** Levels at or above this admit everything and are not drawn. */
     private static final double UNLIMITED_LEVEL = 1e5;
 
-    private final DayResult played;
+    private final DayResult result;
     private final Path directory;
     private final int seconds;
 
-    Charts(DayResult played, Path directory) {
-        this.played = played;
+    Charts(DayResult result, Path directory) {
+        this.result = result;
         this.directory = directory;
-        this.seconds = (int) Math.ceil(played.day().length() / NS_PER_SECOND);
+        this.seconds = (int) Math.ceil(result.day().length() / NS_PER_SECOND);
     }
 
     void write() throws IOException {
         outcomes("load", "requests a second", o -> true);
         outcomes("served", "answered within the aim, a second", o -> o.answered()
-                && o.latencyNs() <= played.day().site().classes().get(o.cls()).aim());
+                && o.latencyNs() <= result.day().site().classes().get(o.cls()).aim());
         updates();
         waiting();
     }
 
     private int second(long at) {
-        return (int) Math.floorDiv(at - played.evidence().start(), (long) NS_PER_SECOND);
+        return (int) Math.floorDiv(at - result.evidence().start(), (long) NS_PER_SECOND);
     }
 
     private void outcomes(String name, String axis,
             Predicate<Clients.RequestOutcome> filter) throws IOException {
         Map<String, double[]> series = new TreeMap<>();
-        for (Clients.RequestOutcome o : played.outcomes()) {
+        for (Clients.RequestOutcome o : result.outcomes()) {
             int second = second(o.arrivedAt());
             if (filter.test(o) && second >= 0 && second < seconds) {
-                series.computeIfAbsent(played.day().site().classNames().get(o.cls()),
+                series.computeIfAbsent(result.day().site().classNames().get(o.cls()),
                         c -> new double[seconds])[second]++;
             }
         }
@@ -67,7 +67,7 @@
         double[] versions = new double[seconds];
         Map<String, double[]> levels = new TreeMap<>();
         Map<String, FrameReader> readers = new HashMap<>();
-        for (Evidence.TapEvent tap : played.evidence().tapEvents()) {
+        for (Evidence.TapEvent tap : result.evidence().tapEvents()) {
             FrameReader reader = readers.computeIfAbsent(tap.proxy() + "/" + tap.stream(),
                     k -> new FrameReader(ChannelLimits.defaults()));
             ByteBuffer bytes = ByteBuffer.wrap(tap.bytes());
@@ -92,9 +92,9 @@
         List<Frame.Level> all = order instanceof Frame.Admit a ? List.of(a.level())
                 : order instanceof Frame.Bind b ? b.table().levels() : List.of();
         for (Frame.Level level : all) {
-            for (int c = 0; c < played.classTotals().size(); c++) {
+            for (int c = 0; c < result.classTotals().size(); c++) {
                 if ((level.classMask() >> c & 1) == 1 && level.level() < UNLIMITED_LEVEL) {
-                    double[] lowest = levels.computeIfAbsent(played.day().site().classNames().get(c),
+                    double[] lowest = levels.computeIfAbsent(result.day().site().classNames().get(c),
                             k -> new double[seconds]);
                     lowest[second] = lowest[second] == 0 ? level.level()
                             : Math.min(lowest[second], level.level());
@@ -105,9 +105,9 @@
 
     private void waiting() throws IOException {
         Map<String, double[]> series = new TreeMap<>();
-        for (int rank = 0; rank < played.day().controllerZones().size(); rank++) {
+        for (int rank = 0; rank < result.day().controllerZones().size(); rank++) {
             List<Double> y = new ArrayList<>();
-            for (JsonNode stat : played.stats()) {
+            for (JsonNode stat : result.stats()) {
                 if (stat.get("rank").asInt() == rank) {
                     y.add(stat.get("waiting").asDouble());
                 }
@@ -123,7 +123,7 @@
         if (series.isEmpty()) {
             return;
         }
-        XYChart chart = new XYChartBuilder().width(900).height(400).title(played.day().name() + ": " + name)
+        XYChart chart = new XYChartBuilder().width(900).height(400).title(result.day().name() + ": " + name)
                 .xAxisTitle("seconds").yAxisTitle(axis).build();
         chart.getStyler().setMarkerSize(0);
         series.forEach((label, y) -> {
--- a/src/main/java/rowanmoor/lab/DayRunner.java
+++ b/src/main/java/rowanmoor/lab/DayRunner.java
@@ -138,10 +138,9 @@
             List<com.fasterxml.jackson.databind.JsonNode> stats, List<Outcome.ControllerStats> controllers,
             List<String> faults) throws IOException {
         Evidence evidence = testBed.evidence(end);
-        RuleChecker judge = new RuleChecker(evidence);
-        return new DayResult(day, evidence, judge.verdicts(), testBed.clients().classStats(),
-                testBed.clients().outcomes(),
-                judge.changeLatenciesMs(), testBed.worstColdOverload(), stats, List.copyOf(faults),
-                outcome(day, testBed, controllers));
+        RuleChecker checker = new RuleChecker(evidence);
+        return new DayResult(day, evidence, checker.verdicts(), testBed.clients().classStats(),
+                testBed.clients().outcomes(), checker.changeLatenciesMs(),
+                testBed.worstColdOverload(), stats, List.copyOf(faults), outcome(day, testBed, controllers));
     }
 }
--- a/src/main/java/rowanmoor/lab/Experiment.java
+++ b/src/main/java/rowanmoor/lab/Experiment.java
@@ -27,10 +27,10 @@
 
 /**
  * Runs an experiment over fleets, mixes, troubles, numbers of backends, rates and seeds: a grid, or for each
- * variant a search for the rate at which a goal fails. Runs are played in the emulator on all cores, or live:
+ * variant a search for the rate at which a goal fails. Runs execute in the emulator on all cores, or live:
  * one after the other, with real proxies and controllers on stand-ins. All variants share their seeds (common
- * random numbers), so that differences are due to the variants alone. Results are stored; a rerun plays only
- * what is new.
+ * random numbers), so that differences are due to the variants alone. Results are stored; a rerun executes
+ * only what is new.
  */
 public final class Experiment {
 
@@ -60,10 +60,10 @@
      * The results of an experiment.
      *
      * @param failingRates the rate that each variant's search found; empty without a search
-     * @param played number of runs that were played
+     * @param executed number of runs that were executed, not taken from the store
      * @param cached number of results that were taken from the store
      */
-    public record Grid(String name, List<Cell> cells, Map<Variant, Double> failingRates, int played,
+    public record Grid(String name, List<Cell> cells, Map<Variant, Double> failingRates, int executed,
             int cached) { }
 
     private record Fleet(String name, Path file, byte[] bytes, DayFile day) { }
@@ -193,7 +193,7 @@
                 : mixes.get(v.mix()), v.backends(), v.troubles());
     }
 
-    /** One execution: results found in the store, and runs that are played. */
+    /** One execution: results found in the store, and runs that are executed. */
     private final class Execution {
         private final Path liveDirectory;
         private final Consumer<String> progress;
@@ -321,7 +321,7 @@
     /** Formats the results as a text table. */
     public static String table(Grid grid) {
         StringBuilder text = new StringBuilder(String.format(Locale.ROOT,
-                "%s: %d runs played, %d kept from before%n", grid.name(), grid.played(), grid.cached()));
+                "%s: %d runs played, %d kept from before%n", grid.name(), grid.executed(), grid.cached()));
         text.append(String.format("%-44s %10s %26s %10s %9s %8s%n", "variant", "rate", "service (95%)",
                 "worst 10 s", "busiest", "lines"));
         for (Cell c : grid.cells()) {
--- a/src/main/java/rowanmoor/lab/ForecastVerifier.java
+++ b/src/main/java/rowanmoor/lab/ForecastVerifier.java
@@ -30,7 +30,7 @@
 
 /**
  * Compares the planner's forecasts with runs of real proxies and controllers on stand-ins. All forecasts are
- * made and written to a file, with a hash of each fleet's file, before the first step is played.
+ * made and written to a file, with a hash of each fleet's file, before the first step is run.
  */
 public final class ForecastVerifier {
 
@@ -143,20 +143,20 @@
         int number = 0;
         for (double rate = trial.nextRate(); rate > 0; rate = trial.nextRate()) {
             DayFile day = fleet.day().withoutTroubles(rate, length).seed(fleet.day().seed() + number);
-            DayResult played;
+            DayResult result;
             if (mode == RunMode.SIMULATED) {
-                played = DayRunner.simulate(day);
+                result = DayRunner.simulate(day);
             } else {
                 Path runDirectory = directory.resolve(fleet.day().name().replace(' ', '-') + "-" + number);
                 Files.createDirectories(runDirectory);
-                played = DayRunner.runOnSockets(day, fleet.file(), runDirectory);
+                result = DayRunner.runOnSockets(day, fleet.file(), runDirectory);
             }
             number++;
-            if (!played.faults().isEmpty()) {
-                throw new IOException(fleet.file() + ": " + played.faults().get(0));
+            if (!result.faults().isEmpty()) {
+                throw new IOException(fleet.file() + ": " + result.faults().get(0));
             }
-            Trial.Step step = new Trial.Step(rate, played.outcome().service(), goal.isMet(played.outcome()),
-                    Diagnosis.of(model(day, rate), played.outcome()));
+            Trial.Step step = new Trial.Step(rate, result.outcome().service(), goal.isMet(result.outcome()),
+                    Diagnosis.of(model(day, rate), result.outcome()));
             trial.recordStep(step);
             progress.accept(String.format(Locale.ROOT, "%s: %.1f/s, service %.3f, %s", fleet.day().name(),
                     rate, step.service(), describe(step.findings())));
--- a/src/main/java/rowanmoor/lab/Fuzzer.java
+++ b/src/main/java/rowanmoor/lab/Fuzzer.java
@@ -16,8 +16,8 @@
 import rowanmoor.channel.Frame;
 import rowanmoor.channel.FrameReader;
 import rowanmoor.http.HttpError;
-import rowanmoor.http.MessageLimits;
 import rowanmoor.http.Message;
+import rowanmoor.http.MessageLimits;
 import rowanmoor.kdl.KdlException;
 
 /**
--- a/src/main/java/rowanmoor/lab/RuleChecker.java
+++ b/src/main/java/rowanmoor/lab/RuleChecker.java
@@ -8,12 +8,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import rowanmoor.ControlApi.Availability;
 import rowanmoor.ControlApi.Backend;
 import rowanmoor.ControlApi.Channel;
 import rowanmoor.ControlApi.ClassSpec;
-import rowanmoor.ControlApi.Idempotency;
 import rowanmoor.ControlApi.DedupScope;
-import rowanmoor.ControlApi.Availability;
+import rowanmoor.ControlApi.Idempotency;
 import rowanmoor.ControlApi.Rules;
 import rowanmoor.channel.ChannelException;
 import rowanmoor.channel.ChannelLimits;
@@ -460,8 +460,8 @@
 
     /**
      * Checks the waiting lines: the messages of a controller, by the times at which they were ordered, are
-     * played through a queue that drains at the stated pace. Also checks the pace: over any span no more may
-     * arrive than the pace allows, plus what may be delayed on the way.
+     * run through a simulated queue that drains at the stated pace. Also checks the pace: over any span no
+     * more may arrive than the pace allows, plus what may be delayed on the way.
      */
     private Verdict checkQueue() {
         Map<Long, List<ReceivedMessage>> byEpoch = new TreeMap<>();
--- a/src/main/java/rowanmoor/lab/SoakRun.java
+++ b/src/main/java/rowanmoor/lab/SoakRun.java
@@ -20,15 +20,15 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import rowanmoor.http.MessageLimits;
 import rowanmoor.http.Message;
+import rowanmoor.http.MessageLimits;
 import rowanmoor.http.ServerConnection;
 import rowanmoor.net.Connection;
 import rowanmoor.net.Loop;
 
 /**
  * One seed of a soak test: a real proxy process on loopback is stopped, killed and restarted at the same
- * address while clients keep sending requests; the seed decides when and how. The result is judged by what
+ * address while clients keep sending requests; the seed decides when and how. The result is checked by what
  * clients and backends observed.
  */
 final class SoakRun implements SoakClient.Listener {
--- a/src/main/java/rowanmoor/standin/Link.java
+++ b/src/main/java/rowanmoor/standin/Link.java
@@ -6,11 +6,11 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import rowanmoor.net.WriteLimit;
 import rowanmoor.net.CloseReason;
 import rowanmoor.net.Connection;
 import rowanmoor.net.ConnectionHandler;
 import rowanmoor.net.Loop;
+import rowanmoor.net.WriteLimit;
 
 /**
  * A network link: a TCP relay that can be partitioned. A partition is silent: bytes wait, new connections are
--- a/src/test/java/rowanmoor/lab/BenchDayConverterTest.java
+++ b/src/test/java/rowanmoor/lab/BenchDayConverterTest.java
@@ -51,9 +51,9 @@
                 day.troubles().stream().map(Trouble::kind).toList());
         // Half of (3 x 2 cores x 1.0 + 2 x 4 cores x 0.8), at 0.14 s per request.
         assertEquals(0.5 * (6 + 6.4) / 0.14, day.rate(), 0.1);
-        DayResult played = DayRunner.simulate(day);
-        assertEquals(List.of(), played.faults());
-        assertEquals(true, played.rulesKept(), DayReport.text(played));
+        DayResult result = DayRunner.simulate(day);
+        assertEquals(List.of(), result.faults());
+        assertEquals(true, result.rulesKept(), DayReport.text(result));
     }
 
     @Test
--- a/src/test/java/rowanmoor/lab/DayRunnerTest.java
+++ b/src/test/java/rowanmoor/lab/DayRunnerTest.java
@@ -13,17 +13,17 @@
 class DayRunnerTest {
 
     private static DayResult runAndAssertPassed(DayFile day) throws IOException {
-        DayResult played = DayRunner.simulate(day);
-        assertTrue(played.passed(), DayReport.text(played));
-        return played;
+        DayResult result = DayRunner.simulate(day);
+        assertTrue(result.passed(), DayReport.text(result));
+        return result;
     }
 
     @Test
     void badDayBreaksNoRuleOnThreeSeeds() throws IOException, ConfigException {
         for (long seed = 1; seed <= 3; seed++) {
-            DayResult played = runAndAssertPassed(TestDays.parse(TestDays.sampleText()).seed(seed));
-            assertTrue(played.evidence().ledger().entries().size() > 4000);
-            assertEquals(3, played.evidence().ranksByEpoch().size(), "two controllers, one of them restarted");
+            DayResult result = runAndAssertPassed(TestDays.parse(TestDays.sampleText()).seed(seed));
+            assertTrue(result.evidence().ledger().entries().size() > 4000);
+            assertEquals(3, result.evidence().ranksByEpoch().size(), "two controllers, one of them restarted");
         }
     }
 
@@ -44,63 +44,63 @@
 
     @Test
     void allBackendsCanDrainAtOnce() throws IOException, ConfigException {
-        DayResult played = runAndAssertPassed(TestDays.sampleWithTroubles("16s",
+        DayResult result = runAndAssertPassed(TestDays.sampleWithTroubles("16s",
                 "drain { at \"4s\"; for \"6s\"; zone \"north\"; part 1 }; "
                 + "drain { at \"4s\"; for \"6s\"; zone \"south\"; part 1 }"));
-        long drainedBy = played.evidence().start() + 7_000_000_000L;
-        assertTrue(played.evidence().ledger().entries().stream().noneMatch(e -> e.arrivedAt > drainedBy
+        long drainedBy = result.evidence().start() + 7_000_000_000L;
+        assertTrue(result.evidence().ledger().entries().stream().noneMatch(e -> e.arrivedAt > drainedBy
                 && e.arrivedAt < drainedBy + 2_000_000_000L), "requests were sent to drained backends");
-        assertTrue(played.outcomes().stream().anyMatch(o -> o.answered() && o.arrivedAt() > drainedBy
+        assertTrue(result.outcomes().stream().anyMatch(o -> o.answered() && o.arrivedAt() > drainedBy
                 + 5_000_000_000L), "no request is served after the drain");
     }
 
     @Test
     void emptyRosterAnswerWithdrawsNothing() throws IOException, ConfigException {
-        DayResult played = runAndAssertPassed(TestDays.sampleWithTroubles("10s", "roster-empty { at \"3s\"; size 2 }"));
-        assertTrue(played.evidence().answers().stream().anyMatch(a -> a.instances().isEmpty()));
-        assertTrue(played.service(-1) > 0.97, DayReport.text(played));
+        DayResult result = runAndAssertPassed(TestDays.sampleWithTroubles("10s", "roster-empty { at \"3s\"; size 2 }"));
+        assertTrue(result.evidence().answers().stream().anyMatch(a -> a.instances().isEmpty()));
+        assertTrue(result.service(-1) > 0.97, DayReport.text(result));
     }
 
     @Test
     void proxiesContinueWhenControllersAreKilledInTheMiddleOfAChange() throws IOException, ConfigException {
         // A change at the moment of the kill: only some of the proxies have received its message.
-        DayResult played = runAndAssertPassed(TestDays.sampleWithTroubles("14s",
+        DayResult result = runAndAssertPassed(TestDays.sampleWithTroubles("14s",
                 "drain { at \"4s\"; for \"5s\"; zone \"south\"; part 0.5 }; "
                 + "controller-kill { at \"4.03s\"; for \"2s\"; controller 0 }; "
                 + "controller-kill { at \"4.03s\"; for \"2s\"; controller 1 }"));
-        long drained = played.evidence().start() + 4_000_000_000L;
-        long informed = played.evidence().tapEvents().stream().filter(t -> t.type() == Evidence.TapEventType.READ
+        long drained = result.evidence().start() + 4_000_000_000L;
+        long informed = result.evidence().tapEvents().stream().filter(t -> t.type() == Evidence.TapEventType.READ
                 && t.bytes().length > 60 && t.at() > drained && t.at() < drained + 35_000_000L)
                 .map(Evidence.TapEvent::proxy).distinct().count();
-        assertTrue(informed >= 1 && informed < played.day().proxies(), informed + " proxies had the message");
-        assertTrue(played.service(-1) > 0.9, DayReport.text(played));
-        assertEquals(4, played.evidence().ranksByEpoch().size());
+        assertTrue(informed >= 1 && informed < result.day().proxies(), informed + " proxies had the message");
+        assertTrue(result.service(-1) > 0.9, DayReport.text(result));
+        assertEquals(4, result.evidence().ranksByEpoch().size());
     }
 
     @Test
     void proxiesOfAPausedControllerMoveToTheOther() throws IOException, ConfigException {
-        DayResult played = runAndAssertPassed(TestDays.sampleWithTroubles("16s",
+        DayResult result = runAndAssertPassed(TestDays.sampleWithTroubles("16s",
                 "controller-stall { at \"3s\"; for \"8s\"; controller 0 }; "
                 + "proxies-cut { at \"12s\"; for \"3s\"; part 0.5 }"));
-        assertTrue(played.service(-1) > 0.95, DayReport.text(played));
+        assertTrue(result.service(-1) > 0.95, DayReport.text(result));
     }
 
     @Test
     void slowReaderDoesNotDelayOtherProxies() throws IOException, ConfigException {
-        DayResult played = runAndAssertPassed(TestDays.sampleWithTroubles("14s",
+        DayResult result = runAndAssertPassed(TestDays.sampleWithTroubles("14s",
                 "slow-reader { at \"2s\"; for \"12s\"; part 0.1; size 1 }; "
                 + "drain { at \"6s\"; for \"5s\"; zone \"north\"; part 0.4 }"));
-        assertTrue(played.service(-1) > 0.95, DayReport.text(played));
+        assertTrue(result.service(-1) > 0.95, DayReport.text(result));
     }
 
     @Test
     void otherKindsOfTroubleKeepAllRules() throws IOException, ConfigException {
-        DayResult played = DayRunner.simulate(TestDays.sampleWithTroubles("12s", String.join("; ", List.of(
+        DayResult result = DayRunner.simulate(TestDays.sampleWithTroubles("12s", String.join("; ", List.of(
                 "zone-loss { at \"1s\"; for \"3s\"; zone \"south\" }", "pauses { at \"1s\"; for \"3s\"; part 0.3; size 200 }",
                 "answers-lost { at \"2s\"; for \"3s\"; part 0.2; size 0.5 }", "burst { at \"5s\"; for \"2s\"; size 1.2 }",
                 "false-reports { at \"2s\"; for \"3s\"; part 0.2; size 0.1 }",
                 "fast-errors { at \"2s\"; for \"3s\"; part 0.2; size 0.5 }", "slow { at \"2s\"; for \"3s\"; part 0.2; size 3 }",
                 "roster-down { at \"5s\"; for \"2s\" }"))));
-        assertTrue(played.rulesKept() && played.faults().isEmpty(), DayReport.text(played));
+        assertTrue(result.rulesKept() && result.faults().isEmpty(), DayReport.text(result));
     }
 }
--- a/src/test/java/rowanmoor/lab/ExperimentTest.java
+++ b/src/test/java/rowanmoor/lab/ExperimentTest.java
@@ -30,12 +30,12 @@
     void rerunPlaysOnlyNewRunsAndGivesTheSameResults() throws IOException, ConfigException {
         Path store = dir.resolve("r.mv");
         Experiment.Grid first = Experiment.read(file("\"50/s\" \"600/s\"")).run(store, line -> { });
-        assertEquals(8, first.played());
+        assertEquals(8, first.executed());
         Experiment.Grid again = Experiment.read(file("\"50/s\" \"600/s\"")).run(store, line -> { });
-        assertEquals(0, again.played());
+        assertEquals(0, again.executed());
         assertEquals(first.cells(), again.cells());
         Experiment.Grid more = Experiment.read(file("\"50/s\" \"100/s\" \"600/s\"")).run(store, line -> { });
-        assertEquals(4, more.played());
+        assertEquals(4, more.executed());
         assertEquals(8, more.cached());
         double lowLoad = more.cells().get(0).interval(Experiment.Result::service).mean();
         double overloaded = more.cells().get(2).interval(Experiment.Result::service).mean();
@@ -65,7 +65,7 @@
         double[] found = grid.failingRates().values().stream().mapToDouble(v -> v).toArray();
         assertEquals(2, found.length);
         assertTrue(found[0] > 200 && found[1] > 1.5 * found[0] && found[1] < 2000, Experiment.table(grid));
-        assertEquals(0, Experiment.read(file).run(store, line -> { }).played());
+        assertEquals(0, Experiment.read(file).run(store, line -> { }).executed());
         Experiment.write(grid, dir.resolve("out"));
         assertTrue(Files.readString(dir.resolve("out/experiment.csv")).contains("\"a, b\""));
         Files.writeString(file, "experiment \"s\" { fleet \"day.kdl\"; rates \"5/s\"; troubles \"some\"; "
--- a/src/test/java/rowanmoor/lab/HistoriesTest.java
+++ b/src/test/java/rowanmoor/lab/HistoriesTest.java
@@ -44,10 +44,10 @@
                 new AssertionError("there is no rule " + rule));
     }
 
-    private static void assertAccepted(DayResult played, List<String> exercisedRules) {
-        assertTrue(played.passed(), () -> DayReport.text(played));
+    private static void assertAccepted(DayResult result, List<String> exercisedRules) {
+        assertTrue(result.passed(), () -> DayReport.text(result));
         for (String rule : exercisedRules) {
-            assertTrue(verdict(rule, played.verdicts()).met() > 0, () -> played.day().name() + ": " + rule
+            assertTrue(verdict(rule, result.verdicts()).met() > 0, () -> result.day().name() + ": " + rule
                     + " was never exercised");
         }
     }
