--- a/src/main/java/rowanmoor/cli/Commands.java
+++ b/src/main/java/rowanmoor/cli/Commands.java
@@ -296,7 +296,7 @@
         boolean passed = new SoakRunner(directory, line -> {
             out().println(line);
             out().flush();
-        }).play(Long.parseLong(ends[0]), Long.parseLong(ends[1]), lanes);
+        }).run(Long.parseLong(ends[0]), Long.parseLong(ends[1]), lanes);
         return passed ? 0 : 1;
     }
 
--- a/src/main/java/rowanmoor/emulator/Emulator.java
+++ b/src/main/java/rowanmoor/emulator/Emulator.java
@@ -25,7 +25,7 @@
  */
 public final class Emulator {
 
-    // Kinds of events.
+    // Kinds of events. The two arguments of an event depend on its kind; see dispatch.
     private static final int ARRIVAL = 0;
     private static final int AT_PROXY = 1;
     private static final int AT_BACKEND = 2;
@@ -59,6 +59,7 @@
     private static final long IDLE_CONNECTION_TIMEOUT_NS = 15_000 * NS_PER_MS;
     /** With more proxy-backend pairs, connections are not tracked and their limits do not apply. */
     private static final int MAX_CONNECTION_PAIRS = 8_000_000;
+    /** Time after the end of the load within which the remaining requests may end. */
     private static final long MAX_TAIL_NS = 30_000 * NS_PER_MS;
 
     private final Model model;
@@ -86,8 +87,10 @@
     private final double[] meanLatencyMs;
     private final double[] errorFraction;
     private final double[] cumulativeProxyWeights;
+    // The peak is the time from the end of the ramp-up to the end of the load.
     private final double[] busySecondsAtPeakStart;
     private long peakStartedAt;
+    // Objects that events refer to by index, such as frames in transit.
     private final List<Object> payloads = new ArrayList<>();
     private final List<Integer> freePayloads = new ArrayList<>();
     private final Outcome outcome;
@@ -98,6 +101,7 @@
     private double burstFactor = 1;
     private long lastEpoch;
     private long rosterVersion = 1;
+    // Sum over all jobs of the time that each spent at its backend, queued or running.
     private double totalStaySeconds;
     private long eventCount;
 
@@ -237,6 +241,7 @@
         return START_NS + model.settleNs();
     }
 
+    /** Draws a proxy's backends until it receives a table; from its own zone if that has three. */
     private List<Backend> standingTable(int zone, SplittableRandom random) {
         List<Backend> own = new ArrayList<>();
         for (int b = 0; b < backends.length; b++) {
@@ -272,6 +277,7 @@
         for (int c = 0; c < drivers.length; c++) {
             collectControllerStats(c);
         }
+        // The integral of held requests over time and the sum of stays must agree (Little's law).
         double littlesLawError = totalStaySeconds == 0 ? 0
                 : Math.abs(heldSeconds - totalStaySeconds) / totalStaySeconds;
         return new Outcome(outcome.classes(), outcome.backends(), outcome.controllers(), goodWorth,
@@ -285,8 +291,8 @@
         for (int b = 0; b < servers.length; b++) {
             double busy = servers[b].busySeconds(now);
             if (end) {
-                outcome.backends().get(b).utilization = (busy - busySecondsAtPeakStart[b]) / servers[b].spec()
-                        .cores()
+                outcome.backends().get(b).utilization = (busy - busySecondsAtPeakStart[b])
+                        / servers[b].spec().cores()
                         / Math.max(1e-9, (now - peakStartedAt) / NS_PER_SECOND);
             } else {
                 busySecondsAtPeakStart[b] = busy;
@@ -345,6 +351,7 @@
         eventQueue.add(now + Math.max(1, (long) wait), ARRIVAL, 0, 0);
     }
 
+    /** The second of the load that a time falls in, at most the last. */
     private int secondOf(long time) {
         return (int) Math.min(offeredWorth.length - 1, (time - loadStart()) / 1_000_000_000L);
     }
@@ -370,6 +377,7 @@
         return Math.min(cumulativeProxyWeights.length - 1, index < 0 ? -index - 1 : index + 1);
     }
 
+    /** Draws a request's work in seconds; the coefficient of variation selects the distribution. */
     private double drawWork(int cls) {
         double mean = model.workSeconds()[cls];
         double cv = model.workCv()[cls];
@@ -538,6 +546,7 @@
         eventQueue.add(now + drawDelay(p, b), AT_BACKEND, request, currentTryId);
     }
 
+    /** The backends of the first and of the latest failed try, which the next pick avoids. */
     private Set<Backend> tried(int request) {
         int first = firstTried[request];
         int last = lastTried[request];
@@ -800,6 +809,7 @@
         freeJobs[freeJobCount++] = job;
     }
 
+    /** A backend's load figures by the site's columns; its utilization is sampled at most every 300 ms. */
     private List<Double> loadFigures(int b) {
         SimulatedBackend server = servers[b];
         if (now - utilizationSampledAt[b] > 300 * NS_PER_MS) {
@@ -1057,6 +1067,7 @@
         }
     }
 
+    /** Ends a proxy's stream; after the delay and a redial delay, it connects to controller {@code next}. */
     private void breakStream(int p, int next, long delay) {
         int rank = controllerOf[p];
         controllerOf[p] = -1;
--- a/src/main/java/rowanmoor/lab/Experiment.java
+++ b/src/main/java/rowanmoor/lab/Experiment.java
@@ -197,7 +197,7 @@
     private final class Execution {
         private final Path liveDirectory;
         private final Consumer<String> progress;
-        private final AtomicInteger played = new AtomicInteger();
+        private final AtomicInteger executed = new AtomicInteger();
         private final AtomicInteger cached = new AtomicInteger();
         private ResultStore store;
 
@@ -218,7 +218,7 @@
                         found.put(variant, search(variant, cells));
                     }
                 }
-                return new Grid(name, List.copyOf(cells), found, played.get(), cached.get());
+                return new Grid(name, List.copyOf(cells), found, executed.get(), cached.get());
             } catch (UncheckedIOException e) {
                 throw e.getCause();
             }
@@ -230,7 +230,7 @@
                 List<Double> variantRates = rates.isEmpty() ? List.of(fleet(variant).day().rate()) : rates;
                 variantRates.forEach(rate -> all.addAll(runs(variant, rate)));
             }
-            List<Result> results = play(all);
+            List<Result> results = executeRuns(all);
             for (int i = 0; i < all.size(); i += seeds) {
                 cells.add(new Cell(all.get(i).variant(), all.get(i).rate(), results.subList(i, i + seeds)));
             }
@@ -239,7 +239,7 @@
         private double search(Variant variant, List<Cell> cells) throws IOException {
             Bisection bisection = new Bisection(search.from(), search.to(), search.within());
             for (double rate = bisection.nextRate(); rate > 0; rate = bisection.nextRate()) {
-                Cell cell = new Cell(variant, rate, play(runs(variant, rate)));
+                Cell cell = new Cell(variant, rate, executeRuns(runs(variant, rate)));
                 cells.add(cell);
                 bisection.recordResult(rate, cell.interval(Result::service).mean() >= search.service());
             }
@@ -254,7 +254,7 @@
                     store.key(fleet.bytes(), text, seed))).toList();
         }
 
-        private List<Result> play(List<Run> runs) throws IOException {
+        private List<Result> executeRuns(List<Run> runs) throws IOException {
             Map<String, Result> results = new TreeMap<>();
             List<Run> missing = new ArrayList<>();
             for (Run run : runs) {
@@ -281,7 +281,7 @@
             for (int i = 0; i < missing.size(); i++) {
                 results.put(missing.get(i).key(), fresh.get(i));
             }
-            played.addAndGet(missing.size());
+            executed.addAndGet(missing.size());
             return runs.stream().map(run -> results.get(run.key())).toList();
         }
 
--- a/src/main/java/rowanmoor/lab/ForecastVerifier.java
+++ b/src/main/java/rowanmoor/lab/ForecastVerifier.java
@@ -105,14 +105,14 @@
             progress.accept("forecast: " + describe(trials.get(trials.size() - 1).forecast()));
         }
         Files.writeString(directory.resolve("forecasts.json"), forecasts(fleets, trials));
-        ExecutorService players = Executors.newFixedThreadPool(parallelism);
+        ExecutorService executor = Executors.newFixedThreadPool(parallelism);
         try {
             List<Future<?>> futures = new ArrayList<>();
             for (int f = 0; f < fleets.size(); f++) {
                 Fleet fleet = fleets.get(f);
                 Trial trial = trials.get(f);
-                futures.add(players.submit(() -> {
-                    playSteps(fleet, trial);
+                futures.add(executor.submit(() -> {
+                    runSteps(fleet, trial);
                     return null;
                 }));
             }
@@ -122,7 +122,7 @@
         } catch (ExecutionException e) {
             throw new IOException("a step could not be run: " + e.getCause(), e.getCause());
         } finally {
-            players.shutdownNow();
+            executor.shutdownNow();
         }
         Files.writeString(directory.resolve("verified.json"), results(trials));
         return trials;
@@ -139,7 +139,7 @@
         return new Trial.Forecast(day.name(), breaks.rate(), breaks.findings());
     }
 
-    private void playSteps(Fleet fleet, Trial trial) throws IOException, InterruptedException {
+    private void runSteps(Fleet fleet, Trial trial) throws IOException, InterruptedException {
         int number = 0;
         for (double rate = trial.nextRate(); rate > 0; rate = trial.nextRate()) {
             DayFile day = fleet.day().withoutTroubles(rate, length).seed(fleet.day().seed() + number);
--- a/src/main/java/rowanmoor/lab/SoakRun.java
+++ b/src/main/java/rowanmoor/lab/SoakRun.java
@@ -113,7 +113,7 @@
     }
 
     /** Runs the seed; everything that it has started is stopped when it returns. */
-    Result play() throws IOException, InterruptedException {
+    Result run() throws IOException, InterruptedException {
         Loop loop = Loop.onSockets(cause -> lostRequests.add("exception in a stand-in: " + cause));
         List<InetSocketAddress> backends = new ArrayList<>();
         for (int i = 0; i < BACKENDS; i++) {
@@ -122,7 +122,7 @@
         Thread standIns = new Thread(loop, "soak-backends-" + seed);
         standIns.start();
         try {
-            playRounds(backends);
+            runRounds(backends);
         } finally {
             clientsRunning = false;
             loop.stop();
@@ -148,7 +148,7 @@
                 c -> new ServerConnection(MessageLimits.defaults(), service)).address();
     }
 
-    private void playRounds(List<InetSocketAddress> backends) throws IOException, InterruptedException {
+    private void runRounds(List<InetSocketAddress> backends) throws IOException, InterruptedException {
         ChildProcess proxy = startProxy(backends);
         List<Thread> clients = new ArrayList<>();
         try {
--- a/src/main/java/rowanmoor/lab/SoakRunner.java
+++ b/src/main/java/rowanmoor/lab/SoakRunner.java
@@ -27,16 +27,16 @@
     }
 
     /** Runs the seeds from first to last, both included; returns whether all passed. */
-    public boolean play(long first, long last, int lanes) throws InterruptedException {
-        return play(first, last, lanes, SoakRun.StopMode.STOP);
+    public boolean run(long first, long last, int lanes) throws InterruptedException {
+        return run(first, last, lanes, SoakRun.StopMode.STOP);
     }
 
-    boolean play(long first, long last, int lanes, SoakRun.StopMode stopMode) throws InterruptedException {
+    boolean run(long first, long last, int lanes, SoakRun.StopMode stopMode) throws InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(lanes);
         List<Future<SoakRun.Result>> runs = new ArrayList<>();
         for (long seed = first; seed <= last; seed++) {
             SoakRun run = new SoakRun(seed, directory, stopMode);
-            runs.add(pool.submit(run::play));
+            runs.add(pool.submit(run::run));
         }
         pool.shutdown();
         List<Long> startups = new ArrayList<>();
--- a/src/main/java/rowanmoor/lab/TestBed.java
+++ b/src/main/java/rowanmoor/lab/TestBed.java
@@ -41,6 +41,7 @@
     private static final long NS_PER_MS = 1_000_000L;
     private static final long NS_PER_SECOND = 1000 * NS_PER_MS;
     private static final long PAUSE_INTERVAL_NS = NS_PER_SECOND;
+    /** The third octet of the local addresses of proxies in the first zone; see {@link #zoneAddress}. */
     private static final int FIRST_ZONE_OCTET = 10;
 
     private final DayFile day;
@@ -52,12 +53,15 @@
     private final Ledger ledger = new Ledger();
     private final List<BackendServer> backends = new ArrayList<>();
     private final Map<Backend, Evidence.Placement> placements = new TreeMap<>();
+    /** By proxy, its links to each controller, by rank. */
     private final List<List<Link>> links = new ArrayList<>();
     private final List<InetSocketAddress> proxyAddresses;
     private final List<Integer> proxyZones = new ArrayList<>();
     private final List<List<Backend>> standingTables = new ArrayList<>();
     private final Map<Long, Integer> ranksByEpoch = new ConcurrentHashMap<>();
+    /** Each proxy's share of the load, in thousandths of the median proxy's. */
     private final long[] proxyWeightsMilli;
+    /** The time at which the load begins; troubles are timed from it. */
     private final long start;
     private final List<Outcome.BackendStats> backendTotals = new ArrayList<>();
     private long peakStart;
@@ -88,6 +92,7 @@
         buildClients();
     }
 
+    /** A generator for one purpose, so that a change in what one draws leaves the others as they are. */
     private SplittableRandom random(long purpose) {
         return new SplittableRandom(day.seed() * 1_000_003 + purpose);
     }
@@ -173,11 +178,9 @@
 
     private void buildClients() {
         double[] weights = java.util.Arrays.stream(proxyWeightsMilli).asDoubleStream().toArray();
-        List<Clients.Arrival> arrivals =
-                Clients.drawArrivals(random(5), day.length(), day.rateAt(), day.shares(),
-                day.work(), weights);
-        clients = new Clients(clientLoop, day.site(), proxyAddresses, arrivals,
-                day.habits(), start);
+        List<Clients.Arrival> arrivals = Clients.drawArrivals(random(5), day.length(), day.rateAt(),
+                day.shares(), day.work(), weights);
+        clients = new Clients(clientLoop, day.site(), proxyAddresses, arrivals, day.habits(), start);
     }
 
     /** Measures the utilization of the cores from the end of the ramp-up to the end of the load. */
@@ -195,16 +198,16 @@
 
     /** Each backend's totals, in the order of the day's groups; call it after the loops have ended. */
     List<Outcome.BackendStats> backendTotals() {
-        Map<Backend, Outcome.BackendStats> by = new TreeMap<>();
+        Map<Backend, Outcome.BackendStats> totalsByBackend = new TreeMap<>();
         for (int b = 0; b < backends.size(); b++) {
             backendTotals.get(b).refusedConnections = backends.get(b).refusedConnections();
-            by.put(backends.get(b).backend(), backendTotals.get(b));
+            totalsByBackend.put(backends.get(b).backend(), backendTotals.get(b));
         }
         for (Ledger.Entry entry : ledger.entries()) {
             if (entry.end == Ledger.End.SERVED) {
-                by.get(entry.backend).served++;
+                totalsByBackend.get(entry.backend).served++;
             } else if (entry.end == Ledger.End.FULL) {
-                by.get(entry.backend).rejectedFull++;
+                totalsByBackend.get(entry.backend).rejectedFull++;
             }
         }
         return backendTotals;
@@ -285,6 +288,7 @@
         }
     }
 
+    /** Draws a fraction of a list, at least one element. */
     private <T> List<T> sample(List<T> all, double part) {
         List<T> shuffled = new ArrayList<>(all);
         Collections.shuffle(shuffled, new Random(troubleRandom.nextLong()));
@@ -310,6 +314,7 @@
         scheduleEnd(t, () -> affected.forEach(off));
     }
 
+    /** Stalls a backend again and again until the end of the trouble, whose size is the stall in ms. */
     private void pause(Trouble t, BackendServer backend) {
         if (mainLoop.now() < start + t.end()) {
             backend.setStalled(true);
@@ -408,8 +413,7 @@
         List<Evidence.TapEvent> taps = new ArrayList<>(proxyHost.tapEvents());
         taps.sort(Comparator.comparingLong(Evidence.TapEvent::at));
         return new Evidence(day.site(), start, end, placements, standingTables, taps,
-                new HashMap<>(ranksByEpoch), ledger,
-                roster.answers());
+                new HashMap<>(ranksByEpoch), ledger, roster.answers());
     }
 
     /** The largest multiple of its capacity that was sent to a cold backend over an overload span. */
--- a/src/test/java/rowanmoor/lab/SoakRunnerTest.java
+++ b/src/test/java/rowanmoor/lab/SoakRunnerTest.java
@@ -18,14 +18,14 @@
     @Test
     void noRequestIsLostWhileProxiesRestart() throws InterruptedException {
         List<String> lines = new ArrayList<>();
-        assertTrue(new SoakRunner(directory, lines::add).play(1, 3, 2), lines::toString);
+        assertTrue(new SoakRunner(directory, lines::add).run(1, 3, 2), lines::toString);
     }
 
     /** A process that was asked to stop is killed, with requests that it has read and not answered. */
     @Test
     void processKilledInsteadOfStoppedIsDetected() throws InterruptedException {
         List<String> lines = new ArrayList<>();
-        assertFalse(new SoakRunner(directory, lines::add).play(3, 3, 1, SoakRun.StopMode.KILL_INSTEAD_OF_STOP), lines::toString);
+        assertFalse(new SoakRunner(directory, lines::add).run(3, 3, 1, SoakRun.StopMode.KILL_INSTEAD_OF_STOP), lines::toString);
         assertTrue(lines.stream().anyMatch(line -> line.contains("never answered")), lines::toString);
         assertTrue(lines.stream().anyMatch(line -> line.contains("--seeds 3..3")), lines::toString);
     }
