--- a/src/main/java/rowanmoor/channel/Codec.java
+++ b/src/main/java/rowanmoor/channel/Codec.java
@@ -211,11 +211,12 @@
             FrameParser in = new FrameParser(bytes, limits);
             Frame frame = in.frame();
             if (bytes.hasRemaining()) {
-                throw new ChannelException("frame has " + bytes.remaining() + " trailing bytes");
+                throw new ChannelException("a frame has " + bytes.remaining()
+                        + " bytes after its last field");
             }
             return frame;
         } catch (BufferUnderflowException e) {
-            throw new ChannelException("frame truncated");
+            throw new ChannelException("a frame ends within its fields");
         }
     }
 
@@ -255,13 +256,13 @@
                 case RESYNC:
                     return new Frame.Resync(u64(), u64());
                 default:
-                    throw new ChannelException("unknown frame type " + type);
+                    throw new ChannelException("a frame of unknown type " + type);
             }
         }
 
         private Frame hello() throws ChannelException {
             if (u32() != MAGIC) {
-                throw new ChannelException("hello without the protocol's magic number");
+                throw new ChannelException("a hello without the protocol's mark");
             }
             int protocol = u16();
             if (protocol < Frame.MIN_PROTOCOL_VERSION || protocol > Frame.PROTOCOL_VERSION) {
@@ -271,7 +272,7 @@
             }
             int proxy = u16();
             if (proxy == ControlApi.ALL_TABLES) {
-                throw new ChannelException("proxy number out of range: " + proxy);
+                throw new ChannelException("a proxy's number is out of range: " + proxy);
             }
             return new Frame.Hello(protocol, proxy, u64(), u16(), nonNegativeDouble("rate"), flag(),
                     u64(), u64(), text());
@@ -280,7 +281,7 @@
         private long version() throws ChannelException {
             long version = u64();
             if (version < 0) {
-                throw new ChannelException("version out of range: " + version);
+                throw new ChannelException("a version is out of range");
             }
             return version;
         }
@@ -292,7 +293,7 @@
         private long reportNumber() throws ChannelException {
             long number = u64();
             if (number < 1) {
-                throw new ChannelException("report number out of range: " + number);
+                throw new ChannelException("a report's number is out of range: " + number);
             }
             return number;
         }
@@ -304,10 +305,10 @@
             long latencySumNs = durationNs();
             long spanNs = durationNs();
             if (failed > tries) {
-                throw new ChannelException("tally has more failures than tries");
+                throw new ChannelException("a tally has more failures than tries");
             }
             if (latencySumNs / MAX_TRY_LATENCY_NS > tries - failed) {
-                throw new ChannelException("tally latency sum exceeds one day per successful try");
+                throw new ChannelException("a tally has latencies beyond a day a try");
             }
             int count = u8();
             List<Double> load = new ArrayList<>(Math.min(count, 8));
@@ -337,7 +338,7 @@
                 case ORDER_MARK:
                     return new Frame.Mark(u16());
                 default:
-                    throw new ChannelException("unknown order kind " + kind);
+                    throw new ChannelException("an order of unknown kind " + kind);
             }
         }
 
@@ -351,14 +352,14 @@
 
         private Frame.Level level() throws ChannelException {
             return new Frame.Level(u16(), nonNegativeDouble("level"),
-                    enumValue(RetryPolicy.values(), "retry policy"));
+                    enumValue(RetryPolicy.values(), "way of trying again"));
         }
 
         /** Checks a list's count before reading it: a forged count cannot cause a large allocation. */
         private <T> List<T> list(ItemParser<T> itemParser, int minItemBytes) throws ChannelException {
             int count = u16();
             if (count > limits.maxListEntries() || (long) count * minItemBytes > bytes.remaining()) {
-                throw new ChannelException("list of " + count + " entries exceeds the limit or its frame");
+                throw new ChannelException("a list of " + count + " entries is over the limit or its frame");
             }
             List<T> items = new ArrayList<>(count);
             for (int i = 0; i < count; i++) {
@@ -374,7 +375,7 @@
         private <T> T enumValue(T[] values, String field) throws ChannelException {
             int index = u8();
             if (index >= values.length) {
-                throw new ChannelException("unknown " + field + ": " + index);
+                throw new ChannelException("an unknown " + field + ": " + index);
             }
             return values[index];
         }
@@ -382,7 +383,7 @@
         private double nonNegativeDouble(String field) throws ChannelException {
             double value = bytes.getDouble();
             if (!(value >= 0 && value <= MAX_DOUBLE_VALUE)) {
-                throw new ChannelException(field + " out of range: " + value);
+                throw new ChannelException("a " + field + " is out of range: " + value);
             }
             return value;
         }
@@ -390,7 +391,7 @@
         private long durationNs() throws ChannelException {
             long value = u64();
             if (value < 0) {
-                throw new ChannelException("duration out of range: " + value);
+                throw new ChannelException("a time is out of range");
             }
             return value;
         }
@@ -398,7 +399,7 @@
         private boolean flag() throws ChannelException {
             int value = u8();
             if (value > 1) {
-                throw new ChannelException("flag is neither 0 nor 1: " + value);
+                throw new ChannelException("a flag is neither 0 nor 1: " + value);
             }
             return value == 1;
         }
@@ -406,14 +407,14 @@
         private String text() throws ChannelException {
             int count = u16();
             if (count > limits.maxTextBytes() || count > bytes.remaining()) {
-                throw new ChannelException("text of " + count + " bytes exceeds the limit or its frame");
+                throw new ChannelException("a text of " + count + " bytes is over the limit or its frame");
             }
             ByteBuffer data = bytes.slice(bytes.position(), count);
             bytes.position(bytes.position() + count);
             try {
                 return StandardCharsets.UTF_8.newDecoder().decode(data).toString();
             } catch (CharacterCodingException e) {
-                throw new ChannelException("text is not valid UTF-8");
+                throw new ChannelException("a text is not UTF-8");
             }
         }
 
--- a/src/main/java/rowanmoor/channel/FrameReader.java
+++ b/src/main/java/rowanmoor/channel/FrameReader.java
@@ -33,7 +33,7 @@
      */
     public Frame next(ByteBuffer bytes) throws ChannelException {
         if (failed) {
-            throw new ChannelException("frame boundary lost after an earlier error");
+            throw new ChannelException("the stream is no longer framed");
         }
         if (frameLength < 0) {
             fillBuffer(bytes, LENGTH_PREFIX_BYTES);
@@ -43,7 +43,7 @@
             long declaredLength = buffer.getInt(0) & 0xffffffffL;
             if (declaredLength < 1 || declaredLength > limits.maxFrameBytes()) {
                 failed = true;
-                throw new ChannelException("frame length out of range: " + declaredLength + " bytes");
+                throw new ChannelException("a frame of " + declaredLength + " bytes");
             }
             frameLength = (int) declaredLength;
             buffer.clear();
--- a/src/main/java/rowanmoor/controller/Controller.java
+++ b/src/main/java/rowanmoor/controller/Controller.java
@@ -129,8 +129,8 @@
     public Frame.Goodbye onHello(ProxyStream stream, Frame.Hello hello) {
         if (hello.protocolVersion() < Frame.MIN_PROTOCOL_VERSION
                 || hello.protocolVersion() > Frame.PROTOCOL_VERSION) {
-            return new Frame.Goodbye(Frame.Reason.VERSION, "supported protocol versions are "
-                    + Frame.MIN_PROTOCOL_VERSION + " to " + Frame.PROTOCOL_VERSION + ", got "
+            return new Frame.Goodbye(Frame.Reason.VERSION, "this side speaks versions "
+                    + Frame.MIN_PROTOCOL_VERSION + " to " + Frame.PROTOCOL_VERSION + ", not "
                     + hello.protocolVersion());
         }
         if (hello.zone() >= config.site().zones().size()) {
@@ -140,11 +140,11 @@
         if (existing != null && existing.hello().incarnation() != hello.incarnation()) {
             // Two processes claim the same number. The existing stream stays: if its process is dead, the
             // idle timeout ends the stream and the new process succeeds when it connects again.
-            return new Frame.Goodbye(Frame.Reason.ID_IN_USE, "proxy number " + hello.proxy()
-                    + " is in use by " + existing.connection().remote());
+            return new Frame.Goodbye(Frame.Reason.ID_IN_USE, "proxy " + hello.proxy()
+                    + " is joined from " + existing.connection().remote());
         }
         if (existing != null) {
-            existing.end(Frame.Reason.MOVING, "replaced by a newer stream of the same proxy process");
+            existing.end(Frame.Reason.MOVING, "the same proxy has joined again");
         }
         streams.put(hello.proxy(), stream);
         reportReceiver.streamOpened(hello.proxy(), hello.incarnation());
@@ -180,7 +180,7 @@
         int proxy = stream.hello().proxy();
         ReportReceiver.Verdict verdict = reportReceiver.receive(proxy, numbered.number());
         if (verdict == ReportReceiver.Verdict.GAP) {
-            stream.end(Frame.Reason.PROTOCOL, "gap in report numbers: got " + numbered.number() + " after "
+            stream.end(Frame.Reason.PROTOCOL, "report " + numbered.number() + " does not follow on "
                     + reportReceiver.lastAccepted(proxy));
             return;
         }
@@ -295,7 +295,7 @@
     public void stop() {
         listener.close();
         List.copyOf(streams.values()).forEach(s ->
-                s.end(Frame.Reason.STOPPING, "controller is shutting down"));
+                s.end(Frame.Reason.STOPPING, "the controller stops"));
     }
 
     /** Closes the trace and capture files; must be called after the event loop has ended. */
--- a/src/main/java/rowanmoor/controller/ProxyStream.java
+++ b/src/main/java/rowanmoor/controller/ProxyStream.java
@@ -67,7 +67,7 @@
     @Override
     public void onOpen(Connection newConnection) {
         connection = newConnection;
-        timer = loop.after(helloTimeoutNs, () -> end(Frame.Reason.SILENT, "no hello within the time limit"));
+        timer = loop.after(helloTimeoutNs, () -> end(Frame.Reason.SILENT, "no hello in time"));
     }
 
     @Override
@@ -87,7 +87,7 @@
     private void onFrame(Frame frame) {
         if (hello == null) {
             if (!(frame instanceof Frame.Hello first)) {
-                end(Frame.Reason.PROTOCOL, "first frame is not a hello");
+                end(Frame.Reason.PROTOCOL, "the first frame is not a hello");
                 return;
             }
             onHello(first);
@@ -100,7 +100,7 @@
                 || frame instanceof Frame.NumberedReport || frame instanceof Frame.Resync) {
             owner.onFrame(this, frame);
         } else if (!(frame instanceof Frame.Pong)) {
-            end(Frame.Reason.PROTOCOL, "frame not allowed from a proxy: "
+            end(Frame.Reason.PROTOCOL, "a frame that a proxy may not send: "
                     + frame.getClass().getSimpleName());
         }
     }
--- a/src/main/java/rowanmoor/resp/RespReader.java
+++ b/src/main/java/rowanmoor/resp/RespReader.java
@@ -81,8 +81,7 @@
         switch (step) {
             case TYPE -> {
                 if (b != (expectArray ? '*' : '$')) {
-                    throw fail(expectArray ? "not an array of bulk strings"
-                            : "array element is not a bulk string");
+                    throw fail(expectArray ? "no array of bulk strings" : "a part is no bulk string");
                 }
                 digits = 0;
                 length = 0;
@@ -92,7 +91,7 @@
                 if (b == '\r' && digits > 0) {
                     step = Step.LENGTH_END;
                 } else if (b < '0' || b > '9' || ++digits > MAX_LENGTH_DIGITS) {
-                    throw fail("length is not a number or has more than " + MAX_LENGTH_DIGITS + " digits");
+                    throw fail("a length is no number, or impossible");
                 } else {
                     length = length * 10 + b - '0';
                 }
@@ -111,7 +110,7 @@
                 step = Step.TYPE;
                 return --partsLeft == 0;
             }
-            default -> throw fail("the stream has failed before");
+            default -> throw fail("already unreadable");
         }
         return false;
     }
@@ -119,7 +118,7 @@
     private void onLength() throws RespException {
         if (expectArray) {
             if (length < 1 || length > maxParts) {
-                throw fail("array of " + length + " elements, allowed are 1 to " + maxParts);
+                throw fail("an array of " + length + " parts");
             }
             partsLeft = length;
             expectArray = false;
@@ -127,7 +126,7 @@
             return;
         }
         if (length > maxMessageBytes - messageBytes) {
-            throw fail("message of more than " + maxMessageBytes + " bytes");
+            throw fail("a message of more than " + maxMessageBytes + " bytes");
         }
         partBytes = 0;
         if (part.length > 16 * INITIAL_PART_BYTES) {
@@ -150,13 +149,13 @@
     private void countBytes(int bytes) throws RespException {
         messageBytes += bytes;
         if (messageBytes > maxMessageBytes) {
-            throw fail("message of more than " + maxMessageBytes + " bytes");
+            throw fail("a message of more than " + maxMessageBytes + " bytes");
         }
     }
 
     private void expect(byte b, char wanted) throws RespException {
         if (b != wanted) {
-            throw fail("line or bulk string does not end with CR LF");
+            throw fail("a line or a part does not end where it should");
         }
     }
 
--- a/src/test/java/rowanmoor/channel/CodecTest.java
+++ b/src/test/java/rowanmoor/channel/CodecTest.java
@@ -139,8 +139,7 @@
                     assertTrue(reader.next(bytes) instanceof Frame.Report);
                 } else {
                     ChannelException e = assertThrows(ChannelException.class, () -> reader.next(bytes));
-                    assertTrue(e.getMessage().contains("tally latency sum exceeds one day per successful try"),
-                            e.getMessage());
+                    assertTrue(e.getMessage().contains("beyond a day a try"), e.getMessage());
                 }
             }
         }
