--- a/src/main/java/rowanmoor/lab/ForecastVerifier.java
+++ b/src/main/java/rowanmoor/lab/ForecastVerifier.java
@@ -1,5 +1,7 @@
 package rowanmoor.lab;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
+import com.fasterxml.jackson.annotation.JsonPropertyOrder;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -27,43 +29,70 @@
 import rowanmoor.plan.Trial;
 
 /**
- * Holds the planner's forecasts against stand-ins, proxies and controllers that run. All forecasts are made
- * and written down, with a hash of each fleet's file, before the first step is played.
+ * Compares the planner's forecasts with runs of real proxies and controllers on stand-ins. All forecasts are
+ * made and written to a file, with a hash of each fleet's file, before the first step is played.
  */
 public final class ForecastVerifier {
 
-    /** How steps are played: on loopback sockets with processes, or on the network in memory. */
+    /** How steps are run: in processes on loopback sockets, or on an in-memory network. */
     public enum RunMode { SOCKETS, SIMULATED }
 
-    private static final ObjectMapper JSON = new ObjectMapper();
+    /** Keeps the field names that forecasts.json and verified.json have had. */
+    static final ObjectMapper JSON = new ObjectMapper().addMixIn(Finding.class, FindingFields.class)
+            .addMixIn(Trial.Verdict.class, VerdictFields.class);
     private static final int FORECAST_SEEDS = 3;
-    private static final int LISTED = 3;
+    private static final int MAX_FINDINGS = 3;
 
     private final Goal goal;
-    private final RunMode ways;
+    private final RunMode mode;
     private final long length;
-    private final int abreast;
+    private final int parallelism;
     private final Path directory;
     private final Consumer<String> progress;
 
     /**
-     * @param length of a step, ns
-     * @param abreast how many fleets are played at a time
-     * @param directory for forecasts, results and what the runs leave
+     * @param goal the service level that a rate must keep
+     * @param mode how steps are run
+     * @param length duration of a step, ns
+     * @param parallelism number of fleets that are run at the same time
+     * @param directory for forecasts, results and the files of the runs
      */
-    public ForecastVerifier(Goal goal, RunMode ways, long length, int abreast, Path directory,
+    public ForecastVerifier(Goal goal, RunMode mode, long length, int parallelism, Path directory,
             Consumer<String> progress) {
         this.goal = goal;
-        this.ways = ways;
+        this.mode = mode;
         this.length = length;
-        this.abreast = abreast;
+        this.parallelism = parallelism;
         this.directory = directory;
         this.progress = progress;
     }
 
     private record Fleet(Path file, DayFile day) { }
 
-    /** Forecasts, then plays; trials in the order of the files. */
+    @JsonPropertyOrder({"resource", "place", "pressure", "evidence"})
+    private interface FindingFields {
+
+        @JsonProperty("place")
+        String location();
+    }
+
+    @JsonPropertyOrder({"rate", "off", "rateRight", "seen", "failureRight"})
+    private interface VerdictFields {
+
+        @JsonProperty("off")
+        double relativeError();
+
+        @JsonProperty("rateRight")
+        boolean rateMatches();
+
+        @JsonProperty("seen")
+        Finding observed();
+
+        @JsonProperty("failureRight")
+        boolean resourceMatches();
+    }
+
+    /** Makes all forecasts, then runs all steps; returns the trials in the order of the files. */
     public List<Trial> run(List<Path> files) throws IOException, ConfigException, InterruptedException {
         Files.createDirectories(directory);
         List<Fleet> fleets = new ArrayList<>();
@@ -73,25 +102,25 @@
         List<Trial> trials = new ArrayList<>();
         for (Fleet fleet : fleets) {
             trials.add(new Trial(forecast(fleet.day()), goal, fleet.day().rate()));
-            progress.accept("forecast: " + words(trials.get(trials.size() - 1).forecast()));
+            progress.accept("forecast: " + describe(trials.get(trials.size() - 1).forecast()));
         }
         Files.writeString(directory.resolve("forecasts.json"), forecasts(fleets, trials));
-        ExecutorService players = Executors.newFixedThreadPool(abreast);
+        ExecutorService players = Executors.newFixedThreadPool(parallelism);
         try {
-            List<Future<?>> all = new ArrayList<>();
+            List<Future<?>> futures = new ArrayList<>();
             for (int f = 0; f < fleets.size(); f++) {
                 Fleet fleet = fleets.get(f);
                 Trial trial = trials.get(f);
-                all.add(players.submit(() -> {
-                    steps(fleet, trial);
+                futures.add(players.submit(() -> {
+                    playSteps(fleet, trial);
                     return null;
                 }));
             }
-            for (Future<?> one : all) {
-                one.get();
+            for (Future<?> future : futures) {
+                future.get();
             }
         } catch (ExecutionException e) {
-            throw new IOException("a step could not be played: " + e.getCause(), e.getCause());
+            throw new IOException("a step could not be run: " + e.getCause(), e.getCause());
         } finally {
             players.shutdownNow();
         }
@@ -110,17 +139,17 @@
         return new Trial.Forecast(day.name(), breaks.rate(), breaks.findings());
     }
 
-    private void steps(Fleet fleet, Trial trial) throws IOException, InterruptedException {
+    private void playSteps(Fleet fleet, Trial trial) throws IOException, InterruptedException {
         int number = 0;
         for (double rate = trial.nextRate(); rate > 0; rate = trial.nextRate()) {
             DayFile day = fleet.day().withoutTroubles(rate, length).seed(fleet.day().seed() + number);
             DayResult played;
-            if (ways == RunMode.SIMULATED) {
+            if (mode == RunMode.SIMULATED) {
                 played = DayRunner.simulate(day);
             } else {
-                Path own = directory.resolve(fleet.day().name().replace(' ', '-') + "-" + number);
-                Files.createDirectories(own);
-                played = DayRunner.runOnSockets(day, fleet.file(), own);
+                Path runDirectory = directory.resolve(fleet.day().name().replace(' ', '-') + "-" + number);
+                Files.createDirectories(runDirectory);
+                played = DayRunner.runOnSockets(day, fleet.file(), runDirectory);
             }
             number++;
             if (!played.faults().isEmpty()) {
@@ -130,11 +159,11 @@
                     Diagnosis.of(model(day, rate), played.outcome()));
             trial.recordStep(step);
             progress.accept(String.format(Locale.ROOT, "%s: %.1f/s, service %.3f, %s", fleet.day().name(),
-                    rate, step.service(), words(step.findings())));
+                    rate, step.service(), describe(step.findings())));
         }
     }
 
-    // ---- what is written -----------------------------------------------------------------------------
+    // ---- output ---------------------------------------------------------------------------------------
 
     private String forecasts(List<Fleet> fleets, List<Trial> trials) throws IOException {
         ArrayNode all = JSON.createArrayNode();
@@ -149,7 +178,7 @@
     private static void put(ObjectNode one, Trial.Forecast forecast) {
         one.put("fleet", forecast.fleet()).put("rate", forecast.rate().mean())
                 .put("low", forecast.rate().low()).put("high", forecast.rate().high());
-        forecast.findings().stream().limit(LISTED).forEach(one.withArray("findings")::addPOJO);
+        forecast.findings().stream().limit(MAX_FINDINGS).forEach(one.withArray("findings")::addPOJO);
     }
 
     private static String hash(byte[] bytes) {
@@ -166,42 +195,43 @@
             ObjectNode one = all.addObject();
             put(one, trial.forecast());
             for (Trial.Step step : trial.steps()) {
-                ObjectNode its = one.withArray("steps").addObject().put("rate", step.rate())
+                ObjectNode node = one.withArray("steps").addObject().put("rate", step.rate())
                         .put("service", step.service()).put("kept", step.goalMet());
-                step.findings().stream().limit(LISTED).forEach(its.withArray("findings")::addPOJO);
+                step.findings().stream().limit(MAX_FINDINGS).forEach(node.withArray("findings")::addPOJO);
             }
             one.putPOJO("verdict", trial.verdict());
         }
         return JSON.writerWithDefaultPrettyPrinter().writeValueAsString(all) + "\n";
     }
 
-    private static String words(Trial.Forecast forecast) {
+    private static String describe(Trial.Forecast forecast) {
         return String.format(Locale.ROOT, "%s breaks at %.1f/s (%.1f to %.1f): %s", forecast.fleet(),
                 forecast.rate().mean(), forecast.rate().low(), forecast.rate().high(),
-                words(forecast.findings()));
+                describe(forecast.findings()));
     }
 
-    private static String words(List<Finding> findings) {
+    private static String describe(List<Finding> findings) {
         return findings.isEmpty() ? "nothing" : findings.get(0).resource() + ", " + findings.get(0).location()
                 + " (" + findings.get(0).evidence() + ")";
     }
 
-    /** A table for people; misses are marked. */
+    /** Formats the trials as a text table; wrong forecasts are marked. */
     public static String table(List<Trial> trials) {
         StringBuilder text = new StringBuilder();
         text.append(String.format("%-26s %10s %8s %7s %-6s %-38s %-38s %s%n", "fleet", "forecast", "seen",
                 "off", "", "named first", "seen first", ""));
-        int right = 0;
+        int correct = 0;
         for (Trial trial : trials) {
             Trial.Verdict v = trial.verdict();
             Trial.Forecast f = trial.forecast();
-            right += v.rateMatches() && v.resourceMatches() ? 1 : 0;
+            correct += v.rateMatches() && v.resourceMatches() ? 1 : 0;
             text.append(String.format(Locale.ROOT, "%-26s %8.1f/s %6.1f/s %+6.1f%% %-6s %-38s %-38s %s%n",
-                    f.fleet(), f.rate().mean(), v.rate(), 100 * v.relativeError(), v.rateMatches() ? "" : "MISSED",
+                    f.fleet(), f.rate().mean(), v.rate(), 100 * v.relativeError(), v.rateMatches() ? ""
+                    : "MISSED",
                     name(f.findings().isEmpty() ? null : f.findings().get(0)), name(v.observed()),
                     v.resourceMatches() ? "" : "MISSED"));
         }
-        return text.append(String.format("%d of %d forecasts right in rate and failure%n", right,
+        return text.append(String.format("%d of %d forecasts right in rate and failure%n", correct,
                 trials.size())).toString();
     }
 
--- a/src/test/java/rowanmoor/lab/ExperimentTest.java
+++ b/src/test/java/rowanmoor/lab/ExperimentTest.java
@@ -18,7 +18,7 @@
 
     private Path file(String rates) throws IOException, ConfigException {
         Path day = dir.resolve("day.kdl");
-        Files.writeString(day, TestDays.text().substring(0, TestDays.text().indexOf("troubles {"))
+        Files.writeString(day, TestDays.sampleText().substring(0, TestDays.sampleText().indexOf("troubles {"))
                 .replace("length \"40s\"", "length \"8s\""));
         Path file = dir.resolve("e.kdl");
         Files.writeString(file, "experiment \"x\" { fleet \"day.kdl\"; rates " + rates
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aRerunPlaysOnlyWhatIsNewAndAnswersTheSame() throws IOException, ConfigException {
+    void rerunPlaysOnlyNewRunsAndGivesTheSameResults() throws IOException, ConfigException {
         Path store = dir.resolve("r.mv");
         Experiment.Grid first = Experiment.read(file("\"50/s\" \"600/s\"")).run(store, line -> { });
         assertEquals(8, first.played());
@@ -37,17 +37,17 @@
         Experiment.Grid more = Experiment.read(file("\"50/s\" \"100/s\" \"600/s\"")).run(store, line -> { });
         assertEquals(4, more.played());
         assertEquals(8, more.cached());
-        double calm = more.cells().get(0).interval(Experiment.Result::service).mean();
-        double jammed = more.cells().get(2).interval(Experiment.Result::service).mean();
-        double larger = more.cells().get(5).interval(Experiment.Result::service).mean();
-        assertTrue(calm > 0.97 && jammed < 0.8 && larger > jammed, Experiment.table(more));
+        double lowLoad = more.cells().get(0).interval(Experiment.Result::service).mean();
+        double overloaded = more.cells().get(2).interval(Experiment.Result::service).mean();
+        double moreBackends = more.cells().get(5).interval(Experiment.Result::service).mean();
+        assertTrue(lowLoad > 0.97 && overloaded < 0.8 && moreBackends > overloaded, Experiment.table(more));
         Experiment.write(more, dir.resolve("out"));
         assertEquals(13, Files.readAllLines(dir.resolve("out/experiment.csv")).size());
         assertTrue(Files.size(dir.resolve("out/service.svg")) > 1000);
     }
 
     @Test
-    void aSearchFindsWhereEachVariantFailsAndARerunPlaysNothing() throws IOException, ConfigException {
+    void searchFindsTheFailingRateOfEachVariantAndARerunPlaysNothing() throws IOException, ConfigException {
         file("\"50/s\"");
         Path file = dir.resolve("s.kdl");
         Files.writeString(file, """
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void aFileThatIsNoStoreIsRefusedAndLeftAsItIs() throws IOException, ConfigException {
+    void fileThatIsNotAStoreIsRefusedAndUnchanged() throws IOException, ConfigException {
         Path store = dir.resolve("r.mv");
         Files.writeString(store, "x".repeat(10_000));
         Experiment experiment = Experiment.read(file("\"50/s\""));
