--- a/src/main/java/rowanmoor/lab/Experiment.java
+++ b/src/main/java/rowanmoor/lab/Experiment.java
@@ -27,10 +27,10 @@
 
 /**
  * Runs an experiment over fleets, mixes, troubles, numbers of backends, rates and seeds: a grid, or for each
- * variant a search for the rate at which a goal fails. Runs are played in the emulator on all cores, or live:
+ * variant a search for the rate at which a goal fails. Runs execute in the emulator on all cores, or live:
  * one after the other, with real proxies and controllers on stand-ins. All variants share their seeds (common
- * random numbers), so that differences are due to the variants alone. Results are stored; a rerun plays only
- * what is new.
+ * random numbers), so that differences are due to the variants alone. Results are stored; a rerun executes
+ * only what is new.
  */
 public final class Experiment {
 
@@ -60,10 +60,10 @@
      * The results of an experiment.
      *
      * @param failingRates the rate that each variant's search found; empty without a search
-     * @param played number of runs that were played
+     * @param executed number of runs that were executed, not taken from the store
      * @param cached number of results that were taken from the store
      */
-    public record Grid(String name, List<Cell> cells, Map<Variant, Double> failingRates, int played,
+    public record Grid(String name, List<Cell> cells, Map<Variant, Double> failingRates, int executed,
             int cached) { }
 
     private record Fleet(String name, Path file, byte[] bytes, DayFile day) { }
@@ -193,11 +193,11 @@
                 : mixes.get(v.mix()), v.backends(), v.troubles());
     }
 
-    /** One execution: results found in the store, and runs that are played. */
+    /** One execution: results found in the store, and runs that are executed. */
     private final class Execution {
         private final Path liveDirectory;
         private final Consumer<String> progress;
-        private final AtomicInteger played = new AtomicInteger();
+        private final AtomicInteger executed = new AtomicInteger();
         private final AtomicInteger cached = new AtomicInteger();
         private ResultStore store;
 
@@ -218,7 +218,7 @@
                         found.put(variant, search(variant, cells));
                     }
                 }
-                return new Grid(name, List.copyOf(cells), found, played.get(), cached.get());
+                return new Grid(name, List.copyOf(cells), found, executed.get(), cached.get());
             } catch (UncheckedIOException e) {
                 throw e.getCause();
             }
@@ -230,7 +230,7 @@
                 List<Double> variantRates = rates.isEmpty() ? List.of(fleet(variant).day().rate()) : rates;
                 variantRates.forEach(rate -> all.addAll(runs(variant, rate)));
             }
-            List<Result> results = play(all);
+            List<Result> results = executeRuns(all);
             for (int i = 0; i < all.size(); i += seeds) {
                 cells.add(new Cell(all.get(i).variant(), all.get(i).rate(), results.subList(i, i + seeds)));
             }
@@ -239,7 +239,7 @@
         private double search(Variant variant, List<Cell> cells) throws IOException {
             Bisection bisection = new Bisection(search.from(), search.to(), search.within());
             for (double rate = bisection.nextRate(); rate > 0; rate = bisection.nextRate()) {
-                Cell cell = new Cell(variant, rate, play(runs(variant, rate)));
+                Cell cell = new Cell(variant, rate, executeRuns(runs(variant, rate)));
                 cells.add(cell);
                 bisection.recordResult(rate, cell.interval(Result::service).mean() >= search.service());
             }
@@ -254,7 +254,7 @@
                     store.key(fleet.bytes(), text, seed))).toList();
         }
 
-        private List<Result> play(List<Run> runs) throws IOException {
+        private List<Result> executeRuns(List<Run> runs) throws IOException {
             Map<String, Result> results = new TreeMap<>();
             List<Run> missing = new ArrayList<>();
             for (Run run : runs) {
@@ -281,7 +281,7 @@
             for (int i = 0; i < missing.size(); i++) {
                 results.put(missing.get(i).key(), fresh.get(i));
             }
-            played.addAndGet(missing.size());
+            executed.addAndGet(missing.size());
             return runs.stream().map(run -> results.get(run.key())).toList();
         }
 
@@ -321,7 +321,7 @@
     /** Formats the results as a text table. */
     public static String table(Grid grid) {
         StringBuilder text = new StringBuilder(String.format(Locale.ROOT,
-                "%s: %d runs played, %d kept from before%n", grid.name(), grid.played(), grid.cached()));
+                "%s: %d runs played, %d kept from before%n", grid.name(), grid.executed(), grid.cached()));
         text.append(String.format("%-44s %10s %26s %10s %9s %8s%n", "variant", "rate", "service (95%)",
                 "worst 10 s", "busiest", "lines"));
         for (Cell c : grid.cells()) {
