--- a/src/main/java/rowanmoor/cli/Commands.java
+++ b/src/main/java/rowanmoor/cli/Commands.java
@@ -27,13 +27,13 @@
 import rowanmoor.emulator.Outcome;
 import rowanmoor.lab.BenchDayConverter;
 import rowanmoor.lab.DayFile;
-import rowanmoor.lab.Experiment;
-import rowanmoor.lab.Fuzzer;
-import rowanmoor.lab.EmulatorModels;
+import rowanmoor.lab.DayReport;
 import rowanmoor.lab.DayResult;
 import rowanmoor.lab.DayRunner;
+import rowanmoor.lab.EmulatorModels;
+import rowanmoor.lab.Experiment;
+import rowanmoor.lab.Fuzzer;
 import rowanmoor.lab.ProxyBenchmark;
-import rowanmoor.lab.DayReport;
 import rowanmoor.lab.SoakRunner;
 import rowanmoor.net.Loop;
 import rowanmoor.platform.PlatformServer;
@@ -296,7 +296,7 @@
         boolean passed = new SoakRunner(directory, line -> {
             out().println(line);
             out().flush();
-        }).play(Long.parseLong(ends[0]), Long.parseLong(ends[1]), lanes);
+        }).run(Long.parseLong(ends[0]), Long.parseLong(ends[1]), lanes);
         return passed ? 0 : 1;
     }
 
