--- a/src/main/java/rowanmoor/http/ClientStream.java
+++ b/src/main/java/rowanmoor/http/ClientStream.java
@@ -111,7 +111,7 @@
             return true;
         }
         if (!writer.writeContent(bytes)) {
-            connection.close(CloseReason.OVERFLOW, "request content exceeds the write limit");
+            connection.close(CloseReason.OVERFLOW, "content beyond its bound");
             return true;
         }
         return !writer.isAboveHighWater();
@@ -167,7 +167,7 @@
     public void cancel() {
         responseHandler = null;
         unusable = true;
-        connection.close(CloseReason.LOCAL, "request cancelled");
+        connection.close(CloseReason.LOCAL, "given up");
     }
 
     /** Replaces the handler of the request in progress. */
@@ -192,11 +192,11 @@
 
     private void handlePart(MessagePart part, ByteBuffer bytes) {
         if (responseHandler == null) {
-            connection.close(CloseReason.PROTOCOL, "response without a request");
+            connection.close(CloseReason.PROTOCOL, "an answer that nothing asked for");
         } else if (part instanceof MessagePart.ResponseHead head) {
             keepAlive = head.isKeepAlive();
             if (head.status() == 101) {
-                connection.close(CloseReason.PROTOCOL, "status 101 without a requested protocol upgrade");
+                connection.close(CloseReason.PROTOCOL, "a change of protocol that nothing asked for");
             } else if (head.status() < 200) {
                 inInterimResponse = true;
                 responseHandler.onInterimHead(head);
@@ -220,7 +220,7 @@
         // Bytes after a response belong to no request; an early response leaves the request incomplete.
         unusable = !keepAlive || bytes.hasRemaining() || !requestComplete;
         if (unusable) {
-            connection.close(CloseReason.LOCAL, "connection not kept alive");
+            connection.close(CloseReason.LOCAL, "not kept alive");
         } else {
             connection.resume(); // the handler may have paused it: the next response must be read
         }
--- a/src/main/java/rowanmoor/net/Connection.java
+++ b/src/main/java/rowanmoor/net/Connection.java
@@ -97,8 +97,7 @@
         }
         if (!fits(frame)) {
             if (writeLimit.overflowPolicy() == WriteLimit.OverflowPolicy.CLOSE) {
-                close(CloseReason.OVERFLOW, "write queue is full: " + queue.size() + " frames, "
-                        + queuedBytes + " bytes");
+                close(CloseReason.OVERFLOW, queue.size() + " frames of " + queuedBytes + " bytes wait");
             }
             return false;
         }
@@ -168,7 +167,7 @@
             startClosing();
             scheduleFlush();
         } else if (state == State.CONNECTING) {
-            close(CloseReason.LOCAL, "closed before it was established");
+            close(CloseReason.LOCAL, "ended before it was made");
         }
     }
 
@@ -348,7 +347,7 @@
 
     private void finishClosing() throws IOException {
         if (inputEnded) {
-            close(CloseReason.ENDED, "both sides closed");
+            close(CloseReason.ENDED, "both sides ended");
         } else if (!outputEnded) {
             outputEnded = true;
             stream.endOutput();
@@ -371,7 +370,7 @@
             if (writtenBytes > before) {
                 startLingerTimer();
             } else {
-                close(CloseReason.LOCAL, outputEnded ? "the peer did not close its side"
+                close(CloseReason.LOCAL, outputEnded ? "the peer did not end its side"
                         : "the peer took none of the last " + queuedBytes + " bytes");
             }
         });
@@ -387,7 +386,7 @@
         if (idleTimeoutNs > 0 && state == State.OPEN) {
             long left = lastReadAt + idleTimeoutNs - loop.now();
             if (left <= 0 && !paused) {
-                close(CloseReason.IDLE, "nothing received for " + idleTimeoutNs / 1_000_000 + " ms");
+                close(CloseReason.IDLE, "nothing heard for " + idleTimeoutNs / 1_000_000 + " ms");
             } else {
                 idleTimer = loop.after(left <= 0 ? idleTimeoutNs : left, this::startIdleTimer);
             }
